--- a/src/bench/java/mothwing/bench/RelayBench.java
+++ b/src/bench/java/mothwing/bench/RelayBench.java
@@ -4,11 +4,10 @@
 
 /** What the relay of trials adds to a round trip (docs/trials.md). */
 public final class RelayBench {
-    private RelayBench() {
-    }
+  private RelayBench() {}
 
-    /** Prints it. */
-    public static void main(String[] arguments) throws Exception {
-        RelayTrips.print();
-    }
+  /** Prints it. */
+  public static void main(String[] arguments) throws Exception {
+    RelayTrips.print();
+  }
 }
--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -6,139 +6,152 @@
 import java.io.UncheckedIOException;
 import mothwing.OverloadControl.Host;
 
-/** Writes the actions of one instance, as the elements of a JSON array, in the order in which they come. */
+/**
+ * Writes the actions of one instance, as the elements of a JSON array, in the order in which they
+ * come.
+ */
 final class ActionWriter implements Host {
-    private final long who;
-    private final StringBuilder written = new StringBuilder();
-
-    ActionWriter(long who) {
-        this.who = who;
-    }
-
-    /** Writes the fields of an action after its name and instance. */
-    private interface Body {
-        void write(JsonWriter json) throws IOException;
-    }
-
-    private void action(String name, Body body) {
-        StringWriter text = new StringWriter();
-        try (JsonWriter json = new JsonWriter(text)) {
-            json.beginObject();
-            json.name("what").value(name);
-            json.name("Who").value(who);
-            body.write(json);
-            json.endObject();
-        } catch (IOException broken) {
-            throw new UncheckedIOException(broken);
-        }
-        if (written.length() > 0) {
-            written.append(',');
-        }
-        written.append(text.getBuffer());
-    }
-
-    private void named(String name, String id) {
-        action(name, json -> json.name("Job").value(id));
-    }
-
-    /** What was written since the last call. */
-    String take() {
-        String all = written.toString();
-        written.setLength(0);
-        return all;
-    }
-
-    void exception(String text) {
-        action("Exception", json -> json.name("What").value(text));
-    }
-
-    @Override
-    public void start(String id) {
-        named("Start", id);
-    }
-
-    @Override
-    public void call(String id, long until) {
-        action("AskBelow", json -> {
-            json.name("Job").value(id);
-            json.name("TryUntil").value(until);
+  private final long who;
+  private final StringBuilder written = new StringBuilder();
+
+  ActionWriter(long who) {
+    this.who = who;
+  }
+
+  /** Writes the fields of an action after its name and instance. */
+  private interface Body {
+    void write(JsonWriter json) throws IOException;
+  }
+
+  private void action(String name, Body body) {
+    StringWriter text = new StringWriter();
+    try (JsonWriter json = new JsonWriter(text)) {
+      json.beginObject();
+      json.name("what").value(name);
+      json.name("Who").value(who);
+      body.write(json);
+      json.endObject();
+    } catch (IOException broken) {
+      throw new UncheckedIOException(broken);
+    }
+    if (written.length() > 0) {
+      written.append(',');
+    }
+    written.append(text.getBuffer());
+  }
+
+  private void named(String name, String id) {
+    action(name, json -> json.name("Job").value(id));
+  }
+
+  /** What was written since the last call. */
+  String take() {
+    String all = written.toString();
+    written.setLength(0);
+    return all;
+  }
+
+  void exception(String text) {
+    action("Exception", json -> json.name("What").value(text));
+  }
+
+  @Override
+  public void start(String id) {
+    named("Start", id);
+  }
+
+  @Override
+  public void call(String id, long until) {
+    action(
+        "AskBelow",
+        json -> {
+          json.name("Job").value(id);
+          json.name("TryUntil").value(until);
         });
-    }
-
-    @Override
-    public void skipCall(String id) {
-        named("Omit", id);
-    }
-
-    @Override
-    public void halt(String id) {
-        named("Preempt", id);
-    }
-
-    @Override
-    public void refuse(String id, boolean dontRetry, long stayAway) {
-        action("Bounce", json -> {
-            json.name("Job").value(id);
-            if (dontRetry) {
-                json.name("DontRetry").value(true);
-            }
-            if (stayAway > 0) {
-                json.name("Pause").value(stayAway);
-            }
+  }
+
+  @Override
+  public void skipCall(String id) {
+    named("Omit", id);
+  }
+
+  @Override
+  public void halt(String id) {
+    named("Preempt", id);
+  }
+
+  @Override
+  public void refuse(String id, boolean dontRetry, long stayAway) {
+    action(
+        "Bounce",
+        json -> {
+          json.name("Job").value(id);
+          if (dontRetry) {
+            json.name("DontRetry").value(true);
+          }
+          if (stayAway > 0) {
+            json.name("Pause").value(stayAway);
+          }
         });
-    }
-
-    @Override
-    public void fail(String id) {
-        named("EndFailed", id);
-    }
-
-    @Override
-    public void remember(String id, long span) {
-        action("Remember", json -> {
-            json.name("Job").value(id);
-            json.name("Lifetime").value(span);
+  }
+
+  @Override
+  public void fail(String id) {
+    named("EndFailed", id);
+  }
+
+  @Override
+  public void remember(String id, long span) {
+    action(
+        "Remember",
+        json -> {
+          json.name("Job").value(id);
+          json.name("Lifetime").value(span);
         });
-    }
-
-    @Override
-    public void forget(String id) {
-        named("DropKey", id);
-    }
-
-    @Override
-    public void replay(String id) {
-        named("Replay", id);
-    }
-
-    @Override
-    public void timer(long at, String tag) {
-        action("Timer", json -> {
-            json.name("Time").value(at);
-            json.name("Tag").value(tag);
+  }
+
+  @Override
+  public void forget(String id) {
+    named("DropKey", id);
+  }
+
+  @Override
+  public void replay(String id) {
+    named("Replay", id);
+  }
+
+  @Override
+  public void timer(long at, String tag) {
+    action(
+        "Timer",
+        json -> {
+          json.name("Time").value(at);
+          json.name("Tag").value(tag);
         });
-    }
-
-    @Override
-    public void say(double value) {
-        action("Stamp", json -> json.name("X").value(value));
-    }
-
-    @Override
-    public void health(boolean cheap, boolean good) {
-        action("Health", json -> {
-            json.name("Cheap").value(cheap);
-            json.name("Want").value(good);
+  }
+
+  @Override
+  public void say(double value) {
+    action("Stamp", json -> json.name("X").value(value));
+  }
+
+  @Override
+  public void health(boolean cheap, boolean good) {
+    action(
+        "Health",
+        json -> {
+          json.name("Cheap").value(cheap);
+          json.name("Want").value(good);
         });
-    }
+  }
 
-    @Override
-    public void trimIdle(long span) {
-        action("TrimAfter", json -> json.name("Lifetime").value(span));
-    }
+  @Override
+  public void trimIdle(long span) {
+    action("TrimAfter", json -> json.name("Lifetime").value(span));
+  }
 
-    @Override
-    public void log(String text) {
-        action("Log", json -> json.name("What").value(text));
-    }
+  @Override
+  public void log(String text) {
+    action("Log", json -> json.name("What").value(text));
+  }
 }
--- a/src/main/java/mothwing/adapter/Adapter.java
+++ b/src/main/java/mothwing/adapter/Adapter.java
@@ -23,125 +23,129 @@
 import mothwing.settings.Fields;
 import mothwing.settings.SettingsCodec;
 
-/** Answers batches of events, one JSON line each, with one JSON line of actions each, until the input ends. */
+/**
+ * Answers batches of events, one JSON line each, with one JSON line of actions each, until the
+ * input ends.
+ */
 public final class Adapter {
-    private final BufferedReader input;
-    private final Writer output;
-    private final PrintStream complaints;
-    private final Map<Long, Instance> instances = new LinkedHashMap<>();
+  private final BufferedReader input;
+  private final Writer output;
+  private final PrintStream complaints;
+  private final Map<Long, Instance> instances = new LinkedHashMap<>();
 
-    /**
-     * Makes a adapter.
-     *
-     * @param input event lines
-     * @param output action lines
-     * @param complaints plain words on what went wrong
-     */
-    public Adapter(InputStream input, OutputStream output, PrintStream complaints) {
-        this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
-        this.output = new BufferedWriter(new OutputStreamWriter(output, StandardCharsets.UTF_8));
-        this.complaints = complaints;
-    }
+  /**
+   * Makes a adapter.
+   *
+   * @param input event lines
+   * @param output action lines
+   * @param complaints plain words on what went wrong
+   */
+  public Adapter(InputStream input, OutputStream output, PrintStream complaints) {
+    this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
+    this.output = new BufferedWriter(new OutputStreamWriter(output, StandardCharsets.UTF_8));
+    this.complaints = complaints;
+  }
 
-    /**
-     * Runs until the input ends or cannot be understood.
-     *
-     * @return the exit status
-     * @throws IOException when the input or output breaks
-     */
-    public int run() throws IOException {
-        long number = 0;
-        String line;
-        while ((line = input.readLine()) != null) {
-            number++;
-            String reply;
-            try {
-                reply = batch(line);
-            } catch (BadInput bad) {
-                complaints.println("line " + number + ": " + bad.getMessage());
-                return 1;
-            } catch (MalformedJsonException | EOFException notJson) {
-                complaints.println("line " + number + ": not a JSON value: " + notJson.getMessage());
-                return 1;
-            }
-            output.write(reply);
-            output.write('\n');
-            output.flush();
-        }
-        return 0;
+  /**
+   * Runs until the input ends or cannot be understood.
+   *
+   * @return the exit status
+   * @throws IOException when the input or output breaks
+   */
+  public int run() throws IOException {
+    long number = 0;
+    String line;
+    while ((line = input.readLine()) != null) {
+      number++;
+      String reply;
+      try {
+        reply = batch(line);
+      } catch (BadInput bad) {
+        complaints.println("line " + number + ": " + bad.getMessage());
+        return 1;
+      } catch (MalformedJsonException | EOFException notJson) {
+        complaints.println("line " + number + ": not a JSON value: " + notJson.getMessage());
+        return 1;
+      }
+      output.write(reply);
+      output.write('\n');
+      output.flush();
     }
+    return 0;
+  }
 
-    private String batch(String line) throws IOException {
-        Fields batch;
-        try (JsonReader parser = new JsonReader(new StringReader(line))) {
-            if (parser.peek() != JsonToken.BEGIN_OBJECT) {
-                throw new BadInput("not a JSON object");
-            }
-            batch = Fields.read(parser);
-            if (parser.peek() != JsonToken.END_DOCUMENT) {
-                throw new BadInput("more than one JSON value");
-            }
-        }
-        long now = batch.whole("SimTime");
-        Set<Long> touched = new LinkedHashSet<>();
-        for (Fields event : batch.requiredInners("in")) {
-            event(now, event, touched);
-        }
-        StringBuilder reply = new StringBuilder("{\"out\":[");
-        boolean first = true;
-        for (long who : touched) {
-            String actions = settle(now, who);
-            if (!actions.isEmpty()) {
-                reply.append(first ? "" : ",").append(actions);
-                first = false;
-            }
-        }
-        return reply.append("]}").toString();
+  private String batch(String line) throws IOException {
+    Fields batch;
+    try (JsonReader parser = new JsonReader(new StringReader(line))) {
+      if (parser.peek() != JsonToken.BEGIN_OBJECT) {
+        throw new BadInput("not a JSON object");
+      }
+      batch = Fields.read(parser);
+      if (parser.peek() != JsonToken.END_DOCUMENT) {
+        throw new BadInput("more than one JSON value");
+      }
     }
-
-    private void event(long now, Fields event, Set<Long> touched) throws BadInput {
-        String what = event.text("what");
-        long who = event.whole("Who");
-        touched.add(who);
-        if (what.equals("Detach")) {
-            instances.remove(who);
-            return;
-        }
-        if (what.equals("PowerOn")) {
-            Instance life = new Instance(who, SettingsCodec.read(event.whole("Seed", 0),
-                    event.requiredInner("Options")));
-            instances.put(who, life);
-            guard(who, life, () -> life.controller().started(now));
-            return;
-        }
-        Instance life = instances.get(who);
-        if (life == null) {
-            throw new BadInput("field Who: instance " + who + " has not started");
-        }
-        guard(who, life, () -> life.event(now, what, event));
+    long now = batch.whole("SimTime");
+    Set<Long> touched = new LinkedHashSet<>();
+    for (Fields event : batch.requiredInners("in")) {
+      event(now, event, touched);
+    }
+    StringBuilder reply = new StringBuilder("{\"out\":[");
+    boolean first = true;
+    for (long who : touched) {
+      String actions = settle(now, who);
+      if (!actions.isEmpty()) {
+        reply.append(first ? "" : ",").append(actions);
+        first = false;
+      }
     }
+    return reply.append("]}").toString();
+  }
 
-    private String settle(long now, long who) throws BadInput {
-        Instance life = instances.get(who);
-        if (life == null) {
-            return "";
-        }
-        guard(who, life, () -> life.controller().settled(now));
-        return life.actions().take();
+  private void event(long now, Fields event, Set<Long> touched) throws BadInput {
+    String what = event.text("what");
+    long who = event.whole("Who");
+    touched.add(who);
+    if (what.equals("Detach")) {
+      instances.remove(who);
+      return;
     }
+    if (what.equals("PowerOn")) {
+      Instance life =
+          new Instance(
+              who, SettingsCodec.read(event.whole("Seed", 0), event.requiredInner("Options")));
+      instances.put(who, life);
+      guard(who, life, () -> life.controller().started(now));
+      return;
+    }
+    Instance life = instances.get(who);
+    if (life == null) {
+      throw new BadInput("field Who: instance " + who + " has not started");
+    }
+    guard(who, life, () -> life.event(now, what, event));
+  }
 
-    /** A step that may find bad input. */
-    private interface Step {
-        void run() throws BadInput;
+  private String settle(long now, long who) throws BadInput {
+    Instance life = instances.get(who);
+    if (life == null) {
+      return "";
     }
+    guard(who, life, () -> life.controller().settled(now));
+    return life.actions().take();
+  }
+
+  /** A step that may find bad input. */
+  private interface Step {
+    void run() throws BadInput;
+  }
 
-    /** Reports a failure of the controller for its instance, with the stack on the complaints. */
-    private void guard(long who, Instance life, Step step) throws BadInput {
-        try {
-            step.run();
-        } catch (RuntimeException broken) {
-            broken.printStackTrace(complaints);
-            life.actions().exception("instance " + who + ": " + broken);
-        }
+  /** Reports a failure of the controller for its instance, with the stack on the complaints. */
+  private void guard(long who, Instance life, Step step) throws BadInput {
+    try {
+      step.run();
+    } catch (RuntimeException broken) {
+      broken.printStackTrace(complaints);
+      life.actions().exception("instance " + who + ": " + broken);
     }
+  }
 }
--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -6,122 +6,138 @@
 import mothwing.net.Malformed;
 import mothwing.net.Reason;
 
-/** The packets of AJP/1.3: their numbers, how they are written, and how strings and header names are read. */
+/**
+ * The packets of AJP/1.3: their numbers, how they are written, and how strings and header names are
+ * read.
+ */
 final class Ajp {
-    static final int TO_CONTAINER = 0x1234;
-    static final int TO_SERVER = 0x4142; // the letters AB
-    static final int HEAD = 4;
-    static final int MOST_PACKET = 8192;
-    static final int FORWARD_REQUEST = 2;
-    static final int SEND_BODY_CHUNK = 3;
-    static final int SEND_HEADERS = 4;
-    static final int END_RESPONSE = 5;
-    static final int GET_BODY_CHUNK = 6;
-    static final int CPONG = 9;
-    static final int CPING = 10;
-    static final int MOST_CHUNK = MOST_PACKET - HEAD - 4; // less the code, the length and the closing byte
-
-    static final int CONTEXT = 0x01;
-    static final int QUERY_STRING = 0x05;
-    static final int REQUEST_ATTRIBUTE = 0x0A;
-    static final int SSL_KEY_SIZE = 0x0B;
-    static final int STORED_METHOD = 0x0D;
-    static final int NO_MORE = 0xFF;
-
-    private static final int CODED = 0xA0;
-    private static final int ABSENT = 0xFFFF;
-    private static final List<String> REQUEST_HEADERS = List.of("accept", "accept-charset", "accept-encoding",
-            "accept-language", "authorization", "connection", "content-type", "content-length", "cookie", "cookie2",
-            "host", "pragma", "referer", "user-agent");
-
-    private Ajp() {
+  static final int TO_CONTAINER = 0x1234;
+  static final int TO_SERVER = 0x4142; // the letters AB
+  static final int HEAD = 4;
+  static final int MOST_PACKET = 8192;
+  static final int FORWARD_REQUEST = 2;
+  static final int SEND_BODY_CHUNK = 3;
+  static final int SEND_HEADERS = 4;
+  static final int END_RESPONSE = 5;
+  static final int GET_BODY_CHUNK = 6;
+  static final int CPONG = 9;
+  static final int CPING = 10;
+  static final int MOST_CHUNK =
+      MOST_PACKET - HEAD - 4; // less the code, the length and the closing byte
+
+  static final int CONTEXT = 0x01;
+  static final int QUERY_STRING = 0x05;
+  static final int REQUEST_ATTRIBUTE = 0x0A;
+  static final int SSL_KEY_SIZE = 0x0B;
+  static final int STORED_METHOD = 0x0D;
+  static final int NO_MORE = 0xFF;
+
+  private static final int CODED = 0xA0;
+  private static final int ABSENT = 0xFFFF;
+  private static final List<String> REQUEST_HEADERS =
+      List.of(
+          "accept",
+          "accept-charset",
+          "accept-encoding",
+          "accept-language",
+          "authorization",
+          "connection",
+          "content-type",
+          "content-length",
+          "cookie",
+          "cookie2",
+          "host",
+          "pragma",
+          "referer",
+          "user-agent");
+
+  private Ajp() {}
+
+  /** Reads a string; an absent one is empty. */
+  static String string(ByteBuf in) throws Malformed {
+    need(in, Short.BYTES);
+    int length = in.readUnsignedShort();
+    if (length == ABSENT) {
+      return "";
     }
-
-    /** Reads a string; an absent one is empty. */
-    static String string(ByteBuf in) throws Malformed {
-        need(in, Short.BYTES);
-        int length = in.readUnsignedShort();
-        if (length == ABSENT) {
-            return "";
-        }
-        need(in, length + 1);
-        String text = in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
-        if (in.readByte() != 0) {
-            throw new Malformed(Reason.MALFORMED, "a string without its closing byte");
-        }
-        return text;
-    }
-
-    /** Reads the name of a request header, which may be coded. */
-    static String headerName(ByteBuf in) throws Malformed {
-        need(in, Short.BYTES);
-        if (in.getUnsignedByte(in.readerIndex()) != CODED) {
-            return string(in);
-        }
-        int code = in.readUnsignedShort() & 0xFF;
-        if (code == 0 || code > REQUEST_HEADERS.size()) {
-            throw new Malformed(Reason.MALFORMED, "header of code " + code);
-        }
-        return REQUEST_HEADERS.get(code - 1);
-    }
-
-    /** Makes sure that so many bytes are left of the packet. */
-    static void need(ByteBuf in, int bytes) throws Malformed {
-        if (in.readableBytes() < bytes) {
-            throw new Malformed(Reason.MALFORMED, "a packet is cut short");
-        }
+    need(in, length + 1);
+    String text = in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
+    if (in.readByte() != 0) {
+      throw new Malformed(Reason.MALFORMED, "a string without its closing byte");
     }
-
-    /** Begins a packet and returns where its length stands. */
-    private static int begin(ByteBuf out, int code) {
-        out.writeShort(TO_SERVER).writeShort(0).writeByte(code);
-        return out.writerIndex() - Short.BYTES - 1;
+    return text;
+  }
+
+  /** Reads the name of a request header, which may be coded. */
+  static String headerName(ByteBuf in) throws Malformed {
+    need(in, Short.BYTES);
+    if (in.getUnsignedByte(in.readerIndex()) != CODED) {
+      return string(in);
     }
-
-    private static void finish(ByteBuf out, int length) {
-        out.setShort(length, out.writerIndex() - length - Short.BYTES);
+    int code = in.readUnsignedShort() & 0xFF;
+    if (code == 0 || code > REQUEST_HEADERS.size()) {
+      throw new Malformed(Reason.MALFORMED, "header of code " + code);
     }
+    return REQUEST_HEADERS.get(code - 1);
+  }
 
-    private static void string(ByteBuf out, String text) {
-        out.writeShort(text.length());
-        out.writeCharSequence(text, StandardCharsets.ISO_8859_1);
-        out.writeByte(0);
+  /** Makes sure that so many bytes are left of the packet. */
+  static void need(ByteBuf in, int bytes) throws Malformed {
+    if (in.readableBytes() < bytes) {
+      throw new Malformed(Reason.MALFORMED, "a packet is cut short");
     }
-
-    static void sendHeaders(ByteBuf out, int status, String phrase, List<String[]> fields) {
-        int at = begin(out, SEND_HEADERS);
-        out.writeShort(status);
-        string(out, phrase);
-        out.writeShort(fields.size());
-        for (String[] field : fields) {
-            string(out, field[0]);
-            string(out, field[1]);
-        }
-        finish(out, at);
+  }
+
+  /** Begins a packet and returns where its length stands. */
+  private static int begin(ByteBuf out, int code) {
+    out.writeShort(TO_SERVER).writeShort(0).writeByte(code);
+    return out.writerIndex() - Short.BYTES - 1;
+  }
+
+  private static void finish(ByteBuf out, int length) {
+    out.setShort(length, out.writerIndex() - length - Short.BYTES);
+  }
+
+  private static void string(ByteBuf out, String text) {
+    out.writeShort(text.length());
+    out.writeCharSequence(text, StandardCharsets.ISO_8859_1);
+    out.writeByte(0);
+  }
+
+  static void sendHeaders(ByteBuf out, int status, String phrase, List<String[]> fields) {
+    int at = begin(out, SEND_HEADERS);
+    out.writeShort(status);
+    string(out, phrase);
+    out.writeShort(fields.size());
+    for (String[] field : fields) {
+      string(out, field[0]);
+      string(out, field[1]);
     }
-
-    static void sendBody(ByteBuf out, byte[] content) {
-        for (int from = 0; from < content.length; from += MOST_CHUNK) {
-            int length = Math.min(MOST_CHUNK, content.length - from);
-            int at = begin(out, SEND_BODY_CHUNK);
-            out.writeShort(length).writeBytes(content, from, length).writeByte(0);
-            finish(out, at);
-        }
-    }
-
-    static void endResponse(ByteBuf out, boolean reuse) {
-        int at = begin(out, END_RESPONSE);
-        out.writeByte(reuse ? 1 : 0);
-        finish(out, at);
-    }
-
-    static void getBodyChunk(ByteBuf out, int length) {
-        int at = begin(out, GET_BODY_CHUNK);
-        out.writeShort(length);
-        finish(out, at);
-    }
-
-    static void cpong(ByteBuf out) {
-        finish(out, begin(out, CPONG));
+    finish(out, at);
+  }
+
+  static void sendBody(ByteBuf out, byte[] content) {
+    for (int from = 0; from < content.length; from += MOST_CHUNK) {
+      int length = Math.min(MOST_CHUNK, content.length - from);
+      int at = begin(out, SEND_BODY_CHUNK);
+      out.writeShort(length).writeBytes(content, from, length).writeByte(0);
+      finish(out, at);
     }
+  }
+
+  static void endResponse(ByteBuf out, boolean reuse) {
+    int at = begin(out, END_RESPONSE);
+    out.writeByte(reuse ? 1 : 0);
+    finish(out, at);
+  }
+
+  static void getBodyChunk(ByteBuf out, int length) {
+    int at = begin(out, GET_BODY_CHUNK);
+    out.writeShort(length);
+    finish(out, at);
+  }
+
+  static void cpong(ByteBuf out) {
+    finish(out, begin(out, CPONG));
+  }
 }
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -14,240 +14,246 @@
 import mothwing.net.Reason;
 import mothwing.net.Reply;
 
-/** One connection of a gateway that speaks AJP/1.3: one request at a time, and a close is its caller leaving. */
+/**
+ * One connection of a gateway that speaks AJP/1.3: one request at a time, and a close is its caller
+ * leaving.
+ */
 public final class AjpConnection extends Connection {
-    private static final byte[] NOTHING = new byte[0];
-    private static final long UNTOLD = -1;
+  private static final byte[] NOTHING = new byte[0];
+  private static final long UNTOLD = -1;
 
-    private final Broker broker;
-    private Asked open;
+  private final Broker broker;
+  private Asked open;
 
-    /**
-     * Makes the state of a new connection.
-     *
-     * @param broker takes the requests
-     * @param log takes its line
-     * @param counters counts what happens
-     */
-    public AjpConnection(Broker broker, Log log, Counters counters) {
-        super("ajp", Ajp.MOST_PACKET, log, counters);
-        this.broker = broker;
-    }
-
-    /** The request that is open: its body is still to come, or its answer. */
-    private final class Asked extends Reply {
-        private final Arrival.Fields fields = new Arrival.Fields();
-        private final long begunAt = now();
-        private String path;
-        private String query = "";
-        private long length = UNTOLD;
-        private boolean chunked;
-        private boolean reading = true;
-        private byte[] body = NOTHING;
-
-        Asked() {
-            super(broker);
-        }
+  /**
+   * Makes the state of a new connection.
+   *
+   * @param broker takes the requests
+   * @param log takes its line
+   * @param counters counts what happens
+   */
+  public AjpConnection(Broker broker, Log log, Counters counters) {
+    super("ajp", Ajp.MOST_PACKET, log, counters);
+    this.broker = broker;
+  }
 
-        @Override
-        protected void rejected(String code) {
-            count("rejected-" + code);
-        }
+  /** The request that is open: its body is still to come, or its answer. */
+  private final class Asked extends Reply {
+    private final Arrival.Fields fields = new Arrival.Fields();
+    private final long begunAt = now();
+    private String path;
+    private String query = "";
+    private long length = UNTOLD;
+    private boolean chunked;
+    private boolean reading = true;
+    private byte[] body = NOTHING;
 
-        @Override
-        protected void write(int status, List<String[]> answer, byte[] content) {
-            if (open != this) {
-                return;
-            }
-            open = null;
-            boolean reuse = !broker.draining();
-            ByteBuf out = room(512 + content.length);
-            Ajp.sendHeaders(out, status, Headers.phrase(status), answer);
-            Ajp.sendBody(out, content);
-            Ajp.endResponse(out, reuse);
-            count("answered-" + status);
-            send(out);
-            if (!reuse) {
-                close(Reason.DRAIN, "");
-            }
-        }
+    Asked() {
+      super(broker);
+    }
 
-        void header(String name, String value) throws Malformed {
-            switch (name.toLowerCase(Locale.ROOT)) {
-                case "content-length" -> length = length(value);
-                case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).contains("chunked");
-                default -> fields.set(name, value);
-            }
-        }
+    @Override
+    protected void rejected(String code) {
+      count("rejected-" + code);
+    }
 
-        private static long length(String value) throws Malformed {
-            try {
-                long length = Long.parseLong(value);
-                if (length >= 0) {
-                    return length;
-                }
-            } catch (NumberFormatException notOne) {
-                // falls through to the complaint
-            }
-            throw new Malformed(Reason.MALFORMED, "content-length");
-        }
+    @Override
+    protected void write(int status, List<String[]> answer, byte[] content) {
+      if (open != this) {
+        return;
+      }
+      open = null;
+      boolean reuse = !broker.draining();
+      ByteBuf out = room(512 + content.length);
+      Ajp.sendHeaders(out, status, Headers.phrase(status), answer);
+      Ajp.sendBody(out, content);
+      Ajp.endResponse(out, reuse);
+      count("answered-" + status);
+      send(out);
+      if (!reuse) {
+        close(Reason.DRAIN, "");
+      }
+    }
 
-        /** Takes a chunk of the body; an empty one is the last. Nothing more is asked for than a body may hold. */
-        void chunk(byte[] more) {
-            int before = body.length;
-            int room = Arrival.MOST_BODY + 1 - before; // one byte over shows that the body is too large
-            int taken = Math.min(room, more.length);
-            body = Arrays.copyOf(body, before + taken);
-            System.arraycopy(more, 0, body, before, taken);
-            if (body.length > Arrival.MOST_BODY || length > Arrival.MOST_BODY) {
-                reading = false;
-                reject("oversized-body");
-            } else if (more.length == 0 && length > body.length) {
-                reading = false;
-                reject("body-cut-short");
-            } else if (more.length == 0 || length == body.length) {
-                ready();
-            } else {
-                ask();
-            }
-        }
+    void header(String name, String value) throws Malformed {
+      switch (name.toLowerCase(Locale.ROOT)) {
+        case "content-length" -> length = length(value);
+        case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).contains("chunked");
+        default -> fields.set(name, value);
+      }
+    }
 
-        void ask() {
-            ByteBuf out = room(Ajp.HEAD + 3);
-            long wanted = length == UNTOLD ? Arrival.MOST_BODY + 1 - body.length : length - body.length;
-            Ajp.getBodyChunk(out, (int) wanted);
-            send(out);
+    private static long length(String value) throws Malformed {
+      try {
+        long length = Long.parseLong(value);
+        if (length >= 0) {
+          return length;
         }
+      } catch (NumberFormatException notOne) {
+        // falls through to the complaint
+      }
+      throw new Malformed(Reason.MALFORMED, "content-length");
+    }
 
-        void ready() {
-            reading = false;
-            count("requests");
-            introduce();
-            whole(path, query, fields, body);
-        }
+    /**
+     * Takes a chunk of the body; an empty one is the last. Nothing more is asked for than a body
+     * may hold.
+     */
+    void chunk(byte[] more) {
+      int before = body.length;
+      int room = Arrival.MOST_BODY + 1 - before; // one byte over shows that the body is too large
+      int taken = Math.min(room, more.length);
+      body = Arrays.copyOf(body, before + taken);
+      System.arraycopy(more, 0, body, before, taken);
+      if (body.length > Arrival.MOST_BODY || length > Arrival.MOST_BODY) {
+        reading = false;
+        reject("oversized-body");
+      } else if (more.length == 0 && length > body.length) {
+        reading = false;
+        reject("body-cut-short");
+      } else if (more.length == 0 || length == body.length) {
+        ready();
+      } else {
+        ask();
+      }
     }
 
-    @Override
-    public boolean idle() {
-        return open == null;
+    void ask() {
+      ByteBuf out = room(Ajp.HEAD + 3);
+      long wanted = length == UNTOLD ? Arrival.MOST_BODY + 1 - body.length : length - body.length;
+      Ajp.getBodyChunk(out, (int) wanted);
+      send(out);
     }
 
-    @Override
-    protected long halfReadSince() {
-        return open != null && open.reading ? open.begunAt : NEVER;
+    void ready() {
+      reading = false;
+      count("requests");
+      introduce();
+      whole(path, query, fields, body);
     }
+  }
 
-    @Override
-    protected boolean take(ByteBuf in) throws Malformed {
-        if (in.readableBytes() < Ajp.HEAD) {
-            return false;
-        }
-        int at = in.readerIndex();
-        if (in.getUnsignedShort(at) != Ajp.TO_CONTAINER) {
-            throw new Malformed(Reason.MALFORMED, "not the mark of a packet");
-        }
-        int length = in.getUnsignedShort(at + Short.BYTES);
-        if (length > Ajp.MOST_PACKET - Ajp.HEAD) {
-            throw new Malformed(Reason.OVERSIZED, "a packet of " + length + " bytes");
-        }
-        if (in.readableBytes() < Ajp.HEAD + length) {
-            return false;
-        }
-        packet(in.slice(at + Ajp.HEAD, length));
-        in.skipBytes(Ajp.HEAD + length);
-        return true;
-    }
-
-    private void packet(ByteBuf in) throws Malformed {
-        if (open != null) {
-            if (!open.reading) {
-                throw new Malformed(Reason.TOO_MANY_OPEN, "a packet before the answer");
-            }
-            open.chunk(bodyChunk(in));
-            return;
-        }
-        Ajp.need(in, 1);
-        int code = in.readUnsignedByte();
-        switch (code) {
-            case Ajp.CPING -> {
-                count("cpings");
-                introduce();
-                ByteBuf out = room(Ajp.HEAD + 1);
-                Ajp.cpong(out);
-                send(out);
-            }
-            case Ajp.FORWARD_REQUEST -> forward(in);
-            default -> throw new Malformed(Reason.MALFORMED, "packet of code " + code);
-        }
+  @Override
+  public boolean idle() {
+    return open == null;
+  }
+
+  @Override
+  protected long halfReadSince() {
+    return open != null && open.reading ? open.begunAt : NEVER;
+  }
+
+  @Override
+  protected boolean take(ByteBuf in) throws Malformed {
+    if (in.readableBytes() < Ajp.HEAD) {
+      return false;
+    }
+    int at = in.readerIndex();
+    if (in.getUnsignedShort(at) != Ajp.TO_CONTAINER) {
+      throw new Malformed(Reason.MALFORMED, "not the mark of a packet");
     }
+    int length = in.getUnsignedShort(at + Short.BYTES);
+    if (length > Ajp.MOST_PACKET - Ajp.HEAD) {
+      throw new Malformed(Reason.OVERSIZED, "a packet of " + length + " bytes");
+    }
+    if (in.readableBytes() < Ajp.HEAD + length) {
+      return false;
+    }
+    packet(in.slice(at + Ajp.HEAD, length));
+    in.skipBytes(Ajp.HEAD + length);
+    return true;
+  }
 
-    private static byte[] bodyChunk(ByteBuf in) throws Malformed {
-        if (!in.isReadable()) {
-            return NOTHING; // the end of the body
-        }
-        Ajp.need(in, Short.BYTES);
-        int length = in.readUnsignedShort();
-        Ajp.need(in, length);
-        byte[] chunk = new byte[length];
-        in.readBytes(chunk);
-        return chunk;
-    }
-
-    private void forward(ByteBuf in) throws Malformed {
-        Asked asked = new Asked();
-        Ajp.need(in, 1);
-        in.skipBytes(1); // the method: any may be used
-        Ajp.string(in); // protocol
-        asked.path = Ajp.string(in);
-        for (int i = 0; i < 3; i++) {
-            Ajp.string(in); // remote address, remote host, server name
-        }
-        Ajp.need(in, Short.BYTES + 1 + Short.BYTES);
-        in.skipBytes(Short.BYTES + 1); // port, whether by TLS
-        int headers = in.readUnsignedShort();
-        for (int i = 0; i < headers; i++) {
-            asked.header(Ajp.headerName(in), Ajp.string(in));
-        }
-        attributes(in, asked);
-        open = asked;
-        if (asked.chunked && asked.length == UNTOLD) {
-            asked.ask();
-        } else if (asked.length <= 0) {
-            asked.ready(); // no body; else its first chunk comes unasked
-        }
+  private void packet(ByteBuf in) throws Malformed {
+    if (open != null) {
+      if (!open.reading) {
+        throw new Malformed(Reason.TOO_MANY_OPEN, "a packet before the answer");
+      }
+      open.chunk(bodyChunk(in));
+      return;
+    }
+    Ajp.need(in, 1);
+    int code = in.readUnsignedByte();
+    switch (code) {
+      case Ajp.CPING -> {
+        count("cpings");
+        introduce();
+        ByteBuf out = room(Ajp.HEAD + 1);
+        Ajp.cpong(out);
+        send(out);
+      }
+      case Ajp.FORWARD_REQUEST -> forward(in);
+      default -> throw new Malformed(Reason.MALFORMED, "packet of code " + code);
     }
+  }
 
-    private static void attributes(ByteBuf in, Asked asked) throws Malformed {
-        while (true) {
-            Ajp.need(in, 1);
-            int code = in.readUnsignedByte();
-            if (code == Ajp.NO_MORE) {
-                return;
-            }
-            if (code < Ajp.CONTEXT || code > Ajp.STORED_METHOD) {
-                throw new Malformed(Reason.MALFORMED, "attribute of code " + code);
-            }
-            if (code == Ajp.SSL_KEY_SIZE) {
-                Ajp.need(in, Short.BYTES);
-                in.skipBytes(Short.BYTES);
-                continue;
-            }
-            if (code == Ajp.REQUEST_ATTRIBUTE) {
-                Ajp.string(in); // its name
-            }
-            String value = Ajp.string(in);
-            if (code == Ajp.QUERY_STRING) {
-                asked.query = value;
-            }
-        }
+  private static byte[] bodyChunk(ByteBuf in) throws Malformed {
+    if (!in.isReadable()) {
+      return NOTHING; // the end of the body
     }
+    Ajp.need(in, Short.BYTES);
+    int length = in.readUnsignedShort();
+    Ajp.need(in, length);
+    byte[] chunk = new byte[length];
+    in.readBytes(chunk);
+    return chunk;
+  }
 
-    @Override
-    protected void ended() {
-        Asked left = open;
-        open = null;
-        if (left != null) {
-            left.leave();
-        }
+  private void forward(ByteBuf in) throws Malformed {
+    Asked asked = new Asked();
+    Ajp.need(in, 1);
+    in.skipBytes(1); // the method: any may be used
+    Ajp.string(in); // protocol
+    asked.path = Ajp.string(in);
+    for (int i = 0; i < 3; i++) {
+      Ajp.string(in); // remote address, remote host, server name
+    }
+    Ajp.need(in, Short.BYTES + 1 + Short.BYTES);
+    in.skipBytes(Short.BYTES + 1); // port, whether by TLS
+    int headers = in.readUnsignedShort();
+    for (int i = 0; i < headers; i++) {
+      asked.header(Ajp.headerName(in), Ajp.string(in));
+    }
+    attributes(in, asked);
+    open = asked;
+    if (asked.chunked && asked.length == UNTOLD) {
+      asked.ask();
+    } else if (asked.length <= 0) {
+      asked.ready(); // no body; else its first chunk comes unasked
+    }
+  }
+
+  private static void attributes(ByteBuf in, Asked asked) throws Malformed {
+    while (true) {
+      Ajp.need(in, 1);
+      int code = in.readUnsignedByte();
+      if (code == Ajp.NO_MORE) {
+        return;
+      }
+      if (code < Ajp.CONTEXT || code > Ajp.STORED_METHOD) {
+        throw new Malformed(Reason.MALFORMED, "attribute of code " + code);
+      }
+      if (code == Ajp.SSL_KEY_SIZE) {
+        Ajp.need(in, Short.BYTES);
+        in.skipBytes(Short.BYTES);
+        continue;
+      }
+      if (code == Ajp.REQUEST_ATTRIBUTE) {
+        Ajp.string(in); // its name
+      }
+      String value = Ajp.string(in);
+      if (code == Ajp.QUERY_STRING) {
+        asked.query = value;
+      }
+    }
+  }
+
+  @Override
+  protected void ended() {
+    Asked left = open;
+    open = null;
+    if (left != null) {
+      left.leave();
     }
+  }
 }
--- a/src/main/java/mothwing/broker/Arrival.java
+++ b/src/main/java/mothwing/broker/Arrival.java
@@ -14,112 +14,136 @@
  * @param rank its rank, from 0 to under 1
  * @param subject what a read is about, or null
  * @param idempotencyKey what all tries of a guarded request have in common, or null
- * @param waitMs how long its caller waits from when it came to the machine, in milliseconds, or {@link #NOT_TOLD}
+ * @param waitMs how long its caller waits from when it came to the machine, in milliseconds, or
+ *     {@link #NOT_TOLD}
  * @param body the body as it came
  */
-public record Arrival(String id, long acceptedAtMs, String tenant, String kind, double reserveKb,
-        double rank, String subject, String idempotencyKey, long waitMs, byte[] body) {
-    /** Where a request does not tell how long its caller waits. */
-    public static final long NOT_TOLD = -1;
-    /** Most characters of an idempotency key. */
-    public static final int MOST_KEY = 128;
-    /** Most bytes of a body. */
-    public static final int MOST_BODY = 2048;
-    /** What stands before the name of a class in the path. */
-    public static final String PATH = "/call/";
+public record Arrival(
+    String id,
+    long acceptedAtMs,
+    String tenant,
+    String kind,
+    double reserveKb,
+    double rank,
+    String subject,
+    String idempotencyKey,
+    long waitMs,
+    byte[] body) {
+  /** Where a request does not tell how long its caller waits. */
+  public static final long NOT_TOLD = -1;
 
-    private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
-    private static final Pattern WHOLE = Pattern.compile("[0-9]{1,15}");
-    // Not all that Java takes for a number: it would also read 12f, 0x1p3 and words for what is none.
-    private static final Pattern NUMBER = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?");
-    private static final double MOST_RESERVE = 2000;
+  /** Most characters of an idempotency key. */
+  public static final int MOST_KEY = 128;
 
-    /** A request whose fields cannot be understood; the message is its reason code. */
-    public static final class Bad extends Exception {
-        private static final long serialVersionUID = 1L;
+  /** Most bytes of a body. */
+  public static final int MOST_BODY = 2048;
 
-        Bad(String code) {
-            super(code, null, false, false);
-        }
+  /** What stands before the name of a class in the path. */
+  public static final String PATH = "/call/";
+
+  private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
+  private static final Pattern WHOLE = Pattern.compile("[0-9]{1,15}");
+  // Not all that Java takes for a number: it would also read 12f, 0x1p3 and words for what is none.
+  private static final Pattern NUMBER =
+      Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?");
+  private static final double MOST_RESERVE = 2000;
+
+  /** A request whose fields cannot be understood; the message is its reason code. */
+  public static final class Bad extends Exception {
+    private static final long serialVersionUID = 1L;
+
+    Bad(String code) {
+      super(code, null, false, false);
     }
+  }
 
-    /** Takes fields by name as a front meets them; names it does not know are passed over. */
-    public static final class Fields {
-        private String id = "";
-        private String accepted = "";
-        private String caller = "0";
-        private String tenant = "";
-        private String reserve = "";
-        private String rank = "";
-        private String subject;
-        private String idempotencyKey;
-        private String wait;
+  /** Takes fields by name as a front meets them; names it does not know are passed over. */
+  public static final class Fields {
+    private String id = "";
+    private String accepted = "";
+    private String caller = "0";
+    private String tenant = "";
+    private String reserve = "";
+    private String rank = "";
+    private String subject;
+    private String idempotencyKey;
+    private String wait;
 
-        /**
-         * Takes one field.
-         *
-         * @param name its name as in the protocol's table, in any case
-         * @param value its text
-         */
-        public void set(String name, String value) {
-            switch (name.toLowerCase(Locale.ROOT)) {
-                case "trace-id" -> id = value;
-                case "accepted-at-ms" -> accepted = value;
-                case "client-no" -> caller = value;
-                case "project" -> tenant = value;
-                case "reserve-kb" -> reserve = value;
-                case "standing" -> rank = value;
-                case "lookup-key" -> subject = value;
-                case "replay-key" -> idempotencyKey = value;
-                case "max-wait-ms" -> wait = value;
-                default -> { }
-            }
-        }
+    /**
+     * Takes one field.
+     *
+     * @param name its name as in the protocol's table, in any case
+     * @param value its text
+     */
+    public void set(String name, String value) {
+      switch (name.toLowerCase(Locale.ROOT)) {
+        case "trace-id" -> id = value;
+        case "accepted-at-ms" -> accepted = value;
+        case "client-no" -> caller = value;
+        case "project" -> tenant = value;
+        case "reserve-kb" -> reserve = value;
+        case "standing" -> rank = value;
+        case "lookup-key" -> subject = value;
+        case "replay-key" -> idempotencyKey = value;
+        case "max-wait-ms" -> wait = value;
+        default -> {}
+      }
+    }
 
-        /**
-         * Makes the request of what was taken.
-         *
-         * @param path the path it was sent to, {@code /call/CLASS}
-         * @param body its body
-         * @return the request
-         * @throws Bad where a field is missing or makes no sense
-         */
-        public Arrival at(String path, byte[] body) throws Bad {
-            if (!path.startsWith(PATH)) {
-                throw new Bad("bad-path");
-            }
-            if (!ID.matcher(id).matches()) {
-                throw new Bad("bad-trace-id");
-            }
-            if (!WHOLE.matcher(accepted).matches()) {
-                throw new Bad("bad-accepted-at-ms");
-            }
-            if (!WHOLE.matcher(caller).matches()) {
-                throw new Bad("bad-client-no");
-            }
-            double kb = number(reserve, "bad-reserve-kb");
-            double standing = number(rank, "bad-standing");
-            if (!(kb > 0 && kb < MOST_RESERVE)) {
-                throw new Bad("bad-reserve-kb");
-            }
-            if (!(standing < 1)) {
-                throw new Bad("bad-standing");
-            }
-            if (idempotencyKey != null && (idempotencyKey.isEmpty() || idempotencyKey.length() > MOST_KEY)) {
-                throw new Bad("bad-replay-key");
-            }
-            if (wait != null && !WHOLE.matcher(wait).matches()) {
-                throw new Bad("bad-max-wait-ms");
-            }
-            return new Arrival(id, Long.parseLong(accepted), tenant, path.substring(PATH.length()), kb,
-                    standing, subject, idempotencyKey, wait == null ? NOT_TOLD : Long.parseLong(wait), body);
-        }
+    /**
+     * Makes the request of what was taken.
+     *
+     * @param path the path it was sent to, {@code /call/CLASS}
+     * @param body its body
+     * @return the request
+     * @throws Bad where a field is missing or makes no sense
+     */
+    public Arrival at(String path, byte[] body) throws Bad {
+      if (!path.startsWith(PATH)) {
+        throw new Bad("bad-path");
+      }
+      if (!ID.matcher(id).matches()) {
+        throw new Bad("bad-trace-id");
+      }
+      if (!WHOLE.matcher(accepted).matches()) {
+        throw new Bad("bad-accepted-at-ms");
+      }
+      if (!WHOLE.matcher(caller).matches()) {
+        throw new Bad("bad-client-no");
+      }
+      double kb = number(reserve, "bad-reserve-kb");
+      double standing = number(rank, "bad-standing");
+      if (!(kb > 0 && kb < MOST_RESERVE)) {
+        throw new Bad("bad-reserve-kb");
+      }
+      if (!(standing < 1)) {
+        throw new Bad("bad-standing");
+      }
+      if (idempotencyKey != null
+          && (idempotencyKey.isEmpty() || idempotencyKey.length() > MOST_KEY)) {
+        throw new Bad("bad-replay-key");
+      }
+      if (wait != null && !WHOLE.matcher(wait).matches()) {
+        throw new Bad("bad-max-wait-ms");
+      }
+      return new Arrival(
+          id,
+          Long.parseLong(accepted),
+          tenant,
+          path.substring(PATH.length()),
+          kb,
+          standing,
+          subject,
+          idempotencyKey,
+          wait == null ? NOT_TOLD : Long.parseLong(wait),
+          body);
+    }
 
-        private static double number(String text, String code) throws Bad {
-            if (!NUMBER.matcher(text).matches()) {
-                throw new Bad(code);
-            }
-            return Double.parseDouble(text);
-        }
+    private static double number(String text, String code) throws Bad {
+      if (!NUMBER.matcher(text).matches()) {
+        throw new Bad(code);
+      }
+      return Double.parseDouble(text);
     }
+  }
 }
--- a/src/main/java/mothwing/broker/Figures.java
+++ b/src/main/java/mothwing/broker/Figures.java
@@ -6,59 +6,65 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What operators are told of requests, by class since the process began. It is counted where an exchange comes to
- * its one end, and where a run is first handed to the pool. A class that the settings no longer name keeps its counts.
+ * What operators are told of requests, by class since the process began. It is counted where an
+ * exchange comes to its one end, and where a run is first handed to the pool. A class that the
+ * settings no longer name keeps its counts.
  */
 public final class Figures {
-    /** Most classes counted apart; those beyond are counted under {@link #OTHERS}. */
-    static final int MOST_CLASSES = 256;
-    /** Stands for all classes beyond the bound. */
-    static final String OTHERS = "others";
+  /** Most classes counted apart; those beyond are counted under {@link #OTHERS}. */
+  static final int MOST_CLASSES = 256;
 
-    /** How an exchange ended, in the words of the figures. */
-    enum End { COMPLETED, REJECTED, FAILED }
+  /** Stands for all classes beyond the bound. */
+  static final String OTHERS = "others";
 
-    private static final class Row {
-        private final long[] ends = new long[End.values().length];
-        private long runs;
-    }
+  /** How an exchange ended, in the words of the figures. */
+  enum End {
+    COMPLETED,
+    REJECTED,
+    FAILED
+  }
 
-    private final Map<String, Row> rows = new LinkedHashMap<>();
+  private static final class Row {
+    private final long[] ends = new long[End.values().length];
+    private long runs;
+  }
 
-    private Row row(String kind) {
-        Row row = rows.get(kind);
-        if (row != null) {
-            return row;
-        }
-        return rows.computeIfAbsent(rows.size() < MOST_CLASSES ? kind : OTHERS, name -> new Row());
-    }
+  private final Map<String, Row> rows = new LinkedHashMap<>();
 
-    /** A class is known from now on, with counts of 0 where it is new. */
-    void know(String kind) {
-        row(kind);
+  private Row row(String kind) {
+    Row row = rows.get(kind);
+    if (row != null) {
+      return row;
     }
+    return rows.computeIfAbsent(rows.size() < MOST_CLASSES ? kind : OTHERS, name -> new Row());
+  }
 
-    void ended(String kind, End end) {
-        row(kind).ends[end.ordinal()]++;
-    }
+  /** A class is known from now on, with counts of 0 where it is new. */
+  void know(String kind) {
+    row(kind);
+  }
 
-    void handedOver(String kind) {
-        row(kind).runs++;
-    }
+  void ended(String kind, End end) {
+    row(kind).ends[end.ordinal()]++;
+  }
 
-    /** All counts by name and class, in the order in which the classes came. */
-    Map<String, Object> all() {
-        Map<String, Object> all = new LinkedHashMap<>();
-        for (End end : End.values()) {
-            all.put(end.name().toLowerCase(Locale.ROOT), byClass(row -> row.ends[end.ordinal()]));
-        }
-        all.put("upstream_requests", byClass(row -> row.runs));
-        return all;
-    }
+  void handedOver(String kind) {
+    row(kind).runs++;
+  }
 
-    private Map<String, Long> byClass(ToLongFunction<Row> count) {
-        Map<String, Long> counts = new LinkedHashMap<>();
-        rows.forEach((kind, row) -> counts.put(kind, count.applyAsLong(row)));
-        return counts;
+  /** All counts by name and class, in the order in which the classes came. */
+  Map<String, Object> all() {
+    Map<String, Object> all = new LinkedHashMap<>();
+    for (End end : End.values()) {
+      all.put(end.name().toLowerCase(Locale.ROOT), byClass(row -> row.ends[end.ordinal()]));
     }
+    all.put("upstream_requests", byClass(row -> row.runs));
+    return all;
+  }
+
+  private Map<String, Long> byClass(ToLongFunction<Row> count) {
+    Map<String, Long> counts = new LinkedHashMap<>();
+    rows.forEach((kind, row) -> counts.put(kind, count.applyAsLong(row)));
+    return counts;
+  }
 }
--- a/src/main/java/mothwing/broker/Log.java
+++ b/src/main/java/mothwing/broker/Log.java
@@ -3,10 +3,10 @@
 /** Takes one line of the log: a code, then words of the form {@code name=value}. */
 @FunctionalInterface
 public interface Log {
-    /**
-     * Writes a line.
-     *
-     * @param line its text
-     */
-    void line(String line);
+  /**
+   * Writes a line.
+   *
+   * @param line its text
+   */
+  void line(String line);
 }
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -7,11 +7,12 @@
 import mothwing.OverloadControl.Halting;
 
 /**
- * Finds out what became of runs whose last command, or whose end, may have been lost with a link to the worker pool.
+ * Finds out what became of runs whose last command, or whose end, may have been lost with a link to
+ * the worker pool.
  *
- * <p>Invariant: a run is over only once the pool has said so. The absence of a word proves nothing: cores that hang stop no run
- * and say nothing of it, while the pool itself goes on answering. Until the pool's word a run keeps its place in the
- * controller's book, however many links come and go.
+ * <p>Invariant: a run is over only once the pool has said so. The absence of a word proves nothing:
+ * cores that hang stop no run and say nothing of it, while the pool itself goes on answering. Until
+ * the pool's word a run keeps its place in the controller's book, however many links come and go.
  *
  * <p>What the pool is asked:
  *
@@ -29,248 +30,284 @@
  * <p>Thread: the event loop's. It holds no request of its own.
  */
 final class RunReconciler {
-    /** What the broker does for it. */
-    interface Actions {
-        /** Hands a run to the pool again. */
-        void startAgain(Exchange run);
+  /** What the broker does for it. */
+  interface Actions {
+    /** Hands a run to the pool again. */
+    void startAgain(Exchange run);
 
-        /** Sends a call's result, or its absence, that no link has carried yet. */
-        void deliverCallResult(Exchange run);
+    /** Sends a call's result, or its absence, that no link has carried yet. */
+    void deliverCallResult(Exchange run);
 
-        /** Stops a run for good. */
-        void halt(Exchange run);
+    /** Stops a run for good. */
+    void halt(Exchange run);
 
-        /** Gives a run up that the pool shows no trace of. */
-        void giveUp(Exchange run);
-    }
+    /** Gives a run up that the pool shows no trace of. */
+    void giveUp(Exchange run);
+  }
 
-    /** The echo of the poll behind all that was asked in doubt. */
-    private static final String BEHIND_DOUBTS = "resolve";
-    /** The echo of a poll that looks whether anything is on the cores. */
-    private static final String IDLE_LOOK = "idle";
-    /** The echoes of {@link #nextPoll}, as a pool may say anything. */
-    private static final Pattern NUMBERED = Pattern.compile("t[0-9]{1,18}");
+  /** The echo of the poll behind all that was asked in doubt. */
+  private static final String BEHIND_DOUBTS = "resolve";
 
-    private static final long MILLI = 1000;
-    /** Microseconds after which a question without an answer is asked again: ten round trips of a busy machine. */
-    private static final long ASK_AGAIN = 300 * MILLI;
-    /** Microseconds after which a stop without effect is said again: cores that hung may work again. */
-    static final long STOP_AGAIN = 500 * MILLI;
-    /** Microseconds past its due time after which a stopped run's end counts as lost. */
-    private static final long END_LOST = 10_000 * MILLI;
-    /** Microseconds between looks at the cores for runs whose end is lost. */
-    private static final long LOOK = 100 * MILLI;
-    /** Answers in a row by which nothing is on the cores that prove it: a run may wait for a disk at one of them. */
-    private static final int IDLE_LOOKS = 3;
-    /** Microseconds between further questions about a run whose end is lost. */
-    private static final long PROBE_AGAIN = 1000 * MILLI;
+  /** The echo of a poll that looks whether anything is on the cores. */
+  private static final String IDLE_LOOK = "idle";
 
-    private final Map<String, Exchange> open;
-    private final Workers workers;
-    private final Counters counters;
-    private final Log log;
-    private final Supplier<Halting> halting;
-    private final Actions actions;
-    private long polls;
-    private long answeredPolls;
-    private boolean asking;
-    private long askedAt;
-    private long askedBehind; // polls that were sent before the question
-    private long lookedAt;
-    private int idleLooks;
-    private int lostRuns;
+  /** The echoes of {@link #nextPoll}, as a pool may say anything. */
+  private static final Pattern NUMBERED = Pattern.compile("t[0-9]{1,18}");
 
-    /**
-     * Makes one.
-     *
-     * @param open all open exchanges, the broker's own table
-     * @param workers the pool
-     * @param counters counts what is asked
-     * @param log takes a line for each change
-     * @param halting what the pool does to stopped runs, now
-     * @param actions carried out by the broker
-     */
-    RunReconciler(Map<String, Exchange> open, Workers workers, Counters counters, Log log, Supplier<Halting> halting,
-            Actions actions) {
-        this.open = open;
-        this.workers = workers;
-        this.counters = counters;
-        this.log = log;
-        this.halting = halting;
-        this.actions = actions;
-    }
+  private static final long MILLI = 1000;
 
-    /** How many polls have been sent: commands are in doubt until a later one is answered. */
-    long polls() {
-        return polls;
-    }
+  /**
+   * Microseconds after which a question without an answer is asked again: ten round trips of a busy
+   * machine.
+   */
+  private static final long ASK_AGAIN = 300 * MILLI;
 
-    /** The echo of a further poll. */
-    String nextPoll() {
-        return "t" + ++polls;
-    }
+  /**
+   * Microseconds after which a stop without effect is said again: cores that hung may work again.
+   */
+  static final long STOP_AGAIN = 500 * MILLI;
 
-    /**
-     * All missed notices have been read on a new link. What was said since the last poll that was answered may have been lost
-     * with the one before.
-     */
-    void caughtUp(long now) {
-        int inDoubt = 0;
-        for (Exchange run : open.values()) {
-            inDoubt += reconcile(run) ? 1 : 0;
-        }
-        log.line("pool-caught-up in_pool=" + open.values().stream().filter(Exchange::inPool).count() + " in_doubt=" + inDoubt);
-        if (inDoubt > 0) {
-            ask(now);
-        }
-    }
+  /** Microseconds past its due time after which a stopped run's end counts as lost. */
+  private static final long END_LOST = 10_000 * MILLI;
 
-    /** Says again to the pool what it may not have heard of a run. Says whether its word has to be waited for. */
-    private boolean reconcile(Exchange run) {
-        boolean mayBeLost = run.pollsBefore() >= answeredPolls;
-        if (run.inPool() && run.stopping()) {
-            return doubt(run);
-        } else if (run.unsent()) {
-            actions.deliverCallResult(run);
-        } else if (run.asked() != null) {
-            counters.add("relinked-at-call"); // nothing was said since it told of the call
-        } else if (run.supplied() && mayBeLost) {
-            if (run.repeatable() && halting.get() == Halting.ABORT) {
-                actions.halt(run); // the result is not said again: the run may stand at its next call by now
-            }
-        } else if (run.inPool() && run.state() == Exchange.State.RUNNING && mayBeLost) {
-            return reconcileRunning(run);
-        } else if (run.inPool() && !run.owed() && mayBeLost) {
-            return doubt(run); // runs cannot be stopped here, and its start may have been lost
-        }
-        return false;
-    }
+  /** Microseconds between looks at the cores for runs whose end is lost. */
+  private static final long LOOK = 100 * MILLI;
 
-    private boolean reconcileRunning(Exchange run) {
-        if (run.begun()) {
-            run.resumed(polls);
-            workers.proceed(run.arrival().id());
-        } else if (run.repeatable() || !run.handedOver()) {
-            actions.startAgain(run);
-        } else if (halting.get() == Halting.SUSPEND) {
-            return doubt(run);
-        } // else a stop would throw its work away: it waits for its end, or its due time
-        return false;
-    }
+  /**
+   * Answers in a row by which nothing is on the cores that prove it: a run may wait for a disk at
+   * one of them.
+   */
+  private static final int IDLE_LOOKS = 3;
+
+  /** Microseconds between further questions about a run whose end is lost. */
+  private static final long PROBE_AGAIN = 1000 * MILLI;
+
+  private final Map<String, Exchange> open;
+  private final Workers workers;
+  private final Counters counters;
+  private final Log log;
+  private final Supplier<Halting> halting;
+  private final Actions actions;
+  private long polls;
+  private long answeredPolls;
+  private boolean asking;
+  private long askedAt;
+  private long askedBehind; // polls that were sent before the question
+  private long lookedAt;
+  private int idleLooks;
+  private int lostRuns;
+
+  /**
+   * Makes one.
+   *
+   * @param open all open exchanges, the broker's own table
+   * @param workers the pool
+   * @param counters counts what is asked
+   * @param log takes a line for each change
+   * @param halting what the pool does to stopped runs, now
+   * @param actions carried out by the broker
+   */
+  RunReconciler(
+      Map<String, Exchange> open,
+      Workers workers,
+      Counters counters,
+      Log log,
+      Supplier<Halting> halting,
+      Actions actions) {
+    this.open = open;
+    this.workers = workers;
+    this.counters = counters;
+    this.log = log;
+    this.halting = halting;
+    this.actions = actions;
+  }
+
+  /** How many polls have been sent: commands are in doubt until a later one is answered. */
+  long polls() {
+    return polls;
+  }
 
-    private boolean doubt(Exchange run) {
-        run.doubt(true);
-        if (halting.get() != Halting.NONE) {
-            workers.suspend(run.arrival().id());
-        }
-        return true;
+  /** The echo of a further poll. */
+  String nextPoll() {
+    return "t" + ++polls;
+  }
+
+  /**
+   * All missed notices have been read on a new link. What was said since the last poll that was
+   * answered may have been lost with the one before.
+   */
+  void caughtUp(long now) {
+    int inDoubt = 0;
+    for (Exchange run : open.values()) {
+      inDoubt += reconcile(run) ? 1 : 0;
+    }
+    log.line(
+        "pool-caught-up in_pool="
+            + open.values().stream().filter(Exchange::inPool).count()
+            + " in_doubt="
+            + inDoubt);
+    if (inDoubt > 0) {
+      ask(now);
     }
+  }
 
-    private void ask(long now) {
-        asking = true;
-        askedAt = now;
-        askedBehind = polls;
-        workers.poll(BEHIND_DOUBTS);
+  /**
+   * Says again to the pool what it may not have heard of a run. Says whether its word has to be
+   * waited for.
+   */
+  private boolean reconcile(Exchange run) {
+    boolean mayBeLost = run.pollsBefore() >= answeredPolls;
+    if (run.inPool() && run.stopping()) {
+      return doubt(run);
+    } else if (run.unsent()) {
+      actions.deliverCallResult(run);
+    } else if (run.asked() != null) {
+      counters.add("relinked-at-call"); // nothing was said since it told of the call
+    } else if (run.supplied() && mayBeLost) {
+      if (run.repeatable() && halting.get() == Halting.ABORT) {
+        actions.halt(
+            run); // the result is not said again: the run may stand at its next call by now
+      }
+    } else if (run.inPool() && run.state() == Exchange.State.RUNNING && mayBeLost) {
+      return reconcileRunning(run);
+    } else if (run.inPool() && !run.owed() && mayBeLost) {
+      return doubt(run); // runs cannot be stopped here, and its start may have been lost
     }
+    return false;
+  }
+
+  private boolean reconcileRunning(Exchange run) {
+    if (run.begun()) {
+      run.resumed(polls);
+      workers.proceed(run.arrival().id());
+    } else if (run.repeatable() || !run.handedOver()) {
+      actions.startAgain(run);
+    } else if (halting.get() == Halting.SUSPEND) {
+      return doubt(run);
+    } // else a stop would throw its work away: it waits for its end, or its due time
+    return false;
+  }
 
-    /**
-     * The pool has answered a poll: it has read all that was said before it.
-     *
-     * @param echo the word that was sent along
-     * @param runnable what wants a core, or -1 where no gauge tells
-     */
-    void answered(String echo, double runnable) {
-        if (echo.equals(IDLE_LOOK)) {
-            idleLooks = runnable == 0 ? idleLooks + 1 : 0;
-            return;
-        }
-        long number = number(echo);
-        answeredPolls = Math.max(answeredPolls, number);
-        if (asking && (echo.equals(BEHIND_DOUBTS) || number > askedBehind)) {
-            asking = false;
-            resolve();
-        }
+  private boolean doubt(Exchange run) {
+    run.doubt(true);
+    if (halting.get() != Halting.NONE) {
+      workers.suspend(run.arrival().id());
     }
+    return true;
+  }
 
-    /** The number of a poll of {@link #nextPoll} that has been sent, or -1. */
-    private long number(String echo) {
-        if (!NUMBERED.matcher(echo).matches()) {
-            return -1;
-        }
-        long number = Long.parseLong(echo, 1, echo.length(), 10);
-        return number <= polls ? number : -1;
+  private void ask(long now) {
+    asking = true;
+    askedAt = now;
+    askedBehind = polls;
+    workers.poll(BEHIND_DOUBTS);
+  }
+
+  /**
+   * The pool has answered a poll: it has read all that was said before it.
+   *
+   * @param echo the word that was sent along
+   * @param runnable what wants a core, or -1 where no gauge tells
+   */
+  void answered(String echo, double runnable) {
+    if (echo.equals(IDLE_LOOK)) {
+      idleLooks = runnable == 0 ? idleLooks + 1 : 0;
+      return;
+    }
+    long number = number(echo);
+    answeredPolls = Math.max(answeredPolls, number);
+    if (asking && (echo.equals(BEHIND_DOUBTS) || number > askedBehind)) {
+      asking = false;
+      resolve();
     }
+  }
 
-    /** The pool has read all that was asked in doubt, and said nothing of what is still in doubt. */
-    private void resolve() {
-        for (Exchange run : new ArrayList<>(open.values())) {
-            if (!run.doubted()) {
-                continue;
-            }
-            run.doubt(false);
-            if (run.owed()) {
-                actions.startAgain(run);
-            } else {
-                probe(run);
-            }
-        }
+  /** The number of a poll of {@link #nextPoll} that has been sent, or -1. */
+  private long number(String echo) {
+    if (!NUMBERED.matcher(echo).matches()) {
+      return -1;
     }
+    long number = Long.parseLong(echo, 1, echo.length(), 10);
+    return number <= polls ? number : -1;
+  }
 
-    /** Asks by a start whether there is a run of a request that is over: the pool finds it stale, or does nothing to what runs. */
-    private void probe(Exchange run) {
-        counters.add("runs-probed");
-        log.line("run-in-doubt id=" + run);
-        boolean runsOnceAtMost = run.repeatable() || halting.get() != Halting.ABORT; // an abort that is on its way threw work away
-        if (runsOnceAtMost) {
-            workers.spawn(run);
-        }
-        if (halting.get() != Halting.NONE) {
-            workers.suspend(run.arrival().id());
-        }
+  /** The pool has read all that was asked in doubt, and said nothing of what is still in doubt. */
+  private void resolve() {
+    for (Exchange run : new ArrayList<>(open.values())) {
+      if (!run.doubted()) {
+        continue;
+      }
+      run.doubt(false);
+      if (run.owed()) {
+        actions.startAgain(run);
+      } else {
+        probe(run);
+      }
     }
+  }
 
-    /** The link has broken: what was asked on it is asked again behind the next one's missed notices. */
-    void unlinked() {
-        asking = false;
-        idleLooks = 0;
+  /**
+   * Asks by a start whether there is a run of a request that is over: the pool finds it stale, or
+   * does nothing to what runs.
+   */
+  private void probe(Exchange run) {
+    counters.add("runs-probed");
+    log.line("run-in-doubt id=" + run);
+    boolean runsOnceAtMost =
+        run.repeatable()
+            || halting.get() != Halting.ABORT; // an abort that is on its way threw work away
+    if (runsOnceAtMost) {
+      workers.spawn(run);
+    }
+    if (halting.get() != Halting.NONE) {
+      workers.suspend(run.arrival().id());
     }
+  }
 
-    /** Looks for questions without an answer, stops without effect and runs whose end is lost. */
-    void watch(long now) {
-        if (!workers.ready()) {
-            return;
-        }
-        if (asking && now - askedAt >= ASK_AGAIN) {
-            askedAt = now;
-            workers.poll(BEHIND_DOUBTS);
-        }
-        lostRuns = 0;
-        for (Exchange run : new ArrayList<>(open.values())) {
-            if (run.inPool() && run.stopping() && now >= run.stopAgainAt()) {
-                run.stopAgainAt(now + STOP_AGAIN);
-                workers.suspend(run.arrival().id());
-            }
-            if (!run.owed() && now >= run.dueAt() + END_LOST) {
-                lostEnd(run, now);
-            }
-        }
-        if (lostRuns > 0 && now - lookedAt >= LOOK) {
-            lookedAt = now;
-            workers.poll(IDLE_LOOK);
-        }
+  /**
+   * The link has broken: what was asked on it is asked again behind the next one's missed notices.
+   */
+  void unlinked() {
+    asking = false;
+    idleLooks = 0;
+  }
+
+  /** Looks for questions without an answer, stops without effect and runs whose end is lost. */
+  void watch(long now) {
+    if (!workers.ready()) {
+      return;
+    }
+    if (asking && now - askedAt >= ASK_AGAIN) {
+      askedAt = now;
+      workers.poll(BEHIND_DOUBTS);
+    }
+    lostRuns = 0;
+    for (Exchange run : new ArrayList<>(open.values())) {
+      if (run.inPool() && run.stopping() && now >= run.stopAgainAt()) {
+        run.stopAgainAt(now + STOP_AGAIN);
+        workers.suspend(run.arrival().id());
+      }
+      if (!run.owed() && now >= run.dueAt() + END_LOST) {
+        lostEnd(run, now);
+      }
     }
+    if (lostRuns > 0 && now - lookedAt >= LOOK) {
+      lookedAt = now;
+      workers.poll(IDLE_LOOK);
+    }
+  }
 
-    private void lostEnd(Exchange run, long now) {
-        if (idleLooks >= IDLE_LOOKS) {
-            counters.add("lost-runs");
-            log.line("lost-run id=" + run);
-            actions.giveUp(run);
-            return;
-        }
-        lostRuns++;
-        if (now >= run.dueAt() + END_LOST + PROBE_AGAIN && now >= run.probeAt()) {
-            run.probeAt(now + PROBE_AGAIN);
-            probe(run);
-        }
+  private void lostEnd(Exchange run, long now) {
+    if (idleLooks >= IDLE_LOOKS) {
+      counters.add("lost-runs");
+      log.line("lost-run id=" + run);
+      actions.giveUp(run);
+      return;
+    }
+    lostRuns++;
+    if (now >= run.dueAt() + END_LOST + PROBE_AGAIN && now >= run.probeAt()) {
+      run.probeAt(now + PROBE_AGAIN);
+      probe(run);
     }
+  }
 }
--- a/src/main/java/mothwing/broker/Slots.java
+++ b/src/main/java/mothwing/broker/Slots.java
@@ -9,82 +9,83 @@
 import java.util.function.IntPredicate;
 
 /**
- * Named parts of the settings at places that do not move while anything refers to them. A part that is dropped keeps
- * its place until nothing does, and its name is unknown at once; there are never more places than parts and uses at
- * the same time.
+ * Named parts of the settings at places that do not move while anything refers to them. A part that
+ * is dropped keeps its place until nothing does, and its name is unknown at once; there are never
+ * more places than parts and uses at the same time.
  *
  * @param <T> the parts
  */
 final class Slots<T> {
-    private final Function<T, String> name;
-    private final List<T> all = new ArrayList<>();
-    private final Map<String, Integer> known = new HashMap<>();
+  private final Function<T, String> name;
+  private final List<T> all = new ArrayList<>();
+  private final Map<String, Integer> known = new HashMap<>();
 
-    /**
-     * Makes places for parts.
-     *
-     * @param name gives a part's name
-     */
-    Slots(Function<T, String> name) {
-        this.name = name;
-    }
+  /**
+   * Makes places for parts.
+   *
+   * @param name gives a part's name
+   */
+  Slots(Function<T, String> name) {
+    this.name = name;
+  }
 
-    /**
-     * Takes the parts of new settings.
-     *
-     * @param parts the parts, each name once
-     * @param used whether anything refers to a place
-     */
-    void take(List<T> parts, IntPredicate used) {
-        known.clear();
-        List<T> rest = new ArrayList<>();
-        for (T part : parts) {
-            int place = placed(name.apply(part));
-            if (place >= 0) {
-                put(place, part);
-            } else {
-                rest.add(part);
-            }
-        }
-        int next = 0;
-        for (T part : rest) {
-            while (next < all.size() && (used.test(next) || Objects.equals(known.get(name.apply(all.get(next))), next))) {
-                next++;
-            }
-            put(next, part);
-        }
+  /**
+   * Takes the parts of new settings.
+   *
+   * @param parts the parts, each name once
+   * @param used whether anything refers to a place
+   */
+  void take(List<T> parts, IntPredicate used) {
+    known.clear();
+    List<T> rest = new ArrayList<>();
+    for (T part : parts) {
+      int place = placed(name.apply(part));
+      if (place >= 0) {
+        put(place, part);
+      } else {
+        rest.add(part);
+      }
     }
-
-    private int placed(String wanted) {
-        for (int i = 0; i < all.size(); i++) {
-            if (name.apply(all.get(i)).equals(wanted)) {
-                return i;
-            }
-        }
-        return -1;
+    int next = 0;
+    for (T part : rest) {
+      while (next < all.size()
+          && (used.test(next) || Objects.equals(known.get(name.apply(all.get(next))), next))) {
+        next++;
+      }
+      put(next, part);
     }
+  }
 
-    private void put(int place, T part) {
-        if (place == all.size()) {
-            all.add(part);
-        } else {
-            all.set(place, part);
-        }
-        known.put(name.apply(part), place);
+  private int placed(String wanted) {
+    for (int i = 0; i < all.size(); i++) {
+      if (name.apply(all.get(i)).equals(wanted)) {
+        return i;
+      }
     }
+    return -1;
+  }
 
-    /** The place of a name that the settings have now, or null. */
-    Integer place(String wanted) {
-        return known.get(wanted);
+  private void put(int place, T part) {
+    if (place == all.size()) {
+      all.add(part);
+    } else {
+      all.set(place, part);
     }
+    known.put(name.apply(part), place);
+  }
 
-    /** Whether the settings have no parts of this kind. */
-    boolean none() {
-        return known.isEmpty();
-    }
+  /** The place of a name that the settings have now, or null. */
+  Integer place(String wanted) {
+    return known.get(wanted);
+  }
 
-    /** What stands at all places, dropped parts included. */
-    List<T> all() {
-        return List.copyOf(all);
-    }
+  /** Whether the settings have no parts of this kind. */
+  boolean none() {
+    return known.isEmpty();
+  }
+
+  /** What stands at all places, dropped parts included. */
+  List<T> all() {
+    return List.copyOf(all);
+  }
 }
--- a/src/main/java/mothwing/broker/Timers.java
+++ b/src/main/java/mothwing/broker/Timers.java
@@ -1,18 +1,21 @@
 package mothwing.broker;
 
-/** The clocks, and work that is due later. All of it happens on the one thread that owns the broker. */
+/**
+ * The clocks, and work that is due later. All of it happens on the one thread that owns the broker.
+ */
 public interface Timers {
-    /** Microseconds of the monotonic clock. */
-    long now();
+  /** Microseconds of the monotonic clock. */
+  long now();
 
-    /** Unix milliseconds of the wall clock. */
-    long wallMs();
+  /** Unix milliseconds of the wall clock. */
+  long wallMs();
 
-    /**
-     * Runs work at a time of the monotonic clock, or as soon as possible where that has passed; never at once.
-     *
-     * @param at the time
-     * @param work what to do
-     */
-    void at(long at, Runnable work);
+  /**
+   * Runs work at a time of the monotonic clock, or as soon as possible where that has passed; never
+   * at once.
+   *
+   * @param at the time
+   * @param work what to do
+   */
+  void at(long at, Runnable work);
 }
--- a/src/main/java/mothwing/cli/Counts.java
+++ b/src/main/java/mothwing/cli/Counts.java
@@ -11,21 +11,22 @@
 
 /** Asks a running shop server for its counters. */
 final class Counts {
-    private static final int PATIENCE_MS = 3000;
+  private static final int PATIENCE_MS = 3000;
 
-    private Counts() {
-    }
+  private Counts() {}
 
-    static int run(String server, PrintStream out) throws IOException {
-        InetSocketAddress address = Addresses.read(server, "server");
-        try (Socket socket = new Socket()) {
-            socket.setSoTimeout(PATIENCE_MS);
-            socket.connect(address, PATIENCE_MS);
-            socket.getOutputStream().write(Question.to("/counts"));
-            String answer = new String(Question.answer(new DataInputStream(socket.getInputStream())),
-                    StandardCharsets.UTF_8);
-            out.print(answer.substring(answer.indexOf("\r\n\r\n") + "\r\n\r\n".length()));
-        }
-        return 0;
+  static int run(String server, PrintStream out) throws IOException {
+    InetSocketAddress address = Addresses.read(server, "server");
+    try (Socket socket = new Socket()) {
+      socket.setSoTimeout(PATIENCE_MS);
+      socket.connect(address, PATIENCE_MS);
+      socket.getOutputStream().write(Question.to("/counts"));
+      String answer =
+          new String(
+              Question.answer(new DataInputStream(socket.getInputStream())),
+              StandardCharsets.UTF_8);
+      out.print(answer.substring(answer.indexOf("\r\n\r\n") + "\r\n\r\n".length()));
     }
+    return 0;
+  }
 }
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -14,35 +14,44 @@
 
 /** Runs one shop server in the foreground until it has drained. */
 final class Serve {
-    private Serve() {
-    }
+  private Serve() {}
 
-    static int run(String path, String siteFile, PrintStream out) throws IOException, InterruptedException {
-        // Netty would look for the logging library of the DNS part first, and load it.
-        InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-        CompletableFuture<Reload> started = new CompletableFuture<>();
-        String noHangups = Hangup.handle(() -> started.thenAccept(Reload::again)); // early: the default ends it
-        Config config = Config.read(path);
-        LineLog log = new LineLog(out);
-        if (noHangups != null) {
-            log.line("no-reloads what=\"" + noHangups + "\"");
-        }
-        Site site = siteFile == null ? new Site(null, null, null) : Config.readSite(Path.of(siteFile));
-        Server server = new Server(config, site.ajp(), log);
-        if (site.fleet() != null) {
-            server.join(site.fleet());
-        }
-        Foreground.leaveOnSignal(server, log);
-        server.start();
-        started.complete(new Reload(path, config, server));
-        server.await();
-        return server.failed() ? 1 : 0;
+  static int run(String path, String siteFile, PrintStream out)
+      throws IOException, InterruptedException {
+    // Netty would look for the logging library of the DNS part first, and load it.
+    InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
+    CompletableFuture<Reload> started = new CompletableFuture<>();
+    String noHangups =
+        Hangup.handle(() -> started.thenAccept(Reload::again)); // early: the default ends it
+    Config config = Config.read(path);
+    LineLog log = new LineLog(out);
+    if (noHangups != null) {
+      log.line("no-reloads what=\"" + noHangups + "\"");
     }
-
-    static int check(String path, PrintStream out) throws IOException {
-        Config config = Config.read(path);
-        out.println("good: " + config.name() + " listens on " + config.listen() + ", "
-                + config.settings().classes().size() + " classes, " + config.settings().tenants().size() + " tenants");
-        return 0;
+    Site site = siteFile == null ? new Site(null, null, null) : Config.readSite(Path.of(siteFile));
+    Server server = new Server(config, site.ajp(), log);
+    if (site.fleet() != null) {
+      server.join(site.fleet());
     }
+    Foreground.leaveOnSignal(server, log);
+    server.start();
+    started.complete(new Reload(path, config, server));
+    server.await();
+    return server.failed() ? 1 : 0;
+  }
+
+  static int check(String path, PrintStream out) throws IOException {
+    Config config = Config.read(path);
+    out.println(
+        "good: "
+            + config.name()
+            + " listens on "
+            + config.listen()
+            + ", "
+            + config.settings().classes().size()
+            + " classes, "
+            + config.settings().tenants().size()
+            + " tenants");
+    return 0;
+  }
 }
--- a/src/main/java/mothwing/dns/server/DnsTcp.java
+++ b/src/main/java/mothwing/dns/server/DnsTcp.java
@@ -12,64 +12,67 @@
 import org.xbill.DNS.Rcode;
 
 /**
- * DNS over TCP (RFC 7766): messages behind their lengths, many open at once, answers in any order. More open ones than
- * the bound are refused at once; whoever does not read, drips or says nothing is closed by the listener.
+ * DNS over TCP (RFC 7766): messages behind their lengths, many open at once, answers in any order.
+ * More open ones than the bound are refused at once; whoever does not read, drips or says nothing
+ * is closed by the listener.
  */
 public final class DnsTcp extends Connection {
-    private static final int LENGTH = 2;
+  private static final int LENGTH = 2;
 
-    private final DnsEngine engine;
-    private final int mostOpen;
-    private final Set<DnsRequest> open = new LinkedHashSet<>();
+  private final DnsEngine engine;
+  private final int mostOpen;
+  private final Set<DnsRequest> open = new LinkedHashSet<>();
 
-    DnsTcp(DnsEngine engine, int mostOpen, Log log, Counters counters) {
-        super("dns-tcp", LENGTH + AnswerWriter.TCP, log, counters);
-        this.engine = engine;
-        this.mostOpen = mostOpen;
-    }
+  DnsTcp(DnsEngine engine, int mostOpen, Log log, Counters counters) {
+    super("dns-tcp", LENGTH + AnswerWriter.TCP, log, counters);
+    this.engine = engine;
+    this.mostOpen = mostOpen;
+  }
 
-    @Override
-    protected boolean take(ByteBuf in) throws Malformed {
-        if (in.readableBytes() < LENGTH || in.readableBytes() < LENGTH + in.getUnsignedShort(in.readerIndex())) {
-            return false;
-        }
-        byte[] bytes = new byte[in.readUnsignedShort()];
-        in.readBytes(bytes);
-        Query query = Query.read(bytes);
-        if (query == null) {
-            throw new Malformed(Reason.MALFORMED, "a message of " + bytes.length + " bytes that is no query");
-        }
-        introduce();
-        DnsRequest request = new DnsRequest(query, AnswerWriter.TCP, this::answer);
-        open.add(request);
-        if (open.size() > mostOpen) {
-            count("over-pipelined");
-            request.error(Rcode.REFUSED, AnswerWriter.OTHER, "more than " + mostOpen + " queries open");
-        } else {
-            engine.read(request);
-        }
-        return true;
+  @Override
+  protected boolean take(ByteBuf in) throws Malformed {
+    if (in.readableBytes() < LENGTH
+        || in.readableBytes() < LENGTH + in.getUnsignedShort(in.readerIndex())) {
+      return false;
     }
-
-    private void answer(DnsRequest request, byte[] answer) {
-        engine.answered(request);
-        if (open.remove(request) && !closed()) {
-            ByteBuf out = room(LENGTH + answer.length);
-            out.writeShort(answer.length).writeBytes(answer);
-            send(out);
-        }
+    byte[] bytes = new byte[in.readUnsignedShort()];
+    in.readBytes(bytes);
+    Query query = Query.read(bytes);
+    if (query == null) {
+      throw new Malformed(
+          Reason.MALFORMED, "a message of " + bytes.length + " bytes that is no query");
     }
+    introduce();
+    DnsRequest request = new DnsRequest(query, AnswerWriter.TCP, this::answer);
+    open.add(request);
+    if (open.size() > mostOpen) {
+      count("over-pipelined");
+      request.error(Rcode.REFUSED, AnswerWriter.OTHER, "more than " + mostOpen + " queries open");
+    } else {
+      engine.read(request);
+    }
+    return true;
+  }
 
-    @Override
-    public boolean idle() {
-        return open.isEmpty();
+  private void answer(DnsRequest request, byte[] answer) {
+    engine.answered(request);
+    if (open.remove(request) && !closed()) {
+      ByteBuf out = room(LENGTH + answer.length);
+      out.writeShort(answer.length).writeBytes(answer);
+      send(out);
     }
+  }
+
+  @Override
+  public boolean idle() {
+    return open.isEmpty();
+  }
 
-    @Override
-    protected void ended() {
-        for (DnsRequest one : new ArrayList<>(open)) {
-            engine.gone(one);
-        }
-        open.clear();
+  @Override
+  protected void ended() {
+    for (DnsRequest one : new ArrayList<>(open)) {
+      engine.gone(one);
     }
+    open.clear();
+  }
 }
--- a/src/main/java/mothwing/dns/zone/Fault.java
+++ b/src/main/java/mothwing/dns/zone/Fault.java
@@ -9,8 +9,8 @@
  * @param refused whether it cost a record; else it is a remark
  */
 public record Fault(String file, int line, String reason, boolean refused) {
-    @Override
-    public String toString() {
-        return file + ":" + line + ": " + (refused ? "" : "remark: ") + reason;
-    }
+  @Override
+  public String toString() {
+    return file + ":" + line + ": " + (refused ? "" : "remark: ") + reason;
+  }
 }
--- a/src/main/java/mothwing/lab/Epoch.java
+++ b/src/main/java/mothwing/lab/Epoch.java
@@ -4,45 +4,51 @@
 import java.util.concurrent.TimeUnit;
 import mothwing.broker.Timers;
 
-/** The clock of a trial on real time, which all threads of the rig share: 0 is the moment at which callers begin. */
+/**
+ * The clock of a trial on real time, which all threads of the rig share: 0 is the moment at which
+ * callers begin.
+ */
 final class Epoch {
-    private static final long NANOS = 1000;
-
-    private volatile long base = System.nanoTime();
-
-    /** Now is the trial's start. */
-    void begin() {
-        base = System.nanoTime();
-    }
-
-    /** Microseconds since the trial's start. */
-    long now() {
-        return (System.nanoTime() - base) / NANOS;
-    }
-
-    /** Timers of this clock on an executor; the work is done under a lock. */
-    Timers on(ScheduledExecutorService executor, Object lock) {
-        return new Timers() {
-            @Override
-            public long now() {
-                return Epoch.this.now();
-            }
-
-            @Override
-            public long wallMs() {
-                return System.currentTimeMillis();
-            }
-
-            @Override
-            public void at(long at, Runnable work) {
-                if (!executor.isShutdown()) {
-                    executor.schedule(() -> {
-                        synchronized (lock) {
-                            work.run();
-                        }
-                    }, Math.max(0, at - now()), TimeUnit.MICROSECONDS);
+  private static final long NANOS = 1000;
+
+  private volatile long base = System.nanoTime();
+
+  /** Now is the trial's start. */
+  void begin() {
+    base = System.nanoTime();
+  }
+
+  /** Microseconds since the trial's start. */
+  long now() {
+    return (System.nanoTime() - base) / NANOS;
+  }
+
+  /** Timers of this clock on an executor; the work is done under a lock. */
+  Timers on(ScheduledExecutorService executor, Object lock) {
+    return new Timers() {
+      @Override
+      public long now() {
+        return Epoch.this.now();
+      }
+
+      @Override
+      public long wallMs() {
+        return System.currentTimeMillis();
+      }
+
+      @Override
+      public void at(long at, Runnable work) {
+        if (!executor.isShutdown()) {
+          executor.schedule(
+              () -> {
+                synchronized (lock) {
+                  work.run();
                 }
-            }
-        };
-    }
+              },
+              Math.max(0, at - now()),
+              TimeUnit.MICROSECONDS);
+        }
+      }
+    };
+  }
 }
