--- a/src/main/java/mothwing/ledger/LedgerLink.java
+++ b/src/main/java/mothwing/ledger/LedgerLink.java
@@ -15,157 +15,172 @@
 import mothwing.net.Malformed;
 import mothwing.net.Reason;
 
-/** One link to the ledger: calls as lines, each with a block of bytes behind it; answers in any order, by the request's id. */
+/**
+ * One link to the ledger: calls as lines, each with a block of bytes behind it; answers in any
+ * order, by the request's id.
+ */
 final class LedgerLink extends Connection {
-    /** Most bytes of a result; the pool is to take it in one line. */
-    static final int MOST_RESULT = 32 << 10;
-    /** Most bytes of an answer's line. */
-    static final int MOST_LINE = 256;
-    /** Most abandoned calls that may still be answered; over it the link is given up once its calls are over. */
-    static final int MOST_ABANDONED = 1024;
-
-    private static final String END = "\r\n";
-
-    private final Ledger ledger;
-    private final int dial;
-    private final Map<String, Long> out = new LinkedHashMap<>(); // with when each was posted, the oldest first
-    private final Set<String> abandoned = new LinkedHashSet<>();
-    private boolean retired;
-    private long waitsSince = NEVER;
-
-    LedgerLink(Ledger ledger, int dial, Log log, Counters counters) {
-        super("ledger", MOST_RESULT + MOST_LINE, log, counters);
-        this.ledger = ledger;
-        this.dial = dial;
+  /** Most bytes of a result; the pool is to take it in one line. */
+  static final int MOST_RESULT = 32 << 10;
+
+  /** Most bytes of an answer's line. */
+  static final int MOST_LINE = 256;
+
+  /**
+   * Most abandoned calls that may still be answered; over it the link is given up once its calls
+   * are over.
+   */
+  static final int MOST_ABANDONED = 1024;
+
+  private static final String END = "\r\n";
+
+  private final Ledger ledger;
+  private final int dial;
+  private final Map<String, Long> out =
+      new LinkedHashMap<>(); // with when each was posted, the oldest first
+  private final Set<String> abandoned = new LinkedHashSet<>();
+  private boolean retired;
+  private long waitsSince = NEVER;
+
+  LedgerLink(Ledger ledger, int dial, Log log, Counters counters) {
+    super("ledger", MOST_RESULT + MOST_LINE, log, counters);
+    this.ledger = ledger;
+    this.dial = dial;
+  }
+
+  @Override
+  protected void opened() {
+    ledger.opened(this, dial);
+  }
+
+  @Override
+  protected void ended() {
+    List<String> all = new ArrayList<>(out.keySet());
+    out.clear();
+    ledger.ended(this, all);
+  }
+
+  @Override
+  public boolean idle() {
+    return out.isEmpty();
+  }
+
+  /**
+   * Whether an answer to an earlier call of this request may still come, or no further call is to
+   * be made here.
+   */
+  boolean mayStillAnswer(String id) {
+    return closed() || abandoned.contains(id) || abandoned.size() >= MOST_ABANDONED;
+  }
+
+  void post(String id, long limitMs, byte[] content) {
+    out.put(id, ledger.now());
+    waitsSince = Math.min(waitsSince, ledger.now());
+    say("post " + id + " " + limitMs + " " + content.length, content);
+  }
+
+  void abandon(String id) {
+    if (out.remove(id) != null) {
+      abandoned.add(id);
+      say("abandon " + id, null);
+      closeIfOver();
     }
-
-    @Override
-    protected void opened() {
-        ledger.opened(this, dial);
+  }
+
+  /** Takes no further call. */
+  void retire() {
+    retired = true;
+    closeIfOver();
+  }
+
+  /**
+   * For how long nothing has been answered though something was asked, whether or not anybody waits
+   * for it still.
+   */
+  long silentFor(long now) {
+    return waitsSince == NEVER ? 0 : now - waitsSince;
+  }
+
+  private void closeIfOver() {
+    if (retired && out.isEmpty()) {
+      close(Reason.MOVED, "");
     }
-
-    @Override
-    protected void ended() {
-        List<String> all = new ArrayList<>(out.keySet());
-        out.clear();
-        ledger.ended(this, all);
+  }
+
+  private void say(String line, byte[] block) {
+    ByteBuf bytes = room(line.length() + 2 * END.length() + (block == null ? 0 : block.length));
+    bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
+    bytes.writeCharSequence(END, StandardCharsets.US_ASCII);
+    if (block != null) {
+      bytes.writeBytes(block);
+      bytes.writeCharSequence(END, StandardCharsets.US_ASCII);
     }
-
-    @Override
-    public boolean idle() {
-        return out.isEmpty();
+    send(bytes);
+  }
+
+  @Override
+  protected boolean take(ByteBuf in) throws Malformed {
+    int length = in.bytesBefore((byte) '\n');
+    if (length < 0 && in.readableBytes() <= MOST_LINE) {
+      return false;
+    } else if (length < 0 || length > MOST_LINE) {
+      throw new Malformed(Reason.OVERSIZED, "a line of over " + MOST_LINE + " bytes");
     }
-
-    /** Whether an answer to an earlier call of this request may still come, or no further call is to be made here. */
-    boolean mayStillAnswer(String id) {
-        return closed() || abandoned.contains(id) || abandoned.size() >= MOST_ABANDONED;
+    String line = in.toString(in.readerIndex(), length, StandardCharsets.US_ASCII).stripTrailing();
+    String[] words = line.split(" ");
+    if (words.length < 2) {
+      throw new Malformed(Reason.MALFORMED, "an answer without an outcome");
     }
-
-    void post(String id, long limitMs, byte[] content) {
-        out.put(id, ledger.now());
-        waitsSince = Math.min(waitsSince, ledger.now());
-        say("post " + id + " " + limitMs + " " + content.length, content);
+    byte[] result = null;
+    if (words[1].equals("posted")) {
+      int size = size(words);
+      if (in.readableBytes() < length + 1 + size + END.length()) {
+        return false;
+      }
+      in.skipBytes(length + 1);
+      result = new byte[size];
+      in.readBytes(result);
+      if (in.readByte() != '\r' || in.readByte() != '\n') {
+        throw new Malformed(Reason.MALFORMED, "a result that does not end where it should");
+      }
+    } else {
+      in.skipBytes(length + 1);
     }
-
-    void abandon(String id) {
-        if (out.remove(id) != null) {
-            abandoned.add(id);
-            say("abandon " + id, null);
-            closeIfOver();
-        }
+    answered(words[0], outcome(words[1]), result);
+    return true;
+  }
+
+  private void answered(String id, Outcome outcome, byte[] result) {
+    waitsSince = out.size() + abandoned.size() > 1 ? ledger.now() : NEVER;
+    Long since = out.remove(id);
+    if (since != null) {
+      ledger.over(id, outcome, result, ledger.now() - since);
+      closeIfOver();
+    } else {
+      count(abandoned.remove(id) ? "answered-late" : "answered-unasked");
     }
-
-    /** Takes no further call. */
-    void retire() {
-        retired = true;
-        closeIfOver();
-    }
-
-    /** For how long nothing has been answered though something was asked, whether or not anybody waits for it still. */
-    long silentFor(long now) {
-        return waitsSince == NEVER ? 0 : now - waitsSince;
-    }
-
-    private void closeIfOver() {
-        if (retired && out.isEmpty()) {
-            close(Reason.MOVED, "");
-        }
-    }
-
-    private void say(String line, byte[] block) {
-        ByteBuf bytes = room(line.length() + 2 * END.length() + (block == null ? 0 : block.length));
-        bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
-        bytes.writeCharSequence(END, StandardCharsets.US_ASCII);
-        if (block != null) {
-            bytes.writeBytes(block);
-            bytes.writeCharSequence(END, StandardCharsets.US_ASCII);
-        }
-        send(bytes);
-    }
-
-    @Override
-    protected boolean take(ByteBuf in) throws Malformed {
-        int length = in.bytesBefore((byte) '\n');
-        if (length < 0 && in.readableBytes() <= MOST_LINE) {
-            return false;
-        } else if (length < 0 || length > MOST_LINE) {
-            throw new Malformed(Reason.OVERSIZED, "a line of over " + MOST_LINE + " bytes");
-        }
-        String line = in.toString(in.readerIndex(), length, StandardCharsets.US_ASCII).stripTrailing();
-        String[] words = line.split(" ");
-        if (words.length < 2) {
-            throw new Malformed(Reason.MALFORMED, "an answer without an outcome");
-        }
-        byte[] result = null;
-        if (words[1].equals("posted")) {
-            int size = size(words);
-            if (in.readableBytes() < length + 1 + size + END.length()) {
-                return false;
-            }
-            in.skipBytes(length + 1);
-            result = new byte[size];
-            in.readBytes(result);
-            if (in.readByte() != '\r' || in.readByte() != '\n') {
-                throw new Malformed(Reason.MALFORMED, "a result that does not end where it should");
-            }
-        } else {
-            in.skipBytes(length + 1);
-        }
-        answered(words[0], outcome(words[1]), result);
-        return true;
-    }
-
-    private void answered(String id, Outcome outcome, byte[] result) {
-        waitsSince = out.size() + abandoned.size() > 1 ? ledger.now() : NEVER;
-        Long since = out.remove(id);
-        if (since != null) {
-            ledger.over(id, outcome, result, ledger.now() - since);
-            closeIfOver();
-        } else {
-            count(abandoned.remove(id) ? "answered-late" : "answered-unasked");
-        }
-    }
-
-    private static Outcome outcome(String word) throws Malformed {
-        return switch (word) {
-            case "posted" -> Outcome.GOOD;
-            case "queue_full" -> Outcome.DECLINED;
-            case "error" -> Outcome.FAILED;
-            case "expired" -> Outcome.TIMED_OUT;
-            case "moot" -> Outcome.MOOT;
-            default -> throw new Malformed(Reason.MALFORMED, "a call ended as " + word);
-        };
-    }
-
-    private static int size(String[] words) throws Malformed {
-        try {
-            int size = Integer.parseInt(words.length == 3 ? words[2] : "none");
-            if (size >= 0 && size <= MOST_RESULT) {
-                return size;
-            }
-        } catch (NumberFormatException notOne) {
-            // falls through to the complaint
-        }
-        throw new Malformed(Reason.MALFORMED, "a result's length is missing or out of range");
+  }
+
+  private static Outcome outcome(String word) throws Malformed {
+    return switch (word) {
+      case "posted" -> Outcome.GOOD;
+      case "queue_full" -> Outcome.DECLINED;
+      case "error" -> Outcome.FAILED;
+      case "expired" -> Outcome.TIMED_OUT;
+      case "moot" -> Outcome.MOOT;
+      default -> throw new Malformed(Reason.MALFORMED, "a call ended as " + word);
+    };
+  }
+
+  private static int size(String[] words) throws Malformed {
+    try {
+      int size = Integer.parseInt(words.length == 3 ? words[2] : "none");
+      if (size >= 0 && size <= MOST_RESULT) {
+        return size;
+      }
+    } catch (NumberFormatException notOne) {
+      // falls through to the complaint
     }
+    throw new Malformed(Reason.MALFORMED, "a result's length is missing or out of range");
+  }
 }
--- a/src/main/java/mothwing/management/DoorConnection.java
+++ b/src/main/java/mothwing/management/DoorConnection.java
@@ -9,49 +9,51 @@
 import mothwing.net.Reason;
 
 /**
- * A caller at the operators' door: one line, one reply, and a close. What follows the line is not read; a line over
- * {@link #MOST_LINE} bytes is answered with a plain no.
+ * A caller at the operators' door: one line, one reply, and a close. What follows the line is not
+ * read; a line over {@link #MOST_LINE} bytes is answered with a plain no.
  */
 public final class DoorConnection extends Connection {
-    /** Most bytes of a line, its end left out. */
-    static final int MOST_LINE = 64;
+  /** Most bytes of a line, its end left out. */
+  static final int MOST_LINE = 64;
 
-    private final Operations on;
+  private final Operations on;
 
-    /**
-     * Makes the state of a new caller.
-     *
-     * @param on the shop server
-     * @param log takes its line
-     * @param counters counts what happens
-     */
-    public DoorConnection(Operations on, Log log, Counters counters) {
-        super("management", MOST_LINE + 2, log, counters);
-        this.on = on;
-    }
+  /**
+   * Makes the state of a new caller.
+   *
+   * @param on the shop server
+   * @param log takes its line
+   * @param counters counts what happens
+   */
+  public DoorConnection(Operations on, Log log, Counters counters) {
+    super("management", MOST_LINE + 2, log, counters);
+    this.on = on;
+  }
 
-    @Override
-    protected boolean take(ByteBuf in) throws Malformed {
-        int length = in.bytesBefore((byte) '\n');
-        if (length < 0 && in.readableBytes() <= MOST_LINE) {
-            return false;
-        }
-        introduce();
-        count("calls");
-        boolean whole = length >= 0 && length <= MOST_LINE + 1;
-        String answer = whole
-                ? OperatorCall.answer(in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), on)
-                : OperatorCall.no("a line has at most " + MOST_LINE + " bytes");
-        count(answer.startsWith("NO ") ? "answered-no" : "answered");
-        ByteBuf out = room(answer.length());
-        out.writeCharSequence(answer, StandardCharsets.US_ASCII);
-        send(out);
-        close(Reason.ASKED, "");
-        return true;
+  @Override
+  protected boolean take(ByteBuf in) throws Malformed {
+    int length = in.bytesBefore((byte) '\n');
+    if (length < 0 && in.readableBytes() <= MOST_LINE) {
+      return false;
     }
+    introduce();
+    count("calls");
+    boolean whole = length >= 0 && length <= MOST_LINE + 1;
+    String answer =
+        whole
+            ? OperatorCall.answer(
+                in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), on)
+            : OperatorCall.no("a line has at most " + MOST_LINE + " bytes");
+    count(answer.startsWith("NO ") ? "answered-no" : "answered");
+    ByteBuf out = room(answer.length());
+    out.writeCharSequence(answer, StandardCharsets.US_ASCII);
+    send(out);
+    close(Reason.ASKED, "");
+    return true;
+  }
 
-    @Override
-    protected void ended() {
-        // nothing is kept of it
-    }
+  @Override
+  protected void ended() {
+    // nothing is kept of it
+  }
 }
--- a/src/main/java/mothwing/management/OperatorCall.java
+++ b/src/main/java/mothwing/management/OperatorCall.java
@@ -4,53 +4,58 @@
 
 /** The calls of the operators' door. */
 public enum OperatorCall {
-    /** Asks whether this process takes clients. */
-    HEALTH,
-    /** Asks for the figures. */
-    DUMP,
-    /** Asks for the members of the fleet. */
-    MEMBERS,
-    /** Sends gateways away. */
-    LEAVE,
-    /** Takes gateways again. */
-    JOIN;
+  /** Asks whether this process takes clients. */
+  HEALTH,
+  /** Asks for the figures. */
+  DUMP,
+  /** Asks for the members of the fleet. */
+  MEMBERS,
+  /** Sends gateways away. */
+  LEAVE,
+  /** Takes gateways again. */
+  JOIN;
 
-    /**
-     * Carries out the call that a line holds. A line that is no call changes nothing.
-     *
-     * @param line what came, without its end
-     * @param on the shop server
-     * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, but for the figures
-     */
-    static String answer(String line, Operations on) {
-        String word = line.strip();
-        for (OperatorCall call : values()) {
-            if (call.name().equals(word)) {
-                return call.carriedOut(on);
-            }
-        }
-        return no(word.isEmpty() ? "an empty line is no call" : "unknown call, known are HEALTH DUMP MEMBERS LEAVE JOIN");
+  /**
+   * Carries out the call that a line holds. A line that is no call changes nothing.
+   *
+   * @param line what came, without its end
+   * @param on the shop server
+   * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, but for
+   *     the figures
+   */
+  static String answer(String line, Operations on) {
+    String word = line.strip();
+    for (OperatorCall call : values()) {
+      if (call.name().equals(word)) {
+        return call.carriedOut(on);
+      }
     }
+    return no(
+        word.isEmpty()
+            ? "an empty line is no call"
+            : "unknown call, known are HEALTH DUMP MEMBERS LEAVE JOIN");
+  }
 
-    private String carriedOut(Operations on) {
-        return switch (this) {
-            case HEALTH -> on.serving() ? "YES\n" : no("not taking clients");
-            case DUMP -> on.figures() + "\nEND\n";
-            case MEMBERS -> on.members() == null ? no("no fleet is configured") : on.members() + "\nEND\n";
-            case LEAVE, JOIN -> on.away(this == LEAVE) ? "YES\n" : no("leaving for good");
-        };
-    }
+  private String carriedOut(Operations on) {
+    return switch (this) {
+      case HEALTH -> on.serving() ? "YES\n" : no("not taking clients");
+      case DUMP -> on.figures() + "\nEND\n";
+      case MEMBERS ->
+          on.members() == null ? no("no fleet is configured") : on.members() + "\nEND\n";
+      case LEAVE, JOIN -> on.away(this == LEAVE) ? "YES\n" : no("leaving for good");
+    };
+  }
 
-    static String no(String why) {
-        return "NO " + why + "\n";
-    }
+  static String no(String why) {
+    return "NO " + why + "\n";
+  }
 
-    /**
-     * The call as it stands in counters.
-     *
-     * @return its name in lower case
-     */
-    String code() {
-        return name().toLowerCase(Locale.ROOT);
-    }
+  /**
+   * The call as it stands in counters.
+   *
+   * @return its name in lower case
+   */
+  String code() {
+    return name().toLowerCase(Locale.ROOT);
+  }
 }
--- a/src/main/java/mothwing/member/Change.java
+++ b/src/main/java/mothwing/member/Change.java
@@ -8,27 +8,27 @@
  * @param claim the claim that made it, on the member it is about
  */
 public record Change(long version, What what, Claim claim) {
-    /** What can change. */
-    public enum What {
-        /** A member is new, or back. */
-        JOINED,
-        /** It is suspected. */
-        SUSPECTED,
-        /** It objected. */
-        CLEARED,
-        /** It is taken for dead. */
-        DIED,
-        /** It withdrew. */
-        LEFT,
-        /** It died and came back again and again of late. */
-        FLAPS,
-        /** It has not died for long enough. */
-        STEADIED,
-        /** Oneself hears too few. */
-        ALONE,
-        /** Oneself hears enough again. */
-        CONNECTED,
-        /** Another process has taken one's name: one is silent from now on. */
-        DISPLACED
-    }
+  /** What can change. */
+  public enum What {
+    /** A member is new, or back. */
+    JOINED,
+    /** It is suspected. */
+    SUSPECTED,
+    /** It objected. */
+    CLEARED,
+    /** It is taken for dead. */
+    DIED,
+    /** It withdrew. */
+    LEFT,
+    /** It died and came back again and again of late. */
+    FLAPS,
+    /** It has not died for long enough. */
+    STEADIED,
+    /** Oneself hears too few. */
+    ALONE,
+    /** Oneself hears enough again. */
+    CONNECTED,
+    /** Another process has taken one's name: one is silent from now on. */
+    DISPLACED
+  }
 }
--- a/src/main/java/mothwing/member/Claim.java
+++ b/src/main/java/mothwing/member/Claim.java
@@ -1,7 +1,8 @@
 package mothwing.member;
 
 /**
- * What somebody says of a member. Claims may come late, repeated and in any order: which of two holds depends on them alone.
+ * What somebody says of a member. Claims may come late, repeated and in any order: which of two
+ * holds depends on them alone.
  *
  * @param name its name
  * @param start the id of its start: another process of the same name has another
@@ -11,27 +12,34 @@
  * @param state what is said of it
  * @param by who says so
  */
-public record Claim(String name, long start, String address, String zone, long incarnation, State state, String by) {
-    private static final int FIXED = 36; // bytes of numbers, keys and lengths on the wire
+public record Claim(
+    String name,
+    long start,
+    String address,
+    String zone,
+    long incarnation,
+    State state,
+    String by) {
+  private static final int FIXED = 36; // bytes of numbers, keys and lengths on the wire
 
-    /** Whether this holds against another claim on the same name. */
-    public boolean beats(Claim other) {
-        if (incarnation != other.incarnation) {
-            return incarnation > other.incarnation;
-        }
-        return state != other.state ? state.ordinal() > other.state.ordinal() : start > other.start;
+  /** Whether this holds against another claim on the same name. */
+  public boolean beats(Claim other) {
+    if (incarnation != other.incarnation) {
+      return incarnation > other.incarnation;
     }
+    return state != other.state ? state.ordinal() > other.state.ordinal() : start > other.start;
+  }
 
-    Claim with(State now, String who) {
-        return new Claim(name, start, address, zone, incarnation, now, who);
-    }
+  Claim with(State now, String who) {
+    return new Claim(name, start, address, zone, incarnation, now, who);
+  }
 
-    Claim raised(long to) {
-        return new Claim(name, start, address, zone, to, state, by);
-    }
+  Claim raised(long to) {
+    return new Claim(name, start, address, zone, to, state, by);
+  }
 
-    /** What it takes on the wire, at most. */
-    public int bytes() {
-        return FIXED + name.length() + address.length() + zone.length() + by.length();
-    }
+  /** What it takes on the wire, at most. */
+  public int bytes() {
+    return FIXED + name.length() + address.length() + zone.length() + by.length();
+  }
 }
--- a/src/main/java/mothwing/member/Host.java
+++ b/src/main/java/mothwing/member/Host.java
@@ -1,27 +1,30 @@
 package mothwing.member;
 
-/** What a member acts through. None of these calls may come back into the member before it has returned. */
+/**
+ * What a member acts through. None of these calls may come back into the member before it has
+ * returned.
+ */
 public interface Host {
-    /**
-     * Sends a datagram: it may be lost, late, repeated.
-     *
-     * @param address where to
-     * @param message what
-     */
-    void send(String address, Message message);
+  /**
+   * Sends a datagram: it may be lost, late, repeated.
+   *
+   * @param address where to
+   * @param message what
+   */
+  void send(String address, Message message);
 
-    /**
-     * Sends on a stream of its own, which takes any size; nobody says where it fails.
-     *
-     * @param address where to
-     * @param message what
-     */
-    void stream(String address, Message message);
+  /**
+   * Sends on a stream of its own, which takes any size; nobody says where it fails.
+   *
+   * @param address where to
+   * @param message what
+   */
+  void stream(String address, Message message);
 
-    /**
-     * Something has changed.
-     *
-     * @param change what
-     */
-    void changed(Change change);
+  /**
+   * Something has changed.
+   *
+   * @param change what
+   */
+  void changed(Change change);
 }
--- a/src/main/java/mothwing/member/Message.java
+++ b/src/main/java/mothwing/member/Message.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * What members send each other. It is known by what it says, never by where it came from; it may be lost, late, repeated or
- * from a start long gone.
+ * What members send each other. It is known by what it says, never by where it came from; it may be
+ * lost, late, repeated or from a start long gone.
  *
  * @param cluster whose message it is; those of others are dropped
  * @param kind what it wants
@@ -13,31 +13,36 @@
  * @param self what the sender says of itself
  * @param claims what it says of others
  */
-public record Message(String cluster, Kind kind, long seq, String about, Claim self, List<Claim> claims) {
-    private static final int FIXED = 32; // bytes of frame, version, kind and numbers
+public record Message(
+    String cluster, Kind kind, long seq, String about, Claim self, List<Claim> claims) {
+  private static final int FIXED = 32; // bytes of frame, version, kind and numbers
 
-    /** What a message wants. */
-    public enum Kind {
-        /** An answer. */
-        PING,
-        /** It is one. */
-        ACK,
-        /** That the receiver pings another, and passes the answer on. */
-        ASK,
-        /** The one that was asked for is not heard, but I am. */
-        NACK,
-        /** All that the receiver holds; here is all that I do. */
-        SYNC,
-        /** It is that. */
-        SYNCED
-    }
+  /** What a message wants. */
+  public enum Kind {
+    /** An answer. */
+    PING,
+    /** It is one. */
+    ACK,
+    /** That the receiver pings another, and passes the answer on. */
+    ASK,
+    /** The one that was asked for is not heard, but I am. */
+    NACK,
+    /** All that the receiver holds; here is all that I do. */
+    SYNC,
+    /** It is that. */
+    SYNCED
+  }
 
-    public Message {
-        claims = List.copyOf(claims);
-    }
+  public Message {
+    claims = List.copyOf(claims);
+  }
 
-    /** What it takes on the wire, at most. */
-    public int bytes() {
-        return FIXED + cluster.length() + about.length() + self.bytes() + claims.stream().mapToInt(Claim::bytes).sum();
-    }
+  /** What it takes on the wire, at most. */
+  public int bytes() {
+    return FIXED
+        + cluster.length()
+        + about.length()
+        + self.bytes()
+        + claims.stream().mapToInt(Claim::bytes).sum();
+  }
 }
--- a/src/main/java/mothwing/member/Pace.java
+++ b/src/main/java/mothwing/member/Pace.java
@@ -18,23 +18,76 @@
  * @param tombstone for which a removed member is remembered
  * @param sync between full exchanges, for each hundred members
  * @param aloneAfter without enough others heard, after which a member calls itself alone
- * @param panic share of the members; where more would die within {@code panicHold}, nobody does until it holds for longer
+ * @param panic share of the members; where more would die within {@code panicHold}, nobody does
+ *     until it holds for longer
  * @param panicHold how much longer
- * @param doubt most steps by which a slow member trusts itself less: each makes its waits longer by one
+ * @param doubt most steps by which a slow member trusts itself less: each makes its waits longer by
+ *     one
  */
-public record Pace(long beat, int watched, long period, long ackWait, long askWait, int helpers, long least, long most,
-        int enough, double hearsay, double resend, int packet, long tombstone, long sync, long aloneAfter, double panic,
-        long panicHold, int doubt) {
-    private static final long MILLI = 1000;
-    private static final long SECOND = 1000 * MILLI;
+public record Pace(
+    long beat,
+    int watched,
+    long period,
+    long ackWait,
+    long askWait,
+    int helpers,
+    long least,
+    long most,
+    int enough,
+    double hearsay,
+    double resend,
+    int packet,
+    long tombstone,
+    long sync,
+    long aloneAfter,
+    double panic,
+    long panicHold,
+    int doubt) {
+  private static final long MILLI = 1000;
+  private static final long SECOND = 1000 * MILLI;
 
-    /** The usual one, for a room of machines that answer in milliseconds. */
-    public static final Pace USUAL = new Pace(400 * MILLI, 3, SECOND, 300 * MILLI, 400 * MILLI, 3, 1500 * MILLI, 6 * SECOND, 2, 5,
-            3, 1400, 600 * SECOND, 10 * SECOND, 3 * SECOND, 0.3, 10 * SECOND, 8);
+  /** The usual one, for a room of machines that answer in milliseconds. */
+  public static final Pace USUAL =
+      new Pace(
+          400 * MILLI,
+          3,
+          SECOND,
+          300 * MILLI,
+          400 * MILLI,
+          3,
+          1500 * MILLI,
+          6 * SECOND,
+          2,
+          5,
+          3,
+          1400,
+          600 * SECOND,
+          10 * SECOND,
+          3 * SECOND,
+          0.3,
+          10 * SECOND,
+          8);
 
-    /** The same without the doubt of oneself, to see what it is worth. */
-    public Pace withoutDoubt() {
-        return new Pace(beat, watched, period, ackWait, askWait, helpers, least, most, enough, hearsay, resend, packet,
-                tombstone, sync, aloneAfter, panic, panicHold, 0);
-    }
+  /** The same without the doubt of oneself, to see what it is worth. */
+  public Pace withoutDoubt() {
+    return new Pace(
+        beat,
+        watched,
+        period,
+        ackWait,
+        askWait,
+        helpers,
+        least,
+        most,
+        enough,
+        hearsay,
+        resend,
+        packet,
+        tombstone,
+        sync,
+        aloneAfter,
+        panic,
+        panicHold,
+        0);
+  }
 }
--- a/src/main/java/mothwing/member/Rumours.java
+++ b/src/main/java/mothwing/member/Rumours.java
@@ -9,51 +9,51 @@
 
 /** What is still to be told on, the least told first; at most one claim a member. */
 final class Rumours {
-    private final Map<String, Integer> told = new LinkedHashMap<>();
-    private final TreeMap<Integer, LinkedHashMap<String, Claim>> byTold = new TreeMap<>();
+  private final Map<String, Integer> told = new LinkedHashMap<>();
+  private final TreeMap<Integer, LinkedHashMap<String, Claim>> byTold = new TreeMap<>();
 
-    /** Takes a claim in place of an older one on the same member. */
-    void add(Claim claim) {
-        drop(claim.name());
-        put(claim, 0);
-    }
+  /** Takes a claim in place of an older one on the same member. */
+  void add(Claim claim) {
+    drop(claim.name());
+    put(claim, 0);
+  }
 
-    private void put(Claim claim, int times) {
-        told.put(claim.name(), times);
-        byTold.computeIfAbsent(times, none -> new LinkedHashMap<>()).put(claim.name(), claim);
-    }
+  private void put(Claim claim, int times) {
+    told.put(claim.name(), times);
+    byTold.computeIfAbsent(times, none -> new LinkedHashMap<>()).put(claim.name(), claim);
+  }
 
-    void drop(String name) {
-        Integer times = told.remove(name);
-        if (times != null) {
-            LinkedHashMap<String, Claim> same = byTold.get(times);
-            same.remove(name);
-            if (same.isEmpty()) {
-                byTold.remove(times);
-            }
-        }
+  void drop(String name) {
+    Integer times = told.remove(name);
+    if (times != null) {
+      LinkedHashMap<String, Claim> same = byTold.get(times);
+      same.remove(name);
+      if (same.isEmpty()) {
+        byTold.remove(times);
+      }
     }
+  }
 
-    /** Takes claims of so many bytes, and drops those that were told often enough with it. */
-    List<Claim> take(int bytes, int enough) {
-        List<Claim> all = new ArrayList<>();
-        int left = bytes;
-        for (LinkedHashMap<String, Claim> same : byTold.values()) {
-            for (Iterator<Claim> each = same.values().iterator(); each.hasNext() && left > 0;) {
-                Claim one = each.next();
-                left -= one.bytes();
-                if (left >= 0) {
-                    all.add(one);
-                }
-            }
+  /** Takes claims of so many bytes, and drops those that were told often enough with it. */
+  List<Claim> take(int bytes, int enough) {
+    List<Claim> all = new ArrayList<>();
+    int left = bytes;
+    for (LinkedHashMap<String, Claim> same : byTold.values()) {
+      for (Iterator<Claim> each = same.values().iterator(); each.hasNext() && left > 0; ) {
+        Claim one = each.next();
+        left -= one.bytes();
+        if (left >= 0) {
+          all.add(one);
         }
-        for (Claim one : all) {
-            int times = told.get(one.name()) + 1;
-            drop(one.name());
-            if (times < enough) {
-                put(one, times);
-            }
-        }
-        return all;
+      }
+    }
+    for (Claim one : all) {
+      int times = told.get(one.name()) + 1;
+      drop(one.name());
+      if (times < enough) {
+        put(one, times);
+      }
     }
+    return all;
+  }
 }
--- a/src/main/java/mothwing/member/State.java
+++ b/src/main/java/mothwing/member/State.java
@@ -1,18 +1,21 @@
 package mothwing.member;
 
-/** What is held of a member. Of two claims with the same incarnation the later one in this order holds. */
+/**
+ * What is held of a member. Of two claims with the same incarnation the later one in this order
+ * holds.
+ */
 public enum State {
-    /** It answers. */
-    ALIVE,
-    /** It did not answer somebody, and has not objected yet. */
-    SUSPECT,
-    /** It did not object in time. */
-    DEAD,
-    /** It withdrew on its own. */
-    LEFT;
+  /** It answers. */
+  ALIVE,
+  /** It did not answer somebody, and has not objected yet. */
+  SUSPECT,
+  /** It did not object in time. */
+  DEAD,
+  /** It withdrew on its own. */
+  LEFT;
 
-    /** Whether it counts as there. */
-    public boolean there() {
-        return this == ALIVE || this == SUSPECT;
-    }
+  /** Whether it counts as there. */
+  public boolean there() {
+    return this == ALIVE || this == SUSPECT;
+  }
 }
--- a/src/main/java/mothwing/net/Dial.java
+++ b/src/main/java/mothwing/net/Dial.java
@@ -5,11 +5,11 @@
 /** A way to open connections to one party. */
 @FunctionalInterface
 public interface Dial {
-    /**
-     * Opens a connection.
-     *
-     * @param maker makes its state once it is open
-     * @param failed what to do where it cannot be opened
-     */
-    void dial(Supplier<? extends Connection> maker, Runnable failed);
+  /**
+   * Opens a connection.
+   *
+   * @param maker makes its state once it is open
+   * @param failed what to do where it cannot be opened
+   */
+  void dial(Supplier<? extends Connection> maker, Runnable failed);
 }
--- a/src/main/java/mothwing/net/Dialer.java
+++ b/src/main/java/mothwing/net/Dialer.java
@@ -13,56 +13,64 @@
 
 /** Opens connections to one address. */
 public final class Dialer implements Dial {
-    private static final int MOST_WAIT_MS = 2000;
+  private static final int MOST_WAIT_MS = 2000;
 
-    private final EventLoop loop;
-    private final ByteBufAllocator allocator;
-    private final InetSocketAddress address;
+  private final EventLoop loop;
+  private final ByteBufAllocator allocator;
+  private final InetSocketAddress address;
 
-    /**
-     * Makes a dialer.
-     *
-     * @param loop the thread of it all
-     * @param allocator gives buffers
-     * @param address where to connect
-     */
-    public Dialer(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
-        this.loop = loop;
-        this.allocator = allocator;
-        this.address = address;
-    }
+  /**
+   * Makes a dialer.
+   *
+   * @param loop the thread of it all
+   * @param allocator gives buffers
+   * @param address where to connect
+   */
+  public Dialer(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
+    this.loop = loop;
+    this.allocator = allocator;
+    this.address = address;
+  }
 
-    @Override
-    public void dial(Supplier<? extends Connection> maker, Runnable failed) {
-        new Bootstrap().group(loop).channelFactory(RetryingSocketChannel::new)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, MOST_WAIT_MS)
-                .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.ALLOCATOR, allocator)
-                .handler(new ChannelInitializer<SocketChannel>() {
-                    @Override
-                    protected void initChannel(SocketChannel opened) {
-                        opened.pipeline().addLast(new Opening(maker));
-                    }
-                }).connect(address).addListener(done -> {
-                    if (!done.isSuccess()) {
-                        loop.execute(failed); // a socket that cannot be made fails on another thread
-                    }
-                });
-    }
+  @Override
+  public void dial(Supplier<? extends Connection> maker, Runnable failed) {
+    new Bootstrap()
+        .group(loop)
+        .channelFactory(RetryingSocketChannel::new)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, MOST_WAIT_MS)
+        .option(ChannelOption.TCP_NODELAY, true)
+        .option(ChannelOption.ALLOCATOR, allocator)
+        .handler(
+            new ChannelInitializer<SocketChannel>() {
+              @Override
+              protected void initChannel(SocketChannel opened) {
+                opened.pipeline().addLast(new Opening(maker));
+              }
+            })
+        .connect(address)
+        .addListener(
+            done -> {
+              if (!done.isSuccess()) {
+                loop.execute(failed); // a socket that cannot be made fails on another thread
+              }
+            });
+  }
 
-    /** Puts the state of the connection in its place once it is open, so that attempts leave no trace. */
-    private static final class Opening extends ChannelInboundHandlerAdapter {
-        private final Supplier<? extends Connection> maker;
+  /**
+   * Puts the state of the connection in its place once it is open, so that attempts leave no trace.
+   */
+  private static final class Opening extends ChannelInboundHandlerAdapter {
+    private final Supplier<? extends Connection> maker;
 
-        Opening(Supplier<? extends Connection> maker) {
-            this.maker = maker;
-        }
+    Opening(Supplier<? extends Connection> maker) {
+      this.maker = maker;
+    }
 
-        @Override
-        public void channelActive(ChannelHandlerContext ctx) {
-            Connection connection = maker.get();
-            ctx.pipeline().replace(this, "connection", connection);
-            ctx.pipeline().fireChannelActive();
-        }
+    @Override
+    public void channelActive(ChannelHandlerContext ctx) {
+      Connection connection = maker.get();
+      ctx.pipeline().replace(this, "connection", connection);
+      ctx.pipeline().fireChannelActive();
     }
+  }
 }
--- a/src/main/java/mothwing/net/Malformed.java
+++ b/src/main/java/mothwing/net/Malformed.java
@@ -2,27 +2,27 @@
 
 /** Bytes that break the protocol of their connection: it is closed with the reason. */
 public final class Malformed extends Exception {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    private final Reason reason;
+  private final Reason reason;
 
-    /**
-     * Makes one.
-     *
-     * @param reason the code for the log
-     * @param message what is wrong
-     */
-    public Malformed(Reason reason, String message) {
-        super(message, null, false, false);
-        this.reason = reason;
-    }
+  /**
+   * Makes one.
+   *
+   * @param reason the code for the log
+   * @param message what is wrong
+   */
+  public Malformed(Reason reason, String message) {
+    super(message, null, false, false);
+    this.reason = reason;
+  }
 
-    /**
-     * The code for the log.
-     *
-     * @return the reason
-     */
-    public Reason reason() {
-        return reason;
-    }
+  /**
+   * The code for the log.
+   *
+   * @return the reason
+   */
+  public Reason reason() {
+    return reason;
+  }
 }
--- a/src/main/java/mothwing/net/Reply.java
+++ b/src/main/java/mothwing/net/Reply.java
@@ -9,106 +9,110 @@
 import mothwing.broker.Exchange;
 
 /**
- * A request of a front from its first byte to its answer: what both fronts do alike with a request that was read
- * whole. Answers are a status, fields and content; how they are written is the front's own.
+ * A request of a front from its first byte to its answer: what both fronts do alike with a request
+ * that was read whole. Answers are a status, fields and content; how they are written is the
+ * front's own.
  */
 public abstract class Reply implements Caller {
-    private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NOTHING = new byte[0];
 
-    private final Broker broker;
-    private Exchange exchange;
+  private final Broker broker;
+  private Exchange exchange;
 
-    /**
-     * Makes the state of a request.
-     *
-     * @param broker takes it
-     */
-    protected Reply(Broker broker) {
-        this.broker = broker;
-    }
+  /**
+   * Makes the state of a request.
+   *
+   * @param broker takes it
+   */
+  protected Reply(Broker broker) {
+    this.broker = broker;
+  }
 
-    /**
-     * Writes the answer. Only the first one may leave.
-     *
-     * @param status its status
-     * @param fields its fields, names with values
-     * @param content its content
-     */
-    protected abstract void write(int status, List<String[]> fields, byte[] content);
+  /**
+   * Writes the answer. Only the first one may leave.
+   *
+   * @param status its status
+   * @param fields its fields, names with values
+   * @param content its content
+   */
+  protected abstract void write(int status, List<String[]> fields, byte[] content);
 
-    /**
-     * Counts a request that could not be understood.
-     *
-     * @param code the reason
-     */
-    protected abstract void rejected(String code);
+  /**
+   * Counts a request that could not be understood.
+   *
+   * @param code the reason
+   */
+  protected abstract void rejected(String code);
 
-    /**
-     * Hands a request that was read whole to the broker, or answers it here.
-     *
-     * @param path the path it was sent to
-     * @param query its query string
-     * @param fields its fields
-     * @param body its body
-     */
-    protected final void whole(String path, String query, Arrival.Fields fields, byte[] body) {
-        if (path.equals("/ping")) {
-            broker.check(Headers.probes(query), good -> answer(good ? 200 : 503, List.of(), NOTHING));
-            return;
-        }
-        if (path.equals("/counts")) {
-            answer(200, List.of(), (broker.counts() + "\n").getBytes(StandardCharsets.UTF_8));
-            return;
-        }
-        long advice = broker.sheds(path);
-        if (advice >= 0) {
-            refused(false, advice);
-            return;
-        }
-        try {
-            exchange = broker.read(fields.at(path, body), this);
-        } catch (Arrival.Bad bad) {
-            reject(bad.getMessage());
-        }
+  /**
+   * Hands a request that was read whole to the broker, or answers it here.
+   *
+   * @param path the path it was sent to
+   * @param query its query string
+   * @param fields its fields
+   * @param body its body
+   */
+  protected final void whole(String path, String query, Arrival.Fields fields, byte[] body) {
+    if (path.equals("/ping")) {
+      broker.check(Headers.probes(query), good -> answer(good ? 200 : 503, List.of(), NOTHING));
+      return;
     }
-
-    /**
-     * Fails a request that could not be understood.
-     *
-     * @param code the reason
-     */
-    protected final void reject(String code) {
-        rejected(code);
-        answer(code.startsWith("oversized") ? 413 : 400, List.of(), code.getBytes(StandardCharsets.ISO_8859_1));
+    if (path.equals("/counts")) {
+      answer(200, List.of(), (broker.counts() + "\n").getBytes(StandardCharsets.UTF_8));
+      return;
     }
-
-    /** Its caller has left. */
-    public final void leave() {
-        if (exchange != null) {
-            broker.gone(exchange);
-        }
+    long advice = broker.sheds(path);
+    if (advice >= 0) {
+      refused(false, advice);
+      return;
     }
-
-    private void answer(int status, List<String[]> more, byte[] content) {
-        List<String[]> fields = new ArrayList<>(more);
-        broker.feedback().ifPresent(value -> fields.add(Headers.feedback(value)));
-        fields.add(new String[] {"Content-Type", "application/octet-stream"});
-        fields.add(new String[] {"Content-Length", Integer.toString(content.length)});
-        write(status, fields, content);
+    try {
+      exchange = broker.read(fields.at(path, body), this);
+    } catch (Arrival.Bad bad) {
+      reject(bad.getMessage());
     }
+  }
 
-    @Override
-    public final void served(byte[] result) {
-        answer(200, List.of(), result);
-    }
+  /**
+   * Fails a request that could not be understood.
+   *
+   * @param code the reason
+   */
+  protected final void reject(String code) {
+    rejected(code);
+    answer(
+        code.startsWith("oversized") ? 413 : 400,
+        List.of(),
+        code.getBytes(StandardCharsets.ISO_8859_1));
+  }
 
-    @Override
-    public final void refused(boolean last, long holdOffMs) {
-        answer(503, Headers.refusal(last, holdOffMs), NOTHING);
+  /** Its caller has left. */
+  public final void leave() {
+    if (exchange != null) {
+      broker.gone(exchange);
     }
+  }
 
-    @Override
-    public final void failed(String code) {
-        answer(500, List.of(), code.getBytes(StandardCharsets.ISO_8859_1));
-    }
+  private void answer(int status, List<String[]> more, byte[] content) {
+    List<String[]> fields = new ArrayList<>(more);
+    broker.feedback().ifPresent(value -> fields.add(Headers.feedback(value)));
+    fields.add(new String[] {"Content-Type", "application/octet-stream"});
+    fields.add(new String[] {"Content-Length", Integer.toString(content.length)});
+    write(status, fields, content);
+  }
+
+  @Override
+  public final void served(byte[] result) {
+    answer(200, List.of(), result);
+  }
+
+  @Override
+  public final void refused(boolean last, long holdOffMs) {
+    answer(503, Headers.refusal(last, holdOffMs), NOTHING);
+  }
+
+  @Override
+  public final void failed(String code) {
+    answer(500, List.of(), code.getBytes(StandardCharsets.ISO_8859_1));
+  }
 }
--- a/src/main/java/mothwing/override/Effect.java
+++ b/src/main/java/mothwing/override/Effect.java
@@ -8,107 +8,113 @@
 import java.util.Set;
 
 /**
- * What the overrides that act come to at one server, looked up by class and tenant: a value made anew whenever that changes, so
- * that a decision costs the same with one as with a thousand. It holds until a time; who stood still makes a new one first.
+ * What the overrides that act come to at one server, looked up by class and tenant: a value made
+ * anew whenever that changes, so that a decision costs the same with one as with a thousand. It
+ * holds until a time; who stood still makes a new one first.
  */
 public final class Effect {
-    /** Nothing is overridden, whenever. */
-    public static final Effect NONE = new Effect(List.of(), "", "", "", Long.MAX_VALUE);
+  /** Nothing is overridden, whenever. */
+  public static final Effect NONE = new Effect(List.of(), "", "", "", Long.MAX_VALUE);
 
-    private record About(String kind, String tenant) {
-    }
+  private record About(String kind, String tenant) {}
 
-    private final Map<TrafficOverride.What, Map<About, TrafficOverride>> table = new EnumMap<>(TrafficOverride.What.class);
-    private final Set<String> without = new LinkedHashSet<>();
-    private final TrafficOverride drain;
-    private final long until;
+  private final Map<TrafficOverride.What, Map<About, TrafficOverride>> table =
+      new EnumMap<>(TrafficOverride.What.class);
+  private final Set<String> without = new LinkedHashSet<>();
+  private final TrafficOverride drain;
+  private final long until;
 
-    /**
-     * Makes it.
-     *
-     * @param acting what acts, the one that wins first, as {@link Book#acting} gives it
-     * @param server this server's name
-     * @param zone its zone
-     * @param hardware its hardware class
-     * @param until until when it holds, by {@link Book#actingUntil}
-     */
-    public Effect(List<TrafficOverride> acting, String server, String zone, String hardware, long until) {
-        this.until = until;
-        TrafficOverride away = null;
-        for (TrafficOverride one : acting) {
-            if (!one.on().has(server, zone, hardware)) {
-                continue;
-            }
-            switch (one.what()) {
-                case DRAIN -> away = away == null ? one : away;
-                case WITHOUT -> without.add(one.target());
-                default -> table.computeIfAbsent(one.what(), none -> new HashMap<>())
-                        .putIfAbsent(new About(one.kind(), one.tenant()), one);
-            }
-        }
-        drain = away;
+  /**
+   * Makes it.
+   *
+   * @param acting what acts, the one that wins first, as {@link Book#acting} gives it
+   * @param server this server's name
+   * @param zone its zone
+   * @param hardware its hardware class
+   * @param until until when it holds, by {@link Book#actingUntil}
+   */
+  public Effect(
+      List<TrafficOverride> acting, String server, String zone, String hardware, long until) {
+    this.until = until;
+    TrafficOverride away = null;
+    for (TrafficOverride one : acting) {
+      if (!one.on().has(server, zone, hardware)) {
+        continue;
+      }
+      switch (one.what()) {
+        case DRAIN -> away = away == null ? one : away;
+        case WITHOUT -> without.add(one.target());
+        default ->
+            table
+                .computeIfAbsent(one.what(), none -> new HashMap<>())
+                .putIfAbsent(new About(one.kind(), one.tenant()), one);
+      }
     }
+    drain = away;
+  }
 
-    /**
-     * Whether it still holds.
-     *
-     * @param now the clock of the book
-     * @return false once it has to be made anew before anything is decided by it
-     */
-    public boolean holds(long now) {
-        return now < until;
-    }
+  /**
+   * Whether it still holds.
+   *
+   * @param now the clock of the book
+   * @return false once it has to be made anew before anything is decided by it
+   */
+  public boolean holds(long now) {
+    return now < until;
+  }
 
-    /**
-     * What a request is subject to.
-     *
-     * @param what refuse, limit or divert
-     * @param kind its class
-     * @param tenant its tenant
-     * @return the override that wins, or null
-     */
-    public TrafficOverride on(TrafficOverride.What what, String kind, String tenant) {
-        Map<About, TrafficOverride> all = table.get(what);
-        if (all == null) {
-            return null;
-        }
-        TrafficOverride best = first(all.get(new About(kind, tenant)), all.get(new About("", tenant)));
-        return first(best, all.get(new About(kind, "")));
+  /**
+   * What a request is subject to.
+   *
+   * @param what refuse, limit or divert
+   * @param kind its class
+   * @param tenant its tenant
+   * @return the override that wins, or null
+   */
+  public TrafficOverride on(TrafficOverride.What what, String kind, String tenant) {
+    Map<About, TrafficOverride> all = table.get(what);
+    if (all == null) {
+      return null;
     }
+    TrafficOverride best = first(all.get(new About(kind, tenant)), all.get(new About("", tenant)));
+    return first(best, all.get(new About(kind, "")));
+  }
 
-    private static TrafficOverride first(TrafficOverride one, TrafficOverride other) {
-        return one == null || other != null && TrafficOverride.RANK.compare(other, one) < 0 ? other : one;
-    }
+  private static TrafficOverride first(TrafficOverride one, TrafficOverride other) {
+    return one == null || other != null && TrafficOverride.RANK.compare(other, one) < 0
+        ? other
+        : one;
+  }
 
-    /**
-     * Whether a request is to be refused: alike for all tries of one draw.
-     *
-     * @param kind its class
-     * @param tenant its tenant
-     * @param draw a number from 0 to under 1 that belongs to the request
-     * @return the override that says so, or null
-     */
-    public TrafficOverride refuses(String kind, String tenant, double draw) {
-        TrafficOverride one = on(TrafficOverride.What.REFUSE, kind, tenant);
-        return one != null && draw < one.share() ? one : null;
-    }
+  /**
+   * Whether a request is to be refused: alike for all tries of one draw.
+   *
+   * @param kind its class
+   * @param tenant its tenant
+   * @param draw a number from 0 to under 1 that belongs to the request
+   * @return the override that says so, or null
+   */
+  public TrafficOverride refuses(String kind, String tenant, double draw) {
+    TrafficOverride one = on(TrafficOverride.What.REFUSE, kind, tenant);
+    return one != null && draw < one.share() ? one : null;
+  }
 
-    /**
-     * Whether this server takes nothing new.
-     *
-     * @return the override that says so, or null
-     */
-    public TrafficOverride drains() {
-        return drain;
-    }
+  /**
+   * Whether this server takes nothing new.
+   *
+   * @return the override that says so, or null
+   */
+  public TrafficOverride drains() {
+    return drain;
+  }
 
-    /**
-     * Whether a feature of the routing policy is left out.
-     *
-     * @param feature its name
-     * @return true if so
-     */
-    public boolean isWithout(String feature) {
-        return without.contains(feature);
-    }
+  /**
+   * Whether a feature of the routing policy is left out.
+   *
+   * @param feature its name
+   * @return true if so
+   */
+  public boolean isWithout(String feature) {
+    return without.contains(feature);
+  }
 }
--- a/src/main/java/mothwing/override/Host.java
+++ b/src/main/java/mothwing/override/Host.java
@@ -4,28 +4,30 @@
 
 /** What the sharing of overrides acts through. */
 public interface Host {
-    /**
-     * Sends to a server; it may not come through.
-     *
-     * @param to the server's name
-     * @param message what
-     */
-    void send(String to, Message message);
+  /**
+   * Sends to a server; it may not come through.
+   *
+   * @param to the server's name
+   * @param message what
+   */
+  void send(String to, Message message);
 
-    /**
-     * The servers that are thought to be there, without this one. A hint: nothing that holds rests on it.
-     *
-     * @return their names
-     */
-    List<String> others();
+  /**
+   * The servers that are thought to be there, without this one. A hint: nothing that holds rests on
+   * it.
+   *
+   * @return their names
+   */
+  List<String> others();
 
-    /**
-     * Writes to the disk; {@link Sharing#forced} follows once that is forced, or never where it failed.
-     *
-     * @param told what is to be kept
-     */
-    void force(Told told);
+  /**
+   * Writes to the disk; {@link Sharing#forced} follows once that is forced, or never where it
+   * failed.
+   *
+   * @param told what is to be kept
+   */
+  void force(Told told);
 
-    /** What acts may have changed: it is to be looked at before the next decision. */
-    void changed();
+  /** What acts may have changed: it is to be looked at before the next decision. */
+  void changed();
 }
--- a/src/main/java/mothwing/override/Limits.java
+++ b/src/main/java/mothwing/override/Limits.java
@@ -10,6 +10,6 @@
  * @param drift parts by which clocks may run fast or slow
  */
 public record Limits(int live, int remembered, int text, int seconds, double drift) {
-    /** 1,000 of each, 64 KB, a day, 500 parts in a million. */
-    public static final Limits USUAL = new Limits(1000, 1000, 64 << 10, 86_400, 500e-6);
+  /** 1,000 of each, 64 KB, a day, 500 parts in a million. */
+  public static final Limits USUAL = new Limits(1000, 1000, 64 << 10, 86_400, 500e-6);
 }
--- a/src/main/java/mothwing/override/TrafficOverride.java
+++ b/src/main/java/mothwing/override/TrafficOverride.java
@@ -5,7 +5,8 @@
 import java.util.Set;
 
 /**
- * A temporary change of what a fleet does with some of its traffic. Immutable; how old it is, each holder knows for itself.
+ * A temporary change of what a fleet does with some of its traffic. Immutable; how old it is, each
+ * holder knows for itself.
  *
  * @param id its name, 1 to 63 characters
  * @param stamp where it was made
@@ -13,7 +14,8 @@
  * @param kind the class that it is about, or an empty word for all
  * @param tenant the tenant that it is about, or an empty word for all
  * @param share the share of that traffic, 0 to 1
- * @param target the zone that a diverted request goes to, or the feature that is left out; else an empty word
+ * @param target the zone that a diverted request goes to, or the feature that is left out; else an
+ *     empty word
  * @param on the servers that it holds at
  * @param seconds its lifetime, above 0
  * @param priority the higher one wins where two are about the same
@@ -21,102 +23,130 @@
  * @param why why it was made
  * @param who who made it
  */
-public record TrafficOverride(String id, Stamp stamp, What what, String kind, String tenant, double share, String target,
-        Selector on, int seconds, int priority, boolean keepUnsure, String why, String who) {
-    /** Which of two that are about the same wins, the first one: priority, then narrowness, then stamp, then id. */
-    public static final Comparator<TrafficOverride> RANK = Comparator.comparingInt(TrafficOverride::priority)
-            .thenComparingInt(TrafficOverride::narrowness).thenComparing(TrafficOverride::stamp)
-            .thenComparing(TrafficOverride::id).reversed();
+public record TrafficOverride(
+    String id,
+    Stamp stamp,
+    What what,
+    String kind,
+    String tenant,
+    double share,
+    String target,
+    Selector on,
+    int seconds,
+    int priority,
+    boolean keepUnsure,
+    String why,
+    String who) {
+  /**
+   * Which of two that are about the same wins, the first one: priority, then narrowness, then
+   * stamp, then id.
+   */
+  public static final Comparator<TrafficOverride> RANK =
+      Comparator.comparingInt(TrafficOverride::priority)
+          .thenComparingInt(TrafficOverride::narrowness)
+          .thenComparing(TrafficOverride::stamp)
+          .thenComparing(TrafficOverride::id)
+          .reversed();
 
-    private static final int MOST_NAME = 63;
+  private static final int MOST_NAME = 63;
 
-    /** What an override does. */
-    public enum What {
-        /** Refuses a share of a class or tenant at read. */
-        REFUSE,
-        /** Sends gateways away: nothing new is taken. */
-        DRAIN,
-        /** Holds a class or tenant to a share. */
-        LIMIT,
-        /** Sends a class or tenant to a zone. */
-        DIVERT,
-        /** Leaves a feature of the routing policy out. */
-        WITHOUT
+  /** What an override does. */
+  public enum What {
+    /** Refuses a share of a class or tenant at read. */
+    REFUSE,
+    /** Sends gateways away: nothing new is taken. */
+    DRAIN,
+    /** Holds a class or tenant to a share. */
+    LIMIT,
+    /** Sends a class or tenant to a zone. */
+    DIVERT,
+    /** Leaves a feature of the routing policy out. */
+    WITHOUT
+  }
+
+  /**
+   * Servers: all that are in each of the sets that is not empty.
+   *
+   * @param servers names of servers
+   * @param zones names of zones
+   * @param hardware names of hardware classes
+   */
+  public record Selector(Set<String> servers, Set<String> zones, Set<String> hardware) {
+    /** All servers. */
+    public static final Selector ALL = new Selector(Set.of(), Set.of(), Set.of());
+
+    /** Copies the sets. */
+    public Selector {
+      servers = Set.copyOf(servers);
+      zones = Set.copyOf(zones);
+      hardware = Set.copyOf(hardware);
     }
 
     /**
-     * Servers: all that are in each of the sets that is not empty.
+     * Whether a server is among them.
      *
-     * @param servers names of servers
-     * @param zones names of zones
-     * @param hardware names of hardware classes
+     * @param name its name
+     * @param zone its zone
+     * @param machine its hardware class
+     * @return true if so
      */
-    public record Selector(Set<String> servers, Set<String> zones, Set<String> hardware) {
-        /** All servers. */
-        public static final Selector ALL = new Selector(Set.of(), Set.of(), Set.of());
-
-        /** Copies the sets. */
-        public Selector {
-            servers = Set.copyOf(servers);
-            zones = Set.copyOf(zones);
-            hardware = Set.copyOf(hardware);
-        }
-
-        /**
-         * Whether a server is among them.
-         *
-         * @param name its name
-         * @param zone its zone
-         * @param machine its hardware class
-         * @return true if so
-         */
-        public boolean has(String name, String zone, String machine) {
-            return (servers.isEmpty() || servers.contains(name)) && (zones.isEmpty() || zones.contains(zone))
-                    && (hardware.isEmpty() || hardware.contains(machine));
-        }
-
-        private int narrowness() {
-            return (servers.isEmpty() ? 0 : 4) + (hardware.isEmpty() ? 0 : 2) + (zones.isEmpty() ? 0 : 1);
-        }
-    }
-
-    /** Checks it. */
-    public TrafficOverride {
-        if (id.isEmpty() || id.length() > MOST_NAME) {
-            throw new IllegalArgumentException("field id: 1 to " + MOST_NAME + " characters");
-        }
-        if (!(share >= 0 && share <= 1)) {
-            throw new IllegalArgumentException("field share: a number from 0 to 1");
-        }
-        if (seconds <= 0) {
-            throw new IllegalArgumentException("field seconds: a whole number above 0");
-        }
-        if ((what == What.REFUSE || what == What.LIMIT || what == What.DIVERT) && kind.isEmpty() && tenant.isEmpty()) {
-            throw new IllegalArgumentException("field class: " + what.name().toLowerCase(Locale.ROOT)
-                    + " wants a class or a tenant");
-        }
-        if ((what == What.DIVERT || what == What.WITHOUT) && target.isEmpty()) {
-            throw new IllegalArgumentException("field " + (what == What.DIVERT ? "zone" : "feature") + ": required");
-        }
+    public boolean has(String name, String zone, String machine) {
+      return (servers.isEmpty() || servers.contains(name))
+          && (zones.isEmpty() || zones.contains(zone))
+          && (hardware.isEmpty() || hardware.contains(machine));
     }
 
     private int narrowness() {
-        return (tenant.isEmpty() ? 0 : 16) + (kind.isEmpty() ? 0 : 8) + on.narrowness();
+      return (servers.isEmpty() ? 0 : 4) + (hardware.isEmpty() ? 0 : 2) + (zones.isEmpty() ? 0 : 1);
     }
+  }
 
-    /** Characters of its text, as they count against the bound of all. */
-    int text() {
-        return id.length() + kind.length() + tenant.length() + target.length() + why.length() + who.length()
-                + on.servers().stream().mapToInt(String::length).sum() + on.zones().stream().mapToInt(String::length).sum()
-                + on.hardware().stream().mapToInt(String::length).sum();
+  /** Checks it. */
+  public TrafficOverride {
+    if (id.isEmpty() || id.length() > MOST_NAME) {
+      throw new IllegalArgumentException("field id: 1 to " + MOST_NAME + " characters");
     }
-
-    /**
-     * Its lifetime.
-     *
-     * @return microseconds
-     */
-    public long life() {
-        return seconds * 1_000_000L;
+    if (!(share >= 0 && share <= 1)) {
+      throw new IllegalArgumentException("field share: a number from 0 to 1");
+    }
+    if (seconds <= 0) {
+      throw new IllegalArgumentException("field seconds: a whole number above 0");
+    }
+    if ((what == What.REFUSE || what == What.LIMIT || what == What.DIVERT)
+        && kind.isEmpty()
+        && tenant.isEmpty()) {
+      throw new IllegalArgumentException(
+          "field class: " + what.name().toLowerCase(Locale.ROOT) + " wants a class or a tenant");
     }
+    if ((what == What.DIVERT || what == What.WITHOUT) && target.isEmpty()) {
+      throw new IllegalArgumentException(
+          "field " + (what == What.DIVERT ? "zone" : "feature") + ": required");
+    }
+  }
+
+  private int narrowness() {
+    return (tenant.isEmpty() ? 0 : 16) + (kind.isEmpty() ? 0 : 8) + on.narrowness();
+  }
+
+  /** Characters of its text, as they count against the bound of all. */
+  int text() {
+    return id.length()
+        + kind.length()
+        + tenant.length()
+        + target.length()
+        + why.length()
+        + who.length()
+        + on.servers().stream().mapToInt(String::length).sum()
+        + on.zones().stream().mapToInt(String::length).sum()
+        + on.hardware().stream().mapToInt(String::length).sum();
+  }
+
+  /**
+   * Its lifetime.
+   *
+   * @return microseconds
+   */
+  public long life() {
+    return seconds * 1_000_000L;
+  }
 }
--- a/src/main/java/mothwing/pool/PoolLink.java
+++ b/src/main/java/mothwing/pool/PoolLink.java
@@ -21,230 +21,245 @@
 
 /** One link to the worker pool: commands and notices as JSON objects, one a line. */
 final class PoolLink extends Connection implements Workers {
-    /** Most bytes of one line: a result of 4 KiB in base64, with much to spare. */
-    static final int MOST_LINE = 64 << 10;
-    /** Most bytes of a line without an end that are passed over; after that the link is given up. */
-    static final int MOST_PASSED_OVER = 1 << 20;
-
-    private static final long MILLI = 1000;
-    private static final String CAUGHT_UP = "bind";
-    private static final Gson GSON = new Gson();
-
-    private final Pool pool;
-    private final int dial;
-    private final Broker broker;
-    private final Log log;
-    private final long openedAt;
-    private boolean bound;
-    private boolean caughtUp;
-    private int passedOver;
-    private long waitsSince = NEVER;
-
-    PoolLink(Pool pool, int dial, Broker broker, Log log, Counters counters) {
-        super("pool", MOST_LINE, log, counters);
-        this.pool = pool;
-        this.dial = dial;
-        this.broker = broker;
-        this.log = log;
-        openedAt = pool.now();
-    }
+  /** Most bytes of one line: a result of 4 KiB in base64, with much to spare. */
+  static final int MOST_LINE = 64 << 10;
 
-    /** When it was opened. */
-    long openedAt() {
-        return openedAt;
-    }
+  /** Most bytes of a line without an end that are passed over; after that the link is given up. */
+  static final int MOST_PASSED_OVER = 1 << 20;
 
-    /** Whether all that was missed before it has been read. */
-    boolean caughtUp() {
-        return caughtUp;
-    }
+  private static final long MILLI = 1000;
+  private static final String CAUGHT_UP = "bind";
+  private static final Gson GSON = new Gson();
 
-    /** Asks again whether all that was missed has been read, where the pool has not answered yet. */
-    void askAgain() {
-        if (ready() && !caughtUp) {
-            poll(CAUGHT_UP);
-        }
-    }
+  private final Pool pool;
+  private final int dial;
+  private final Broker broker;
+  private final Log log;
+  private final long openedAt;
+  private boolean bound;
+  private boolean caughtUp;
+  private int passedOver;
+  private long waitsSince = NEVER;
 
-    @Override
-    protected void opened() {
-        if (pool.opened(this, dial)) {
-            ask("{\"action\":\"bind\",\"pos\":" + pool.lastNotice() + "}");
-        } else {
-            close(Reason.MOVED, "");
-        }
-    }
+  PoolLink(Pool pool, int dial, Broker broker, Log log, Counters counters) {
+    super("pool", MOST_LINE, log, counters);
+    this.pool = pool;
+    this.dial = dial;
+    this.broker = broker;
+    this.log = log;
+    openedAt = pool.now();
+  }
 
-    @Override
-    protected void ended() {
-        bound = false;
-        pool.ended(this);
-    }
+  /** When it was opened. */
+  long openedAt() {
+    return openedAt;
+  }
 
-    /** A line that cannot be understood costs itself alone: the same would be said again on a new link, for ever. */
-    @Override
-    protected boolean take(ByteBuf in) throws Malformed {
-        waitsSince = NEVER;
-        int length = in.bytesBefore((byte) '\n');
-        if (length < 0 && in.readableBytes() <= MOST_LINE && passedOver == 0) {
-            return false;
-        } else if (length < 0 || length > MOST_LINE || passedOver > 0) {
-            passOver(in, length);
-            return true;
-        }
-        String line = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
-        in.skipBytes(length + 1);
-        try (JsonReader reader = new JsonReader(new StringReader(line))) {
-            notice(Fields.read(reader));
-        } catch (IOException | IllegalStateException | JsonParseException | Malformed bad) {
-            bad(bad.getMessage());
-        }
-        return true;
+  /** Whether all that was missed before it has been read. */
+  boolean caughtUp() {
+    return caughtUp;
+  }
+
+  /** Asks again whether all that was missed has been read, where the pool has not answered yet. */
+  void askAgain() {
+    if (ready() && !caughtUp) {
+      poll(CAUGHT_UP);
     }
+  }
 
-    private void passOver(ByteBuf in, int length) throws Malformed {
-        int part = length < 0 ? in.readableBytes() : length + 1;
-        in.skipBytes(part);
-        passedOver += part;
-        if (passedOver > MOST_PASSED_OVER) {
-            throw new Malformed(Reason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
-        } else if (length >= 0) {
-            bad("a line of " + passedOver + " bytes");
-            passedOver = 0;
-        }
+  @Override
+  protected void opened() {
+    if (pool.opened(this, dial)) {
+      ask("{\"action\":\"bind\",\"pos\":" + pool.lastNotice() + "}");
+    } else {
+      close(Reason.MOVED, "");
     }
+  }
 
-    private void bad(String why) {
-        count("bad-notices");
-        log.line("pool-bad-notice what=\"" + why + "\"");
+  @Override
+  protected void ended() {
+    bound = false;
+    pool.ended(this);
+  }
+
+  /**
+   * A line that cannot be understood costs itself alone: the same would be said again on a new
+   * link, for ever.
+   */
+  @Override
+  protected boolean take(ByteBuf in) throws Malformed {
+    waitsSince = NEVER;
+    int length = in.bytesBefore((byte) '\n');
+    if (length < 0 && in.readableBytes() <= MOST_LINE && passedOver == 0) {
+      return false;
+    } else if (length < 0 || length > MOST_LINE || passedOver > 0) {
+      passOver(in, length);
+      return true;
+    }
+    String line = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
+    in.skipBytes(length + 1);
+    try (JsonReader reader = new JsonReader(new StringReader(line))) {
+      notice(Fields.read(reader));
+    } catch (IOException | IllegalStateException | JsonParseException | Malformed bad) {
+      bad(bad.getMessage());
     }
+    return true;
+  }
 
-    /** For how long nothing has come though something was asked. */
-    long silentFor(long now) {
-        return waitsSince == NEVER ? 0 : now - waitsSince;
+  private void passOver(ByteBuf in, int length) throws Malformed {
+    int part = length < 0 ? in.readableBytes() : length + 1;
+    in.skipBytes(part);
+    passedOver += part;
+    if (passedOver > MOST_PASSED_OVER) {
+      throw new Malformed(Reason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
+    } else if (length >= 0) {
+      bad("a line of " + passedOver + " bytes");
+      passedOver = 0;
     }
+  }
+
+  private void bad(String why) {
+    count("bad-notices");
+    log.line("pool-bad-notice what=\"" + why + "\"");
+  }
+
+  /** For how long nothing has come though something was asked. */
+  long silentFor(long now) {
+    return waitsSince == NEVER ? 0 : now - waitsSince;
+  }
 
-    private void notice(Fields notice) throws IOException, Malformed {
-        String action = notice.text("action");
-        count("notice-" + (Pool.NOTICES.contains(action) ? action : "other"));
-        long place = notice.whole("pos", 0);
-        if (place > 0 && !pool.isNext(this, place)) {
-            return;
+  private void notice(Fields notice) throws IOException, Malformed {
+    String action = notice.text("action");
+    count("notice-" + (Pool.NOTICES.contains(action) ? action : "other"));
+    long place = notice.whole("pos", 0);
+    if (place > 0 && !pool.isNext(this, place)) {
+      return;
+    }
+    switch (action) {
+      case "bound" -> {
+        bound = true;
+        pool.bound();
+        broker.bound(notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
+        poll(CAUGHT_UP);
+      }
+      case "finished" -> finished(notice);
+      case "blocked" -> broker.blocked(notice.text("uid"), decoded(notice.text("content", "")));
+      case "polled" -> {
+        if (!caughtUp) { // any answer: all missed notices come before it
+          caughtUp = true;
+          pool.caughtUp();
+          broker.caughtUp();
         }
-        switch (action) {
-            case "bound" -> {
-                bound = true;
-                pool.bound();
-                broker.bound(notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
-                poll(CAUGHT_UP);
-            }
-            case "finished" -> finished(notice);
-            case "blocked" -> broker.blocked(notice.text("uid"), decoded(notice.text("content", "")));
-            case "polled" -> {
-                if (!caughtUp) { // any answer: all missed notices come before it
-                    caughtUp = true;
-                    pool.caughtUp();
-                    broker.caughtUp();
-                }
-                if (!notice.text("echo", "").equals(CAUGHT_UP)) {
-                    broker.polled(notice.text("echo", ""), notice.numbers("meters"));
-                }
-            }
-            case "verified" -> broker.verified(notice.text("echo", ""), notice.text("code", "").equals("done"));
-            case "unknown" -> {
-                log.line("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
-                if (notice.text("code", "").equals("spawn")) {
-                    broker.finished(notice.text("uid", ""), Outcome.MOOT, 0, null);
-                }
-            }
-            default -> { }
+        if (!notice.text("echo", "").equals(CAUGHT_UP)) {
+          broker.polled(notice.text("echo", ""), notice.numbers("meters"));
         }
-    }
-
-    private void finished(Fields notice) throws IOException, Malformed {
-        String id = notice.text("uid");
-        try {
-            String code = notice.text("code");
-            Outcome outcome = switch (code) {
-                case "done" -> Outcome.GOOD;
-                case "crashed" -> Outcome.FAILED;
-                case "aborted" -> Outcome.STOPPED;
-                case "stale" -> Outcome.MOOT;
-                default -> throw new Malformed(Reason.MALFORMED, "finished as " + code);
-            };
-            byte[] result = outcome == Outcome.GOOD ? decoded(notice.text("content", "")) : null;
-            broker.finished(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
-        } catch (IOException | Malformed unreadable) { // it is over, and its result is lost
-            broker.finished(id, Outcome.FAILED, 0, null);
-            throw unreadable;
+      }
+      case "verified" ->
+          broker.verified(notice.text("echo", ""), notice.text("code", "").equals("done"));
+      case "unknown" -> {
+        log.line("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
+        if (notice.text("code", "").equals("spawn")) {
+          broker.finished(notice.text("uid", ""), Outcome.MOOT, 0, null);
         }
+      }
+      default -> {}
     }
+  }
 
-    private static byte[] decoded(String content) throws Malformed {
-        try {
-            return Base64.getDecoder().decode(content);
-        } catch (IllegalArgumentException notBase64) {
-            throw new Malformed(Reason.MALFORMED, "content is not base64");
-        }
+  private void finished(Fields notice) throws IOException, Malformed {
+    String id = notice.text("uid");
+    try {
+      String code = notice.text("code");
+      Outcome outcome =
+          switch (code) {
+            case "done" -> Outcome.GOOD;
+            case "crashed" -> Outcome.FAILED;
+            case "aborted" -> Outcome.STOPPED;
+            case "stale" -> Outcome.MOOT;
+            default -> throw new Malformed(Reason.MALFORMED, "finished as " + code);
+          };
+      byte[] result = outcome == Outcome.GOOD ? decoded(notice.text("content", "")) : null;
+      broker.finished(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
+    } catch (IOException | Malformed unreadable) { // it is over, and its result is lost
+      broker.finished(id, Outcome.FAILED, 0, null);
+      throw unreadable;
     }
+  }
 
-    private void ask(String line) {
-        waitsSince = Math.min(waitsSince, pool.now());
-        command(line);
+  private static byte[] decoded(String content) throws Malformed {
+    try {
+      return Base64.getDecoder().decode(content);
+    } catch (IllegalArgumentException notBase64) {
+      throw new Malformed(Reason.MALFORMED, "content is not base64");
     }
+  }
 
-    private void command(String line) {
-        ByteBuf out = room(line.length() + 1);
-        out.writeCharSequence(line, StandardCharsets.UTF_8);
-        out.writeByte('\n');
-        send(out);
-    }
+  private void ask(String line) {
+    waitsSince = Math.min(waitsSince, pool.now());
+    command(line);
+  }
 
-    @Override
-    public boolean ready() {
-        return bound && !closed();
-    }
+  private void command(String line) {
+    ByteBuf out = room(line.length() + 1);
+    out.writeCharSequence(line, StandardCharsets.UTF_8);
+    out.writeByte('\n');
+    send(out);
+  }
 
-    @Override
-    public boolean spawn(Exchange exchange) {
-        command("{\"action\":\"spawn\",\"uid\":\"" + exchange.arrival().id() + "\",\"lane\":"
-                + GSON.toJson(exchange.arrival().kind()) + ",\"content\":\""
-                + Base64.getEncoder().encodeToString(exchange.arrival().body()) + "\"}");
-        return true;
-    }
+  @Override
+  public boolean ready() {
+    return bound && !closed();
+  }
 
-    private void named(String action, String word, String value) {
-        command("{\"action\":\"" + action + "\",\"" + word + "\":\"" + value + "\"}");
-    }
+  @Override
+  public boolean spawn(Exchange exchange) {
+    command(
+        "{\"action\":\"spawn\",\"uid\":\""
+            + exchange.arrival().id()
+            + "\",\"lane\":"
+            + GSON.toJson(exchange.arrival().kind())
+            + ",\"content\":\""
+            + Base64.getEncoder().encodeToString(exchange.arrival().body())
+            + "\"}");
+    return true;
+  }
 
-    @Override
-    public void suspend(String id) {
-        named("suspend", "uid", id);
-    }
+  private void named(String action, String word, String value) {
+    command("{\"action\":\"" + action + "\",\"" + word + "\":\"" + value + "\"}");
+  }
 
-    @Override
-    public void proceed(String id) {
-        named("proceed", "uid", id);
-    }
+  @Override
+  public void suspend(String id) {
+    named("suspend", "uid", id);
+  }
 
-    @Override
-    public void supply(String id, byte[] result) {
-        command("{\"action\":\"supply\",\"uid\":\"" + id + "\",\"content\":\""
-                + Base64.getEncoder().encodeToString(result) + "\"}");
-    }
+  @Override
+  public void proceed(String id) {
+    named("proceed", "uid", id);
+  }
 
-    @Override
-    public void pass(String id) {
-        named("pass", "uid", id);
-    }
+  @Override
+  public void supply(String id, byte[] result) {
+    command(
+        "{\"action\":\"supply\",\"uid\":\""
+            + id
+            + "\",\"content\":\""
+            + Base64.getEncoder().encodeToString(result)
+            + "\"}");
+  }
 
-    @Override
-    public void poll(String echo) {
-        ask("{\"action\":\"poll\",\"echo\":\"" + echo + "\"}");
-    }
+  @Override
+  public void pass(String id) {
+    named("pass", "uid", id);
+  }
 
-    @Override
-    public void verify(String echo) {
-        named("verify", "echo", echo);
-    }
+  @Override
+  public void poll(String echo) {
+    ask("{\"action\":\"poll\",\"echo\":\"" + echo + "\"}");
+  }
+
+  @Override
+  public void verify(String echo) {
+    named("verify", "echo", echo);
+  }
 }
--- a/src/main/java/mothwing/script/Limits.java
+++ b/src/main/java/mothwing/script/Limits.java
@@ -10,6 +10,6 @@
  * @param files most files loaded
  */
 public record Limits(long steps, int depth, long cells, int fileBytes, int files) {
-    /** Enough for settings written by hand or by a small loop. */
-    public static final Limits USUAL = new Limits(1_000_000, 64, 4_000_000, 256 << 10, 32);
+  /** Enough for settings written by hand or by a small loop. */
+  public static final Limits USUAL = new Limits(1_000_000, 64, 4_000_000, 256 << 10, 32);
 }
--- a/src/main/java/mothwing/script/Place.java
+++ b/src/main/java/mothwing/script/Place.java
@@ -8,8 +8,8 @@
  * @param column counted from 1
  */
 public record Place(String file, int line, int column) {
-    @Override
-    public String toString() {
-        return file + ":" + line + ":" + column;
-    }
+  @Override
+  public String toString() {
+    return file + ":" + line + ":" + column;
+  }
 }
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -32,134 +32,162 @@
  * @param settings the settings of the site
  * @param told all that it was read from
  */
-public record Config(String name, InetSocketAddress listen, InetSocketAddress pool, InetSocketAddress announce,
-        InetSocketAddress ledger, InetSocketAddress management, long stopMs, int sockets, Settings settings, Fields told) {
-    private static final int HEXADECIMAL = 16;
+public record Config(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress pool,
+    InetSocketAddress announce,
+    InetSocketAddress ledger,
+    InetSocketAddress management,
+    long stopMs,
+    int sockets,
+    Settings settings,
+    Fields told) {
+  private static final int HEXADECIMAL = 16;
 
-    /**
-     * Reads a configuration. The same checks hold at a start, for {@code check} and at SIGHUP.
-     *
-     * @param json its text
-     * @return the configuration
-     * @throws IOException where it cannot be understood; the message names the field
-     */
-    public static Config read(Reader json) throws IOException {
-        Fields all = object(json);
-        Settings settings = SettingsCodec.read(seed(all.text("seed")), all.requiredInner("settings"));
-        if (settings.classes().isEmpty()) {
-            throw new BadInput("field settings.Classes: required");
-        }
-        return new Config(all.text("name"), address(all, "listen"), address(all, "pool"), address(all, "announce"),
-                ledger(all.text("ledger", "")), management(all.text("management", "")), all.positive("stop_ms"),
-                (int) all.requiredInner("limits").positive("sockets"), settings, all);
+  /**
+   * Reads a configuration. The same checks hold at a start, for {@code check} and at SIGHUP.
+   *
+   * @param json its text
+   * @return the configuration
+   * @throws IOException where it cannot be understood; the message names the field
+   */
+  public static Config read(Reader json) throws IOException {
+    Fields all = object(json);
+    Settings settings = SettingsCodec.read(seed(all.text("seed")), all.requiredInner("settings"));
+    if (settings.classes().isEmpty()) {
+      throw new BadInput("field settings.Classes: required");
     }
+    return new Config(
+        all.text("name"),
+        address(all, "listen"),
+        address(all, "pool"),
+        address(all, "announce"),
+        ledger(all.text("ledger", "")),
+        management(all.text("management", "")),
+        all.positive("stop_ms"),
+        (int) all.requiredInner("limits").positive("sockets"),
+        settings,
+        all);
+  }
 
-    /**
-     * Reads a configuration's file.
-     *
-     * @param path its path
-     * @return the configuration
-     * @throws IOException where it cannot be read or understood
-     */
-    public static Config read(String path) throws IOException {
-        if (path.isEmpty()) {
-            throw new IOException("no configuration: give --config or EDGE_CONFIG");
-        }
-        try (Reader text = Files.newBufferedReader(Path.of(path))) {
-            return read(text);
-        }
+  /**
+   * Reads a configuration's file.
+   *
+   * @param path its path
+   * @return the configuration
+   * @throws IOException where it cannot be read or understood
+   */
+  public static Config read(String path) throws IOException {
+    if (path.isEmpty()) {
+      throw new IOException("no configuration: give --config or EDGE_CONFIG");
     }
-
-    /**
-     * Reads the file that is to follow this configuration. A file that names less than this one was cut, or is not
-     * meant.
-     *
-     * @param path its path
-     * @return the configuration
-     * @throws IOException where it cannot be read or understood, or lacks a key
-     */
-    Config next(String path) throws IOException {
-        Config now = read(path);
-        told.requireKeysIn(now.told);
-        return now;
+    try (Reader text = Files.newBufferedReader(Path.of(path))) {
+      return read(text);
     }
+  }
 
-    /**
-     * This configuration with what a running server can take of a new one.
-     *
-     * @param now the new one
-     * @return the one in force
-     */
-    Config moved(Config now) {
-        return new Config(name, listen, now.pool, now.announce, now.ledger, management, now.stopMs, sockets, now.settings, now.told);
-    }
+  /**
+   * Reads the file that is to follow this configuration. A file that names less than this one was
+   * cut, or is not meant.
+   *
+   * @param path its path
+   * @return the configuration
+   * @throws IOException where it cannot be read or understood, or lacks a key
+   */
+  Config next(String path) throws IOException {
+    Config now = read(path);
+    told.requireKeysIn(now.told);
+    return now;
+  }
 
-    /** The fields in which a new configuration asks for what only a new start can give. */
-    String differences(Config now) {
-        List<String> all = new ArrayList<>();
-        if (!name.equals(now.name)) {
-            all.add("name");
-        }
-        if (!listen.equals(now.listen)) {
-            all.add("listen");
-        }
-        if (!Objects.equals(management, now.management)) {
-            all.add("management");
-        }
-        if (sockets != now.sockets) {
-            all.add("limits");
-        }
-        return String.join(",", all);
-    }
+  /**
+   * This configuration with what a running server can take of a new one.
+   *
+   * @param now the new one
+   * @return the one in force
+   */
+  Config moved(Config now) {
+    return new Config(
+        name,
+        listen,
+        now.pool,
+        now.announce,
+        now.ledger,
+        management,
+        now.stopMs,
+        sockets,
+        now.settings,
+        now.told);
+  }
 
-    /**
-     * Reads our own settings of a shop server.
-     *
-     * @param file our settings script, or where its name ends with {@code .json} the older form, a JSON object with the field
-     *     {@code listen} that says where AJP is spoken
-     * @return the settings
-     * @throws IOException where it cannot be read or understood
-     */
-    public static Site readSite(Path file) throws IOException {
-        if (!file.toString().endsWith(".json")) {
-            return SiteScript.read(file);
-        }
-        try (Reader text = Files.newBufferedReader(file)) {
-            return new Site(address(object(text), "listen"), null, null);
-        }
+  /** The fields in which a new configuration asks for what only a new start can give. */
+  String differences(Config now) {
+    List<String> all = new ArrayList<>();
+    if (!name.equals(now.name)) {
+      all.add("name");
     }
-
-    private static Fields object(Reader json) throws IOException {
-        try (JsonReader reader = new JsonReader(json)) {
-            Fields all = Fields.read(reader);
-            if (reader.peek() != JsonToken.END_DOCUMENT) {
-                throw new BadInput("something follows the JSON object");
-            }
-            return all;
-        } catch (IllegalStateException notObject) {
-            throw new BadInput("not a JSON object");
-        }
+    if (!listen.equals(now.listen)) {
+      all.add("listen");
     }
-
-    private static long seed(String text) throws BadInput {
-        try {
-            return Long.parseUnsignedLong(text, HEXADECIMAL);
-        } catch (NumberFormatException notOne) {
-            throw new BadInput("field seed: not a hexadecimal number");
-        }
+    if (!Objects.equals(management, now.management)) {
+      all.add("management");
     }
+    if (sockets != now.sockets) {
+      all.add("limits");
+    }
+    return String.join(",", all);
+  }
 
-    /** Where operators call: what the configuration says, else what the environment does. */
-    private static InetSocketAddress management(String told) throws BadInput {
-        String address = told.isEmpty() ? Objects.requireNonNullElse(System.getenv("EDGE_MANAGEMENT"), "") : told;
-        return address.isEmpty() ? null : Addresses.read(address, "management");
+  /**
+   * Reads our own settings of a shop server.
+   *
+   * @param file our settings script, or where its name ends with {@code .json} the older form, a
+   *     JSON object with the field {@code listen} that says where AJP is spoken
+   * @return the settings
+   * @throws IOException where it cannot be read or understood
+   */
+  public static Site readSite(Path file) throws IOException {
+    if (!file.toString().endsWith(".json")) {
+      return SiteScript.read(file);
+    }
+    try (Reader text = Files.newBufferedReader(file)) {
+      return new Site(address(object(text), "listen"), null, null);
     }
+  }
 
-    private static InetSocketAddress ledger(String told) throws BadInput {
-        return told.isEmpty() ? null : Addresses.read(told, "ledger");
+  private static Fields object(Reader json) throws IOException {
+    try (JsonReader reader = new JsonReader(json)) {
+      Fields all = Fields.read(reader);
+      if (reader.peek() != JsonToken.END_DOCUMENT) {
+        throw new BadInput("something follows the JSON object");
+      }
+      return all;
+    } catch (IllegalStateException notObject) {
+      throw new BadInput("not a JSON object");
     }
+  }
 
-    private static InetSocketAddress address(Fields all, String name) throws BadInput {
-        return Addresses.read(all.text(name), name);
+  private static long seed(String text) throws BadInput {
+    try {
+      return Long.parseUnsignedLong(text, HEXADECIMAL);
+    } catch (NumberFormatException notOne) {
+      throw new BadInput("field seed: not a hexadecimal number");
     }
+  }
+
+  /** Where operators call: what the configuration says, else what the environment does. */
+  private static InetSocketAddress management(String told) throws BadInput {
+    String address =
+        told.isEmpty() ? Objects.requireNonNullElse(System.getenv("EDGE_MANAGEMENT"), "") : told;
+    return address.isEmpty() ? null : Addresses.read(address, "management");
+  }
+
+  private static InetSocketAddress ledger(String told) throws BadInput {
+    return told.isEmpty() ? null : Addresses.read(told, "ledger");
+  }
+
+  private static InetSocketAddress address(Fields all, String name) throws BadInput {
+    return Addresses.read(all.text(name), name);
+  }
 }
--- a/src/main/java/mothwing/server/Descriptors.java
+++ b/src/main/java/mothwing/server/Descriptors.java
@@ -8,56 +8,58 @@
 
 /** How many descriptors this process may hold, and how many of them no client gets. */
 final class Descriptors {
-    private static final Path LIMITS = Path.of("/proc/self/limits");
-    private static final String OPEN_FILES = "Max open files";
-    private static final int MOST_SPARE = 64;
-    private static final int LEAST_SPARE = 24; // links, dials and listeners, and those that wait for the other side's close
-    private static final int USUALLY_HELD = 16;
-    private static final Path OPEN = Path.of("/proc/self/fd");
+  private static final Path LIMITS = Path.of("/proc/self/limits");
+  private static final String OPEN_FILES = "Max open files";
+  private static final int MOST_SPARE = 64;
+  private static final int LEAST_SPARE =
+      24; // links, dials and listeners, and those that wait for the other side's close
+  private static final int USUALLY_HELD = 16;
+  private static final Path OPEN = Path.of("/proc/self/fd");
 
-    private Descriptors() {
-    }
+  private Descriptors() {}
 
-    /**
-     * The lower of what the configuration says and what the kernel does.
-     *
-     * @param told the number in the configuration
-     * @return descriptors, above 0
-     */
-    static int most(int told) {
-        try {
-            return Math.min(told, limit(Files.readAllLines(LIMITS, StandardCharsets.ISO_8859_1), told));
-        } catch (IOException notLinux) {
-            return told;
-        }
+  /**
+   * The lower of what the configuration says and what the kernel does.
+   *
+   * @param told the number in the configuration
+   * @return descriptors, above 0
+   */
+  static int most(int told) {
+    try {
+      return Math.min(told, limit(Files.readAllLines(LIMITS, StandardCharsets.ISO_8859_1), told));
+    } catch (IOException notLinux) {
+      return told;
     }
+  }
 
-    /** The soft limit in the kernel's table, or another number where it says none. */
-    static int limit(List<String> table, int otherwise) {
-        for (String line : table) {
-            if (line.startsWith(OPEN_FILES)) {
-                String soft = line.substring(OPEN_FILES.length()).strip().split("\\s+")[0];
-                return soft.matches("[1-9][0-9]{0,8}") ? Integer.parseInt(soft) : otherwise;
-            }
-        }
-        return otherwise;
+  /** The soft limit in the kernel's table, or another number where it says none. */
+  static int limit(List<String> table, int otherwise) {
+    for (String line : table) {
+      if (line.startsWith(OPEN_FILES)) {
+        String soft = line.substring(OPEN_FILES.length()).strip().split("\\s+")[0];
+        return soft.matches("[1-9][0-9]{0,8}") ? Integer.parseInt(soft) : otherwise;
+      }
     }
+    return otherwise;
+  }
 
-    /**
-     * Descriptors that are kept for the links to the pool, the ledger and the announce service, for connections whose other
-     * side has yet to close, and for the runtime: however many clients come, reports and runs go on.
-     *
-     * @param most descriptors in all
-     * @param held how many this process holds before it listens
-     * @return their number: a quarter, {@value #MOST_SPARE} at most, but no less than those held and {@value #LEAST_SPARE} more
-     */
-    static int spare(int most, int held) {
-        return Math.max(held + LEAST_SPARE, Math.min(MOST_SPARE, most / 4));
-    }
+  /**
+   * Descriptors that are kept for the links to the pool, the ledger and the announce service, for
+   * connections whose other side has yet to close, and for the runtime: however many clients come,
+   * reports and runs go on.
+   *
+   * @param most descriptors in all
+   * @param held how many this process holds before it listens
+   * @return their number: a quarter, {@value #MOST_SPARE} at most, but no less than those held and
+   *     {@value #LEAST_SPARE} more
+   */
+  static int spare(int most, int held) {
+    return Math.max(held + LEAST_SPARE, Math.min(MOST_SPARE, most / 4));
+  }
 
-    /** How many this process holds now, or an ordinary number where the kernel does not say. */
-    static int held() {
-        String[] all = OPEN.toFile().list();
-        return all == null ? USUALLY_HELD : all.length;
-    }
+  /** How many this process holds now, or an ordinary number where the kernel does not say. */
+  static int held() {
+    String[] all = OPEN.toFile().list();
+    return all == null ? USUALLY_HELD : all.length;
+  }
 }
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -21,120 +21,134 @@
 
 /** The DNS server as a process: its loop, its two helper threads, reload, drain and exit. */
 public final class DnsService implements Service {
-    private static final long STOP_MS = 5000;
-    private static final int LEAVE_PERIOD_MS = 20;
+  private static final long STOP_MS = 5000;
+  private static final int LEAVE_PERIOD_MS = 20;
 
-    private final Path settings;
-    private final Log log;
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final EventLoop loop = group.next();
-    private final LoopTimers timers = new LoopTimers(loop);
-    private final ExecutorService writer = helper("dns-write");
-    private final ExecutorService reader = helper("dns-read");
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final DnsFront front;
-    private boolean draining;
-    private long stopAt;
+  private final Path settings;
+  private final Log log;
+  private final NioEventLoopGroup group = new NioEventLoopGroup(1);
+  private final EventLoop loop = group.next();
+  private final LoopTimers timers = new LoopTimers(loop);
+  private final ExecutorService writer = helper("dns-write");
+  private final ExecutorService reader = helper("dns-read");
+  private final CountDownLatch ended = new CountDownLatch(1);
+  private final DnsFront front;
+  private boolean draining;
+  private long stopAt;
 
-    /**
-     * Wires a server that is not started yet.
-     *
-     * @param settings the settings script
-     * @param log takes lines of the log
-     * @throws IOException where the script cannot be read or asks for no DNS
-     */
-    public DnsService(Path settings, Log log) throws IOException {
-        this.settings = settings;
-        this.log = log;
-        front = new DnsFront(dns(settings), loop, PooledByteBufAllocator.DEFAULT, timers, writer, reader,
-                new Counters(), log);
-    }
+  /**
+   * Wires a server that is not started yet.
+   *
+   * @param settings the settings script
+   * @param log takes lines of the log
+   * @throws IOException where the script cannot be read or asks for no DNS
+   */
+  public DnsService(Path settings, Log log) throws IOException {
+    this.settings = settings;
+    this.log = log;
+    front =
+        new DnsFront(
+            dns(settings),
+            loop,
+            PooledByteBufAllocator.DEFAULT,
+            timers,
+            writer,
+            reader,
+            new Counters(),
+            log);
+  }
 
-    private static Site.Dns dns(Path settings) throws IOException {
-        Site.Dns dns = SiteScript.read(settings).dns();
-        if (dns == null) {
-            throw new BadInput(settings + ": no dns(listen = ...)");
-        }
-        return dns;
+  private static Site.Dns dns(Path settings) throws IOException {
+    Site.Dns dns = SiteScript.read(settings).dns();
+    if (dns == null) {
+      throw new BadInput(settings + ": no dns(listen = ...)");
     }
+    return dns;
+  }
 
-    private static ExecutorService helper(String name) {
-        return Executors.newSingleThreadExecutor(work -> {
-            Thread thread = new Thread(work, name);
-            thread.setDaemon(true);
-            return thread;
+  private static ExecutorService helper(String name) {
+    return Executors.newSingleThreadExecutor(
+        work -> {
+          Thread thread = new Thread(work, name);
+          thread.setDaemon(true);
+          return thread;
         });
-    }
+  }
 
-    /**
-     * Reads keys and zones and listens.
-     *
-     * @throws IOException where that fails
-     */
-    public void start() throws IOException {
-        front.start();
-    }
+  /**
+   * Reads keys and zones and listens.
+   *
+   * @throws IOException where that fails
+   */
+  public void start() throws IOException {
+    front.start();
+  }
 
-    /** Reads the settings, keys and zone files again: may come from any thread. What cannot be read changes nothing. */
-    public void reload() {
-        reader.execute(() -> {
-            try {
-                front.reload(dns(settings));
-            } catch (IOException | RuntimeException bad) {
-                log.line("reload-failed what=\"" + bad.getMessage() + "\"");
-            }
+  /**
+   * Reads the settings, keys and zone files again: may come from any thread. What cannot be read
+   * changes nothing.
+   */
+  public void reload() {
+    reader.execute(
+        () -> {
+          try {
+            front.reload(dns(settings));
+          } catch (IOException | RuntimeException bad) {
+            log.line("reload-failed what=\"" + bad.getMessage() + "\"");
+          }
         });
-    }
+  }
 
-    /**
-     * Where it listens.
-     *
-     * @return the address, with the port that was given
-     */
-    public InetSocketAddress address() {
-        return front.address();
-    }
+  /**
+   * Where it listens.
+   *
+   * @return the address, with the port that was given
+   */
+  public InetSocketAddress address() {
+    return front.address();
+  }
 
-    @Override
-    public void drain() {
-        loop.execute(() -> {
-            if (!draining) {
-                draining = true;
-                stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_MS);
-                front.drain(STOP_MS);
-                leave();
-            }
+  @Override
+  public void drain() {
+    loop.execute(
+        () -> {
+          if (!draining) {
+            draining = true;
+            stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_MS);
+            front.drain(STOP_MS);
+            leave();
+          }
         });
-    }
+  }
 
-    private void leave() {
-        boolean last = System.nanoTime() >= stopAt;
-        if (front.drained(last) || last) {
-            log.line("leave");
-            front.close(ended::countDown);
-        } else {
-            loop.schedule(this::leave, LEAVE_PERIOD_MS, TimeUnit.MILLISECONDS);
-        }
+  private void leave() {
+    boolean last = System.nanoTime() >= stopAt;
+    if (front.drained(last) || last) {
+      log.line("leave");
+      front.close(ended::countDown);
+    } else {
+      loop.schedule(this::leave, LEAVE_PERIOD_MS, TimeUnit.MILLISECONDS);
     }
+  }
 
-    @Override
-    public void await() throws InterruptedException {
-        ended.await();
-    }
+  @Override
+  public void await() throws InterruptedException {
+    ended.await();
+  }
 
-    @Override
-    public String counts() {
-        try {
-            return "counts " + loop.submit(front::counts).get(1, TimeUnit.SECONDS);
-        } catch (InterruptedException | ExecutionException | TimeoutException late) {
-            return "counts unknown";
-        }
+  @Override
+  public String counts() {
+    try {
+      return "counts " + loop.submit(front::counts).get(1, TimeUnit.SECONDS);
+    } catch (InterruptedException | ExecutionException | TimeoutException late) {
+      return "counts unknown";
     }
+  }
 
-    /** Ends its threads, whatever is on its way. */
-    public void close() {
-        writer.shutdownNow();
-        reader.shutdownNow();
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-    }
+  /** Ends its threads, whatever is on its way. */
+  public void close() {
+    writer.shutdownNow();
+    reader.shutdownNow();
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+  }
 }
--- a/src/main/java/mothwing/server/LineLog.java
+++ b/src/main/java/mothwing/server/LineLog.java
@@ -8,59 +8,60 @@
 import mothwing.broker.Log;
 
 /**
- * Writes the log on a thread of its own, each line with its time: whoever reads it slowly does not hold up the
- * event loop. Lines beyond a bound are dropped, and their number is written in their place.
+ * Writes the log on a thread of its own, each line with its time: whoever reads it slowly does not
+ * hold up the event loop. Lines beyond a bound are dropped, and their number is written in their
+ * place.
  */
 public final class LineLog implements Log {
-    private static final int MOST_WAITING = 4096;
-    private static final String END = "";
+  private static final int MOST_WAITING = 4096;
+  private static final String END = "";
 
-    private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
-    private final AtomicLong dropped = new AtomicLong();
-    private final PrintStream out;
-    private final Thread writer = new Thread(this::write, "log");
+  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+  private final AtomicLong dropped = new AtomicLong();
+  private final PrintStream out;
+  private final Thread writer = new Thread(this::write, "log");
 
-    /**
-     * Makes a log.
-     *
-     * @param out where its lines go
-     */
-    public LineLog(PrintStream out) {
-        this.out = out;
-        writer.setDaemon(true);
-        writer.start();
-    }
+  /**
+   * Makes a log.
+   *
+   * @param out where its lines go
+   */
+  public LineLog(PrintStream out) {
+    this.out = out;
+    writer.setDaemon(true);
+    writer.start();
+  }
 
-    @Override
-    public void line(String line) {
-        if (!waiting.offer(System.currentTimeMillis() + " " + line)) {
-            dropped.incrementAndGet();
-        }
+  @Override
+  public void line(String line) {
+    if (!waiting.offer(System.currentTimeMillis() + " " + line)) {
+      dropped.incrementAndGet();
     }
+  }
 
-    private void write() {
-        try {
-            for (String line = waiting.take(); !line.equals(END); line = waiting.take()) {
-                out.println(line);
-                long lost = dropped.getAndSet(0);
-                if (lost > 0) {
-                    out.println(System.currentTimeMillis() + " log-dropped lines=" + lost);
-                }
-            }
-            out.flush();
-        } catch (InterruptedException ended) {
-            Thread.currentThread().interrupt();
+  private void write() {
+    try {
+      for (String line = waiting.take(); !line.equals(END); line = waiting.take()) {
+        out.println(line);
+        long lost = dropped.getAndSet(0);
+        if (lost > 0) {
+          out.println(System.currentTimeMillis() + " log-dropped lines=" + lost);
         }
+      }
+      out.flush();
+    } catch (InterruptedException ended) {
+      Thread.currentThread().interrupt();
     }
+  }
 
-    /**
-     * Writes what is waiting, for at most a moment.
-     *
-     * @throws InterruptedException where the wait is broken off
-     */
-    public void close() throws InterruptedException {
-        if (waiting.offer(END, 1, TimeUnit.SECONDS)) {
-            writer.join(TimeUnit.SECONDS.toMillis(1));
-        }
+  /**
+   * Writes what is waiting, for at most a moment.
+   *
+   * @throws InterruptedException where the wait is broken off
+   */
+  public void close() throws InterruptedException {
+    if (waiting.offer(END, 1, TimeUnit.SECONDS)) {
+      writer.join(TimeUnit.SECONDS.toMillis(1));
     }
+  }
 }
--- a/src/main/java/mothwing/server/LoopTimers.java
+++ b/src/main/java/mothwing/server/LoopTimers.java
@@ -6,32 +6,32 @@
 
 /** The clocks of the system, and timers on the event loop. */
 final class LoopTimers implements Timers {
-    private static final long NANOS = 1000;
+  private static final long NANOS = 1000;
 
-    private final EventLoop loop;
-    private final long start = System.nanoTime();
+  private final EventLoop loop;
+  private final long start = System.nanoTime();
 
-    LoopTimers(EventLoop loop) {
-        this.loop = loop;
-    }
+  LoopTimers(EventLoop loop) {
+    this.loop = loop;
+  }
 
-    @Override
-    public long now() {
-        return (System.nanoTime() - start) / NANOS;
-    }
+  @Override
+  public long now() {
+    return (System.nanoTime() - start) / NANOS;
+  }
 
-    @Override
-    public long wallMs() {
-        return System.currentTimeMillis();
-    }
+  @Override
+  public long wallMs() {
+    return System.currentTimeMillis();
+  }
 
-    @Override
-    public void at(long at, Runnable work) {
-        long wait = at - now();
-        if (wait <= 0) {
-            loop.execute(work);
-        } else {
-            loop.schedule(work, wait, TimeUnit.MICROSECONDS);
-        }
+  @Override
+  public void at(long at, Runnable work) {
+    long wait = at - now();
+    if (wait <= 0) {
+      loop.execute(work);
+    } else {
+      loop.schedule(work, wait, TimeUnit.MICROSECONDS);
     }
+  }
 }
--- a/src/main/java/mothwing/server/Reload.java
+++ b/src/main/java/mothwing/server/Reload.java
@@ -6,42 +6,49 @@
 import mothwing.settings.BadInput;
 
 /**
- * Reads the configuration again and gives it to the running server. The file is read on a thread of its own, one
- * reading after the other: the event loop never waits for a disk, and the last reading is the one that holds.
+ * Reads the configuration again and gives it to the running server. The file is read on a thread of
+ * its own, one reading after the other: the event loop never waits for a disk, and the last reading
+ * is the one that holds.
  */
 public final class Reload {
-    private final String path;
-    private final Server server;
-    private Config last;
-    private final ExecutorService reader = Executors.newSingleThreadExecutor(work -> {
-        Thread thread = new Thread(work, "reload");
-        thread.setDaemon(true);
-        return thread;
-    });
+  private final String path;
+  private final Server server;
+  private Config last;
+  private final ExecutorService reader =
+      Executors.newSingleThreadExecutor(
+          work -> {
+            Thread thread = new Thread(work, "reload");
+            thread.setDaemon(true);
+            return thread;
+          });
 
-    /**
-     * Makes one.
-     *
-     * @param path the path of the configuration
-     * @param first the configuration in force
-     * @param server takes what was read
-     */
-    public Reload(String path, Config first, Server server) {
-        this.path = path;
-        this.last = first;
-        this.server = server;
-    }
+  /**
+   * Makes one.
+   *
+   * @param path the path of the configuration
+   * @param first the configuration in force
+   * @param server takes what was read
+   */
+  public Reload(String path, Config first, Server server) {
+    this.path = path;
+    this.last = first;
+    this.server = server;
+  }
 
-    /** Reads it once more: may come from any thread, and more than once. What cannot be read changes nothing. */
-    public void again() {
-        reader.execute(() -> {
-            try {
-                Config now = last.next(path);
-                server.reload(now);
-                last = now;
-            } catch (IOException | RuntimeException bad) {
-                server.reloadFailed(bad instanceof BadInput ? bad.getMessage() : bad.toString());
-            }
+  /**
+   * Reads it once more: may come from any thread, and more than once. What cannot be read changes
+   * nothing.
+   */
+  public void again() {
+    reader.execute(
+        () -> {
+          try {
+            Config now = last.next(path);
+            server.reload(now);
+            last = now;
+          } catch (IOException | RuntimeException bad) {
+            server.reloadFailed(bad instanceof BadInput ? bad.getMessage() : bad.toString());
+          }
         });
-    }
+  }
 }
