--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -45,346 +45,423 @@
 
 /** One shop server: the parts, wired together on one event loop, from its start to its end. */
 public final class Server implements Service {
-    private static final long MILLI = 1000;
-    private static final long TRIM_PERIOD = 50 * MILLI;
-    private static final int MOST_OPERATORS = 16;
-    private static final long PATIENCE = 2500 * MILLI; // some write for 2 s; bad clients are owed an end within 3 s
-    private static final long DOOR_PATIENCE = 10_000 * MILLI; // operators may type; others make room at the bound
-    private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
-    private static final int PAGE = 8192;
-    private static final int CHUNK_ORDER = 5; // chunks of 256 KiB
+  private static final long MILLI = 1000;
+  private static final long TRIM_PERIOD = 50 * MILLI;
+  private static final int MOST_OPERATORS = 16;
+  private static final long PATIENCE =
+      2500 * MILLI; // some write for 2 s; bad clients are owed an end within 3 s
+  private static final long DOOR_PATIENCE =
+      10_000 * MILLI; // operators may type; others make room at the bound
+  private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
+  private static final int PAGE = 8192;
+  private static final int CHUNK_ORDER = 5; // chunks of 256 KiB
 
-    private final InetSocketAddress ajp;
-    private final Log log;
-    private final Counters counters = new Counters();
-    private final NioEventLoopGroup group = new NioEventLoopGroup(1);
-    private final EventLoop loop = group.next();
-    private final PooledByteBufAllocator allocator =
-            new PooledByteBufAllocator(true, 1, 1, PAGE, CHUNK_ORDER, 0, 0, false);
-    private final LoopTimers timers = new LoopTimers(loop);
-    private final List<Front> fronts = new ArrayList<>();
-    private final List<Listener> listeners = new CopyOnWriteArrayList<>(); // those that listen
-    private final CountDownLatch ended = new CountDownLatch(1);
-    private final Pool pool;
-    private final Broker broker;
-    private final Announcer announcer;
-    private volatile boolean failed;
-    private boolean leaving;
-    private int binding = 1; // binds under way, and the start itself
-    private Config config;
-    private Listener door;
-    private Peer peer;
-    private Ledger ledger;
-    private long reloads;
-    private long reloadErrors;
-    private long idleSpan;
+  private final InetSocketAddress ajp;
+  private final Log log;
+  private final Counters counters = new Counters();
+  private final NioEventLoopGroup group = new NioEventLoopGroup(1);
+  private final EventLoop loop = group.next();
+  private final PooledByteBufAllocator allocator =
+      new PooledByteBufAllocator(true, 1, 1, PAGE, CHUNK_ORDER, 0, 0, false);
+  private final LoopTimers timers = new LoopTimers(loop);
+  private final List<Front> fronts = new ArrayList<>();
+  private final List<Listener> listeners = new CopyOnWriteArrayList<>(); // those that listen
+  private final CountDownLatch ended = new CountDownLatch(1);
+  private final Pool pool;
+  private final Broker broker;
+  private final Announcer announcer;
+  private volatile boolean failed;
+  private boolean leaving;
+  private int binding = 1; // binds under way, and the start itself
+  private Config config;
+  private Listener door;
+  private Peer peer;
+  private Ledger ledger;
+  private long reloads;
+  private long reloadErrors;
+  private long idleSpan;
 
-    private record Front(Listener listener, InetSocketAddress address) { }
+  private record Front(Listener listener, InetSocketAddress address) {}
 
-    /**
-     * Wires a server that is not started yet.
-     *
-     * @param config what it is told
-     * @param ajp where to listen for AJP, or null for nowhere
-     * @param log takes lines of the log
-     */
-    public Server(Config config, InetSocketAddress ajp, Log log) {
-        this.config = config;
-        this.ajp = ajp;
-        this.log = log;
-        pool = new Pool(dialer(config.pool()), timers, counters, log);
-        broker = new Broker(config.settings(), Brain::new, pool, timers, counters, log);
-        announcer = new Announcer(dialer(config.announce()), config.name(),
-                () -> !broker.draining() && !broker.away(), timers, counters, log);
-        if (config.ledger() != null) {
-            callBelow();
-        }
-        idleSpan = config.settings().signals().idle();
-        broker.trimWith(span -> idleSpan = span);
+  /**
+   * Wires a server that is not started yet.
+   *
+   * @param config what it is told
+   * @param ajp where to listen for AJP, or null for nowhere
+   * @param log takes lines of the log
+   */
+  public Server(Config config, InetSocketAddress ajp, Log log) {
+    this.config = config;
+    this.ajp = ajp;
+    this.log = log;
+    pool = new Pool(dialer(config.pool()), timers, counters, log);
+    broker = new Broker(config.settings(), Brain::new, pool, timers, counters, log);
+    announcer =
+        new Announcer(
+            dialer(config.announce()),
+            config.name(),
+            () -> !broker.draining() && !broker.away(),
+            timers,
+            counters,
+            log);
+    if (config.ledger() != null) {
+      callBelow();
     }
+    idleSpan = config.settings().signals().idle();
+    broker.trimWith(span -> idleSpan = span);
+  }
 
-    /**
-     * Makes it a member of a fleet. To be called before {@link #start}; nothing of it is loaded otherwise.
-     *
-     * @param fleet which
-     * @throws IOException where the server's name cannot travel
-     */
-    public void join(Site.Fleet fleet) throws IOException {
-        if (!Site.Fleet.mayBeCalled(config.name())) {
-            throw new IOException("field name: \"" + config.name() + "\" is not " + Site.Fleet.NAMED
-                    + ", as a member of a fleet is called");
-        }
-        peer = new Peer(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
+  /**
+   * Makes it a member of a fleet. To be called before {@link #start}; nothing of it is loaded
+   * otherwise.
+   *
+   * @param fleet which
+   * @throws IOException where the server's name cannot travel
+   */
+  public void join(Site.Fleet fleet) throws IOException {
+    if (!Site.Fleet.mayBeCalled(config.name())) {
+      throw new IOException(
+          "field name: \""
+              + config.name()
+              + "\" is not "
+              + Site.Fleet.NAMED
+              + ", as a member of a fleet is called");
     }
+    peer = new Peer(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
+  }
 
-    private void callBelow() {
-        ledger = new Ledger(dialer(config.ledger()), timers, counters, log);
-        ledger.serve(broker);
-    }
+  private void callBelow() {
+    ledger = new Ledger(dialer(config.ledger()), timers, counters, log);
+    ledger.serve(broker);
+  }
 
-    private Dialer dialer(InetSocketAddress to) {
-        return new Dialer(loop, allocator, to);
-    }
+  private Dialer dialer(InetSocketAddress to) {
+    return new Dialer(loop, allocator, to);
+  }
 
-    /**
-     * Starts: listens, links to the pool, reports. Where there is an operators' door the address of clients may be
-     * shared with the process that this one is to follow, so they are listened for once the pool is up.
-     *
-     * @throws IOException where it cannot listen
-     */
-    public void start() throws IOException {
-        int descriptors = Descriptors.most(config.sockets());
-        int most = Math.max(1, (descriptors - Descriptors.spare(descriptors, Descriptors.held())) / (ajp == null ? 1 : 2));
-        fronts.add(new Front(listener("fastcgi", () -> new FastCgiConnection(broker, log, counters), most, PATIENCE),
-                config.listen()));
-        if (ajp != null) {
-            fronts.add(new Front(listener("ajp", () -> new AjpConnection(broker, log, counters), most, PATIENCE), ajp));
-        }
-        FairReads turns = new FairReads(timers);
-        broker.shedWith(turns::sheds);
-        fronts.forEach(one -> one.listener().inTurns(turns));
-        if (config.management() == null) {
-            listenNow(fronts);
-        } else {
-            fronts.forEach(one -> one.listener().share());
-            Operations operations = new Operators();
-            door = listener("management", () -> new DoorConnection(operations, log, counters), MOST_OPERATORS,
-                    DOOR_PATIENCE);
-            shareClaims();
-            listenNow(List.of(new Front(door, config.management())));
-            broker.whenReady(() -> listenLater(List.copyOf(fronts)));
-        }
-        loop.execute(() -> {
-            pool.link(broker);
-            announcer.start();
-            if (peer != null) {
-                peer.start();
-            }
-            trim();
-            bindingOver();
-        });
-        log.line("start name=" + config.name() + " listen=" + config.listen() + " ajp=" + (ajp == null ? "off" : ajp)
-                + " management=" + (door == null ? "off" : door.address()) + " sockets=" + config.sockets()
-                + " stop_ms=" + config.stopMs());
+  /**
+   * Starts: listens, links to the pool, reports. Where there is an operators' door the address of
+   * clients may be shared with the process that this one is to follow, so they are listened for
+   * once the pool is up.
+   *
+   * @throws IOException where it cannot listen
+   */
+  public void start() throws IOException {
+    int descriptors = Descriptors.most(config.sockets());
+    int most =
+        Math.max(
+            1,
+            (descriptors - Descriptors.spare(descriptors, Descriptors.held()))
+                / (ajp == null ? 1 : 2));
+    fronts.add(
+        new Front(
+            listener("fastcgi", () -> new FastCgiConnection(broker, log, counters), most, PATIENCE),
+            config.listen()));
+    if (ajp != null) {
+      fronts.add(
+          new Front(
+              listener("ajp", () -> new AjpConnection(broker, log, counters), most, PATIENCE),
+              ajp));
     }
+    FairReads turns = new FairReads(timers);
+    broker.shedWith(turns::sheds);
+    fronts.forEach(one -> one.listener().inTurns(turns));
+    if (config.management() == null) {
+      listenNow(fronts);
+    } else {
+      fronts.forEach(one -> one.listener().share());
+      Operations operations = new Operators();
+      door =
+          listener(
+              "management",
+              () -> new DoorConnection(operations, log, counters),
+              MOST_OPERATORS,
+              DOOR_PATIENCE);
+      shareClaims();
+      listenNow(List.of(new Front(door, config.management())));
+      broker.whenReady(() -> listenLater(List.copyOf(fronts)));
+    }
+    loop.execute(
+        () -> {
+          pool.link(broker);
+          announcer.start();
+          if (peer != null) {
+            peer.start();
+          }
+          trim();
+          bindingOver();
+        });
+    log.line(
+        "start name="
+            + config.name()
+            + " listen="
+            + config.listen()
+            + " ajp="
+            + (ajp == null ? "off" : ajp)
+            + " management="
+            + (door == null ? "off" : door.address())
+            + " sockets="
+            + config.sockets()
+            + " stop_ms="
+            + config.stopMs());
+  }
 
-    /** Another process may serve at the same address: each run of a guarded request is claimed in a table that both map. */
-    private void shareClaims() {
-        Path file = Path.of(System.getProperty("java.io.tmpdir"), "mothwing-claims-" + config.name());
-        try {
-            long boot = Files.readString(BOOT_ID).strip().hashCode();
-            ClaimTable table = ClaimTable.open(file, new SecureRandom().nextLong(), boot, () -> System.nanoTime() / MILLI);
-            broker.claimWith((key, span) -> switch (table.claim(key, span)) {
+  /**
+   * Another process may serve at the same address: each run of a guarded request is claimed in a
+   * table that both map.
+   */
+  private void shareClaims() {
+    Path file = Path.of(System.getProperty("java.io.tmpdir"), "mothwing-claims-" + config.name());
+    try {
+      long boot = Files.readString(BOOT_ID).strip().hashCode();
+      ClaimTable table =
+          ClaimTable.open(
+              file, new SecureRandom().nextLong(), boot, () -> System.nanoTime() / MILLI);
+      broker.claimWith(
+          (key, span) ->
+              switch (table.claim(key, span)) {
                 case GRANTED -> RunClaims.Claim.GRANTED;
                 case HELD -> RunClaims.Claim.HELD;
                 case FULL -> RunClaims.Claim.FULL;
                 case UNKNOWN -> RunClaims.Claim.UNKNOWN;
-            });
-        } catch (IOException | RuntimeException none) {
-            log.line("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
-        }
+              });
+    } catch (IOException | RuntimeException none) {
+      log.line("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
     }
+  }
 
-    private Listener listener(String side, Supplier<Connection> maker, int most, long patience) {
-        return new Listener(side, maker, most, patience, timers, counters);
-    }
+  private Listener listener(String side, Supplier<Connection> maker, int most, long patience) {
+    return new Listener(side, maker, most, patience, timers, counters);
+  }
 
-    private void listenNow(List<Front> all) throws IOException {
-        for (Front one : all) {
-            Future<Void> bound = one.listener().listen(loop, allocator, one.address()).awaitUninterruptibly();
-            if (!bound.isSuccess()) {
-                failed = true;
-                ended.countDown();
-                throw new IOException("cannot listen on " + one.address() + ": " + bound.cause().getMessage());
-            }
-            if (one.listener() != door) {
-                listeners.add(one.listener());
-            }
-        }
+  private void listenNow(List<Front> all) throws IOException {
+    for (Front one : all) {
+      Future<Void> bound =
+          one.listener().listen(loop, allocator, one.address()).awaitUninterruptibly();
+      if (!bound.isSuccess()) {
+        failed = true;
+        ended.countDown();
+        throw new IOException(
+            "cannot listen on " + one.address() + ": " + bound.cause().getMessage());
+      }
+      if (one.listener() != door) {
+        listeners.add(one.listener());
+      }
     }
+  }
 
-    private void listenLater(List<Front> all) {
-        for (Front one : all) {
-            if (leaving) {
-                return;
-            }
-            binding++;
-            one.listener().listen(loop, allocator, one.address()).addListener(bound -> {
+  private void listenLater(List<Front> all) {
+    for (Front one : all) {
+      if (leaving) {
+        return;
+      }
+      binding++;
+      one.listener()
+          .listen(loop, allocator, one.address())
+          .addListener(
+              bound -> {
                 if (bound.isSuccess()) {
-                    listeners.add(one.listener());
-                    log.line("takes-clients listen=" + one.address());
-                    bindingOver();
+                  listeners.add(one.listener());
+                  log.line("takes-clients listen=" + one.address());
+                  bindingOver();
                 } else {
-                    failed = true;
-                    log.line("listen-failed address=" + one.address() + " what=\"" + bound.cause().getMessage() + "\"");
-                    ended.countDown();
+                  failed = true;
+                  log.line(
+                      "listen-failed address="
+                          + one.address()
+                          + " what=\""
+                          + bound.cause().getMessage()
+                          + "\"");
+                  ended.countDown();
                 }
-            });
-        }
+              });
     }
+  }
 
-    /** What operators may ask. */
-    private final class Operators implements Operations {
-        private final Gson json = new Gson();
+  /** What operators may ask. */
+  private final class Operators implements Operations {
+    private final Gson json = new Gson();
 
-        @Override
-        public boolean serving() {
-            return broker.serving() && listeners.size() == fronts.size();
-        }
+    @Override
+    public boolean serving() {
+      return broker.serving() && listeners.size() == fronts.size();
+    }
 
-        @Override
-        public String figures() {
-            Map<String, Object> all = broker.figures();
-            all.put("config_reloads", reloads);
-            all.put("config_reload_errors", reloadErrors);
-            return json.toJson(all);
-        }
+    @Override
+    public String figures() {
+      Map<String, Object> all = broker.figures();
+      all.put("config_reloads", reloads);
+      all.put("config_reload_errors", reloadErrors);
+      return json.toJson(all);
+    }
 
-        @Override
-        public String members() {
-            return peer == null ? null : json.toJson(peer.told());
-        }
+    @Override
+    public String members() {
+      return peer == null ? null : json.toJson(peer.told());
+    }
 
-        @Override
-        public boolean away(boolean away) {
-            return broker.away(away);
-        }
+    @Override
+    public boolean away(boolean away) {
+      return broker.away(away);
     }
+  }
 
-    /**
-     * Takes what a running server can take of a new configuration: the settings, where the pool and the announce
-     * service are, and the time to leave. Requests and runs go on. May come from any thread, and more than once.
-     *
-     * @param now the new configuration
-     */
-    public void reload(Config now) {
-        loop.execute(() -> {
-            reloads++;
-            Config before = config;
-            config = before.moved(now);
-            String waits = config.differences(now);
-            log.line("reload pool=" + config.pool() + " announce=" + config.announce() + " stop_ms="
-                    + config.stopMs() + " classes=" + config.settings().classes().stream()
-                    .map(RequestClass::name).collect(Collectors.joining(","))
-                    + (waits.isEmpty() ? "" : " needs-restart=" + waits));
-            broker.retune(config.settings());
-            if (config.settings().signals().idle() != before.settings().signals().idle()) {
-                idleSpan = config.settings().signals().idle();
-            }
-            if (!config.pool().equals(before.pool())) {
-                pool.moved(dialer(config.pool()));
-            }
-            if (ledger == null && config.ledger() != null) {
-                callBelow();
-            } else if (config.ledger() != null && !config.ledger().equals(before.ledger())) {
-                ledger.moved(dialer(config.ledger()));
-            }
-            if (!config.announce().equals(before.announce())) {
-                announcer.moved(dialer(config.announce()));
-            }
+  /**
+   * Takes what a running server can take of a new configuration: the settings, where the pool and
+   * the announce service are, and the time to leave. Requests and runs go on. May come from any
+   * thread, and more than once.
+   *
+   * @param now the new configuration
+   */
+  public void reload(Config now) {
+    loop.execute(
+        () -> {
+          reloads++;
+          Config before = config;
+          config = before.moved(now);
+          String waits = config.differences(now);
+          log.line(
+              "reload pool="
+                  + config.pool()
+                  + " announce="
+                  + config.announce()
+                  + " stop_ms="
+                  + config.stopMs()
+                  + " classes="
+                  + config.settings().classes().stream()
+                      .map(RequestClass::name)
+                      .collect(Collectors.joining(","))
+                  + (waits.isEmpty() ? "" : " needs-restart=" + waits));
+          broker.retune(config.settings());
+          if (config.settings().signals().idle() != before.settings().signals().idle()) {
+            idleSpan = config.settings().signals().idle();
+          }
+          if (!config.pool().equals(before.pool())) {
+            pool.moved(dialer(config.pool()));
+          }
+          if (ledger == null && config.ledger() != null) {
+            callBelow();
+          } else if (config.ledger() != null && !config.ledger().equals(before.ledger())) {
+            ledger.moved(dialer(config.ledger()));
+          }
+          if (!config.announce().equals(before.announce())) {
+            announcer.moved(dialer(config.announce()));
+          }
         });
-    }
+  }
 
-    /**
-     * Counts and logs a configuration that was turned down: nothing has changed. May come from any thread.
-     *
-     * @param why what is wrong with it
-     */
-    public void reloadFailed(String why) {
-        loop.execute(() -> {
-            reloadErrors++;
-            log.line("reload-failed what=\"" + why + "\"");
+  /**
+   * Counts and logs a configuration that was turned down: nothing has changed. May come from any
+   * thread.
+   *
+   * @param why what is wrong with it
+   */
+  public void reloadFailed(String why) {
+    loop.execute(
+        () -> {
+          reloadErrors++;
+          log.line("reload-failed what=\"" + why + "\"");
         });
-    }
+  }
 
-    private void trim() {
-        timers.at(timers.now() + TRIM_PERIOD, this::trim);
-        if (door != null) {
-            door.trim(DOOR_PATIENCE, Reason.IDLE);
-        }
-        if (!leaving) {
-            listeners.forEach(Listener::look);
-        }
-        if (idleSpan > 0 && !leaving) { // on the way out Drain says how long connections may stay
-            listeners.forEach(one -> one.trim(idleSpan, Reason.IDLE));
-        }
+  private void trim() {
+    timers.at(timers.now() + TRIM_PERIOD, this::trim);
+    if (door != null) {
+      door.trim(DOOR_PATIENCE, Reason.IDLE);
     }
+    if (!leaving) {
+      listeners.forEach(Listener::look);
+    }
+    if (idleSpan > 0 && !leaving) { // on the way out Drain says how long connections may stay
+      listeners.forEach(one -> one.trim(idleSpan, Reason.IDLE));
+    }
+  }
 
-    /** While an address is being bound the way out waits: who connects to it in that moment is owed an answer too. */
-    @Override
-    public void drain() {
-        loop.execute(() -> {
-            if (!leaving) {
-                leaving = true;
-                announcer.stop();
-                if (peer != null) {
-                    peer.leave();
-                }
-                if (binding == 0) {
-                    leave();
-                }
+  /**
+   * While an address is being bound the way out waits: who connects to it in that moment is owed an
+   * answer too.
+   */
+  @Override
+  public void drain() {
+    loop.execute(
+        () -> {
+          if (!leaving) {
+            leaving = true;
+            announcer.stop();
+            if (peer != null) {
+              peer.leave();
             }
+            if (binding == 0) {
+              leave();
+            }
+          }
         });
-    }
+  }
 
-    private void bindingOver() {
-        binding--;
-        if (binding == 0 && leaving) {
-            leave();
-        }
+  private void bindingOver() {
+    binding--;
+    if (binding == 0 && leaving) {
+      leave();
     }
+  }
 
-    private void leave() {
-        new Drain(loop, timers, broker, log, () -> {
-            pool.stop();
-            if (peer != null) {
+  private void leave() {
+    new Drain(
+            loop,
+            timers,
+            broker,
+            log,
+            () -> {
+              pool.stop();
+              if (peer != null) {
                 peer.close();
-            }
-            ended.countDown();
-        }).begin(listeners, config.management() != null, config);
-    }
+              }
+              ended.countDown();
+            })
+        .begin(listeners, config.management() != null, config);
+  }
 
-    @Override
-    public boolean failed() {
-        return failed;
-    }
+  @Override
+  public boolean failed() {
+    return failed;
+  }
 
-    @Override
-    public String counts() {
-        CompletableFuture<String> line = new CompletableFuture<>();
-        loop.execute(() -> line.complete("counts " + broker.counts()));
-        try {
-            return line.get(1, TimeUnit.SECONDS);
-        } catch (InterruptedException | ExecutionException | TimeoutException late) {
-            return "counts unknown";
-        }
+  @Override
+  public String counts() {
+    CompletableFuture<String> line = new CompletableFuture<>();
+    loop.execute(() -> line.complete("counts " + broker.counts()));
+    try {
+      return line.get(1, TimeUnit.SECONDS);
+    } catch (InterruptedException | ExecutionException | TimeoutException late) {
+      return "counts unknown";
     }
+  }
 
-    /**
-     * Where it listens: for FastCGI, then for AJP where it does.
-     *
-     * @return the addresses, with the ports that were given
-     */
-    public List<InetSocketAddress> listening() {
-        return listeners.stream().map(Listener::address).toList();
-    }
+  /**
+   * Where it listens: for FastCGI, then for AJP where it does.
+   *
+   * @return the addresses, with the ports that were given
+   */
+  public List<InetSocketAddress> listening() {
+    return listeners.stream().map(Listener::address).toList();
+  }
 
-    /**
-     * Where operators call.
-     *
-     * @return the address, with the port that was given
-     */
-    public InetSocketAddress management() {
-        return door.address();
-    }
+  /**
+   * Where operators call.
+   *
+   * @return the address, with the port that was given
+   */
+  public InetSocketAddress management() {
+    return door.address();
+  }
 
-    @Override
-    public void await() throws InterruptedException {
-        ended.await();
-    }
+  @Override
+  public void await() throws InterruptedException {
+    ended.await();
+  }
 
-    /** Ends the event loop. */
-    public void close() {
-        group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
-    }
+  /** Ends the event loop. */
+  public void close() {
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
+  }
 }
--- a/src/main/java/mothwing/settings/BadInput.java
+++ b/src/main/java/mothwing/settings/BadInput.java
@@ -4,14 +4,14 @@
 
 /** JSON that cannot be understood; the message names the field. */
 public final class BadInput extends IOException {
-    private static final long serialVersionUID = 1L;
+  private static final long serialVersionUID = 1L;
 
-    /**
-     * Makes a complaint.
-     *
-     * @param message what is wrong, naming the field
-     */
-    public BadInput(String message) {
-        super(message);
-    }
+  /**
+   * Makes a complaint.
+   *
+   * @param message what is wrong, naming the field
+   */
+  public BadInput(String message) {
+    super(message);
+  }
 }
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -21,227 +21,253 @@
 
 /** Reads our own settings from a script (docs/settings.md), by functions that the script calls. */
 public final class SiteScript {
-    private static final int MOST_SEEDS = 16;
-    private static final int MOST_PORTION = 1 << 24;
-    private static final Set<String> ALGORITHMS = Set.of("hmac-sha1", "hmac-sha224", "hmac-sha256", "hmac-sha384",
-            "hmac-sha512");
-
-    private final Path folder;
-    private final List<Site.Key> keys = new ArrayList<>();
-    private final List<Site.Zone> zones = new ArrayList<>();
-    private final Map<Site.Zone, Arguments> zoneCalls = new LinkedHashMap<>();
-    private InetSocketAddress ajp;
-    private Site.Fleet fleet;
-    private Site.Dns dns;
-    private Arguments dnsCall;
-
-    private SiteScript(Path folder) {
-        this.folder = folder;
-    }
-
-    /**
-     * Reads settings.
-     *
-     * @param file the script; what it names lies below its folder
-     * @return the settings
-     * @throws IOException where it cannot be read or says what makes no sense; the message names the place
-     */
-    public static Site read(Path file) throws IOException {
-        Path folder = file.toAbsolutePath().getParent();
-        SiteScript script = new SiteScript(folder);
-        Map<String, Script.Builtin> builtins = new LinkedHashMap<>();
-        builtins.put("ajp", script::ajp);
-        builtins.put("fleet", script::fleet);
-        builtins.put("dns", script::dns);
-        builtins.put("key", script::key);
-        builtins.put("zone", script::zone);
-        builtins.put("allow", SiteScript::allow);
-        Script.run(file.getFileName().toString(), Sources.below(folder), Limits.USUAL, builtins);
-        return script.whole();
-    }
-
-    private Site whole() throws ScriptError {
-        if (dns == null && !zones.isEmpty()) {
-            throw zoneCalls.get(zones.get(0)).wrong("there are zones but no dns(listen = ...)");
-        }
-        Set<String> known = new HashSet<>();
-        keys.forEach(one -> known.add(one.name()));
-        for (Site.Zone zone : zones) {
-            for (Site.Right right : zone.rights()) {
-                if (!known.contains(right.key())) {
-                    throw zoneCalls.get(zone).wrong("there is no key " + right.key());
-                }
-            }
-        }
-        if (dns != null && zones.isEmpty()) {
-            throw dnsCall.wrong("there is no zone to serve, expected zone(name = ..., file = ...)");
+  private static final int MOST_SEEDS = 16;
+  private static final int MOST_PORTION = 1 << 24;
+  private static final Set<String> ALGORITHMS =
+      Set.of("hmac-sha1", "hmac-sha224", "hmac-sha256", "hmac-sha384", "hmac-sha512");
+
+  private final Path folder;
+  private final List<Site.Key> keys = new ArrayList<>();
+  private final List<Site.Zone> zones = new ArrayList<>();
+  private final Map<Site.Zone, Arguments> zoneCalls = new LinkedHashMap<>();
+  private InetSocketAddress ajp;
+  private Site.Fleet fleet;
+  private Site.Dns dns;
+  private Arguments dnsCall;
+
+  private SiteScript(Path folder) {
+    this.folder = folder;
+  }
+
+  /**
+   * Reads settings.
+   *
+   * @param file the script; what it names lies below its folder
+   * @return the settings
+   * @throws IOException where it cannot be read or says what makes no sense; the message names the
+   *     place
+   */
+  public static Site read(Path file) throws IOException {
+    Path folder = file.toAbsolutePath().getParent();
+    SiteScript script = new SiteScript(folder);
+    Map<String, Script.Builtin> builtins = new LinkedHashMap<>();
+    builtins.put("ajp", script::ajp);
+    builtins.put("fleet", script::fleet);
+    builtins.put("dns", script::dns);
+    builtins.put("key", script::key);
+    builtins.put("zone", script::zone);
+    builtins.put("allow", SiteScript::allow);
+    Script.run(file.getFileName().toString(), Sources.below(folder), Limits.USUAL, builtins);
+    return script.whole();
+  }
+
+  private Site whole() throws ScriptError {
+    if (dns == null && !zones.isEmpty()) {
+      throw zoneCalls.get(zones.get(0)).wrong("there are zones but no dns(listen = ...)");
+    }
+    Set<String> known = new HashSet<>();
+    keys.forEach(one -> known.add(one.name()));
+    for (Site.Zone zone : zones) {
+      for (Site.Right right : zone.rights()) {
+        if (!known.contains(right.key())) {
+          throw zoneCalls.get(zone).wrong("there is no key " + right.key());
         }
-        return new Site(ajp, dns == null ? null
-                : new Site.Dns(dns.listen(), dns.state(), dns.limits(), List.copyOf(keys), List.copyOf(zones)), fleet);
+      }
     }
+    if (dns != null && zones.isEmpty()) {
+      throw dnsCall.wrong("there is no zone to serve, expected zone(name = ..., file = ...)");
+    }
+    return new Site(
+        ajp,
+        dns == null
+            ? null
+            : new Site.Dns(
+                dns.listen(), dns.state(), dns.limits(), List.copyOf(keys), List.copyOf(zones)),
+        fleet);
+  }
+
+  private static InetSocketAddress address(Arguments call, String name) throws ScriptError {
+    return address(call, name, call.text(name));
+  }
 
-    private static InetSocketAddress address(Arguments call, String name) throws ScriptError {
-        return address(call, name, call.text(name));
+  private static InetSocketAddress address(Arguments call, String name, String text)
+      throws ScriptError {
+    try {
+      return Addresses.read(text, name);
+    } catch (BadInput bad) {
+      throw call.wrong(bad.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
     }
+  }
 
-    private static InetSocketAddress address(Arguments call, String name, String text) throws ScriptError {
-        try {
-            return Addresses.read(text, name);
-        } catch (BadInput bad) {
-            throw call.wrong(bad.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
-        }
+  private Object ajp(Arguments call) throws ScriptError {
+    if (ajp != null) {
+      throw call.wrong("is called twice");
     }
+    ajp = address(call, "listen");
+    call.done(0);
+    return null;
+  }
 
-    private Object ajp(Arguments call) throws ScriptError {
-        if (ajp != null) {
-            throw call.wrong("is called twice");
-        }
-        ajp = address(call, "listen");
-        call.done(0);
-        return null;
+  private Object fleet(Arguments call) throws ScriptError {
+    if (fleet != null) {
+      throw call.wrong("is called twice");
+    }
+    String name = word(call, "name", call.text("name"));
+    InetSocketAddress listen = single(call, "listen", address(call, "listen"));
+    String told = call.text("advertise", "");
+    InetSocketAddress advertise =
+        told.isEmpty() ? listen : single(call, "advertise", address(call, "advertise", told));
+    List<InetSocketAddress> seeds = new ArrayList<>();
+    for (String one : call.list("seeds", String.class, "an address")) {
+      seeds.add(single(call, "seeds", address(call, "seeds", one)));
     }
+    if (seeds.size() > MOST_SEEDS) {
+      throw call.wrong(
+          "argument seeds has " + seeds.size() + " addresses, expected at most " + MOST_SEEDS);
+    }
+    fleet =
+        new Site.Fleet(
+            name,
+            listen,
+            advertise,
+            List.copyOf(seeds),
+            word(call, "zone", call.text("zone", "one")));
+    call.done(0);
+    return null;
+  }
 
-    private Object fleet(Arguments call) throws ScriptError {
-        if (fleet != null) {
-            throw call.wrong("is called twice");
-        }
-        String name = word(call, "name", call.text("name"));
-        InetSocketAddress listen = single(call, "listen", address(call, "listen"));
-        String told = call.text("advertise", "");
-        InetSocketAddress advertise = told.isEmpty() ? listen : single(call, "advertise", address(call, "advertise", told));
-        List<InetSocketAddress> seeds = new ArrayList<>();
-        for (String one : call.list("seeds", String.class, "an address")) {
-            seeds.add(single(call, "seeds", address(call, "seeds", one)));
-        }
-        if (seeds.size() > MOST_SEEDS) {
-            throw call.wrong("argument seeds has " + seeds.size() + " addresses, expected at most " + MOST_SEEDS);
-        }
-        fleet = new Site.Fleet(name, listen, advertise, List.copyOf(seeds), word(call, "zone", call.text("zone", "one")));
-        call.done(0);
-        return null;
+  private static String word(Arguments call, String name, String text) throws ScriptError {
+    if (!Site.Fleet.mayBeCalled(text)) {
+      throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAMED);
     }
+    return text;
+  }
 
-    private static String word(Arguments call, String name, String text) throws ScriptError {
-        if (!Site.Fleet.mayBeCalled(text)) {
-            throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAMED);
-        }
-        return text;
+  /** What others write to must be one address with a port. */
+  private static InetSocketAddress single(Arguments call, String name, InetSocketAddress address)
+      throws ScriptError {
+    if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
+      throw call.wrong(
+          "argument " + name + ": expected one address with a port, as others write to it");
     }
+    return address;
+  }
 
-    /** What others write to must be one address with a port. */
-    private static InetSocketAddress single(Arguments call, String name, InetSocketAddress address) throws ScriptError {
-        if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
-            throw call.wrong("argument " + name + ": expected one address with a port, as others write to it");
-        }
-        return address;
+  private Object dns(Arguments call) throws ScriptError {
+    if (dns != null) {
+      throw call.wrong("is called twice");
     }
+    DnsLimits usual = DnsLimits.USUAL;
+    InetSocketAddress listen = address(call, "listen");
+    Path state = below(call, call.text("state", "state"));
+    DnsLimits limits =
+        new DnsLimits(
+            (int) call.whole("udp_bytes", usual.udpBytes(), 512, 4096),
+            (int) call.whole("unproven_bytes", usual.unprovenBytes(), 0, 4096),
+            (int) call.whole("connections", usual.connections(), 1, 65_536),
+            (int) call.whole("idle_ms", usual.idleMs(), 100, 600_000),
+            (int) call.whole("pipelined", usual.pipelined(), 1, 1024),
+            (int) call.whole("responses_per_second", usual.responsesPerSecond(), 0, MOST_PORTION),
+            (int) call.whole("prefixes", usual.prefixes(), 16, MOST_PORTION),
+            (int) call.whole("cached", usual.cached(), 0, MOST_PORTION),
+            (int) call.whole("records", usual.records(), 1, MOST_PORTION),
+            call.whole("journal_bytes", usual.journalBytes(), 4096, 1L << 40),
+            (int) call.whole("repeats", usual.repeats(), 16, MOST_PORTION),
+            !call.text("control", "on").equals("off"));
+    dns = new Site.Dns(listen, state, limits, List.of(), List.of());
+    dnsCall = call;
+    call.done(0);
+    return null;
+  }
 
-    private Object dns(Arguments call) throws ScriptError {
-        if (dns != null) {
-            throw call.wrong("is called twice");
-        }
-        DnsLimits usual = DnsLimits.USUAL;
-        InetSocketAddress listen = address(call, "listen");
-        Path state = below(call, call.text("state", "state"));
-        DnsLimits limits = new DnsLimits((int) call.whole("udp_bytes", usual.udpBytes(), 512, 4096),
-                (int) call.whole("unproven_bytes", usual.unprovenBytes(), 0, 4096),
-                (int) call.whole("connections", usual.connections(), 1, 65_536),
-                (int) call.whole("idle_ms", usual.idleMs(), 100, 600_000),
-                (int) call.whole("pipelined", usual.pipelined(), 1, 1024),
-                (int) call.whole("responses_per_second", usual.responsesPerSecond(), 0, MOST_PORTION),
-                (int) call.whole("prefixes", usual.prefixes(), 16, MOST_PORTION),
-                (int) call.whole("cached", usual.cached(), 0, MOST_PORTION),
-                (int) call.whole("records", usual.records(), 1, MOST_PORTION),
-                call.whole("journal_bytes", usual.journalBytes(), 4096, 1L << 40),
-                (int) call.whole("repeats", usual.repeats(), 16, MOST_PORTION),
-                !call.text("control", "on").equals("off"));
-        dns = new Site.Dns(listen, state, limits, List.of(), List.of());
-        dnsCall = call;
-        call.done(0);
-        return null;
-    }
-
-    /** A path below the folder, which need not exist yet. */
-    private Path below(Arguments call, String name) throws ScriptError {
-        Path path = folder.resolve(name).normalize();
-        if (name.isEmpty() || !path.startsWith(folder.normalize()) || path.equals(folder.normalize())) {
-            throw call.wrong("\"" + name + "\" is not below the settings' folder");
-        }
-        return path;
-    }
-
-    private Path file(Arguments call, String argument) throws ScriptError {
-        String name = call.text(argument);
-        below(call, name);
-        try {
-            Path path = Sources.inside(folder, name);
-            if (!Files.isRegularFile(path)) {
-                throw new IOException(name + " is not a file");
-            }
-            return path;
-        } catch (IOException bad) {
-            throw call.wrong("argument " + argument + ": " + bad.getMessage());
-        }
+  /** A path below the folder, which need not exist yet. */
+  private Path below(Arguments call, String name) throws ScriptError {
+    Path path = folder.resolve(name).normalize();
+    if (name.isEmpty() || !path.startsWith(folder.normalize()) || path.equals(folder.normalize())) {
+      throw call.wrong("\"" + name + "\" is not below the settings' folder");
     }
+    return path;
+  }
 
-    /** A domain name in lower case without the last dot; what it may be is checked where it is used. */
-    private static String domain(Arguments call, String name) throws ScriptError {
-        String text = call.text(name).toLowerCase(Locale.ROOT);
-        text = text.endsWith(".") ? text.substring(0, text.length() - 1) : text;
-        if (text.isEmpty() || text.length() > 253 || text.contains("..") || text.startsWith(".")) {
-            throw call.wrong("argument " + name + ": \"" + text + "\" is not a domain name");
-        }
-        return text;
+  private Path file(Arguments call, String argument) throws ScriptError {
+    String name = call.text(argument);
+    below(call, name);
+    try {
+      Path path = Sources.inside(folder, name);
+      if (!Files.isRegularFile(path)) {
+        throw new IOException(name + " is not a file");
+      }
+      return path;
+    } catch (IOException bad) {
+      throw call.wrong("argument " + argument + ": " + bad.getMessage());
     }
+  }
 
-    private Object key(Arguments call) throws ScriptError {
-        String name = domain(call, "name");
-        String algorithm = call.text("algorithm", "hmac-sha256").toLowerCase(Locale.ROOT);
-        if (!ALGORITHMS.contains(algorithm)) {
-            throw call.wrong("unknown algorithm " + algorithm + ", expected one of "
-                    + ALGORITHMS.stream().sorted().toList());
-        }
-        if (keys.stream().anyMatch(one -> one.name().equals(name))) {
-            throw call.wrong("key " + name + " is given twice");
-        }
-        Site.Key key = new Site.Key(name, algorithm, file(call, "secret_file"));
-        call.done(0);
-        keys.add(key);
-        return key;
+  /**
+   * A domain name in lower case without the last dot; what it may be is checked where it is used.
+   */
+  private static String domain(Arguments call, String name) throws ScriptError {
+    String text = call.text(name).toLowerCase(Locale.ROOT);
+    text = text.endsWith(".") ? text.substring(0, text.length() - 1) : text;
+    if (text.isEmpty() || text.length() > 253 || text.contains("..") || text.startsWith(".")) {
+      throw call.wrong("argument " + name + ": \"" + text + "\" is not a domain name");
     }
+    return text;
+  }
 
-    private Object zone(Arguments call) throws ScriptError {
-        String name = domain(call, "name");
-        if (zones.stream().anyMatch(one -> one.name().equals(name))) {
-            throw call.wrong("zone " + name + " is given twice");
-        }
-        Site.Zone zone = new Site.Zone(name, file(call, "file"), call.list("updates", Site.Right.class, "allow(...)"));
-        call.done(0);
-        for (Site.Right right : zone.rights()) {
-            String names = right.names().startsWith("*.") ? right.names().substring(2) : right.names();
-            if (!names.equals(name) && !names.endsWith("." + name)) {
-                throw call.wrong("allow names " + right.names() + ", which is outside of zone " + name);
-            }
-        }
-        zones.add(zone);
-        zoneCalls.put(zone, call);
-        return zone;
+  private Object key(Arguments call) throws ScriptError {
+    String name = domain(call, "name");
+    String algorithm = call.text("algorithm", "hmac-sha256").toLowerCase(Locale.ROOT);
+    if (!ALGORITHMS.contains(algorithm)) {
+      throw call.wrong(
+          "unknown algorithm "
+              + algorithm
+              + ", expected one of "
+              + ALGORITHMS.stream().sorted().toList());
+    }
+    if (keys.stream().anyMatch(one -> one.name().equals(name))) {
+      throw call.wrong("key " + name + " is given twice");
     }
+    Site.Key key = new Site.Key(name, algorithm, file(call, "secret_file"));
+    call.done(0);
+    keys.add(key);
+    return key;
+  }
 
-    private static Object allow(Arguments call) throws ScriptError {
-        String key = domain(call, "key");
-        String names = domain(call, "names");
-        Set<String> types = new LinkedHashSet<>();
-        for (String one : call.list("types", String.class, "a type of records")) {
-            types.add(one.toUpperCase(Locale.ROOT));
-        }
-        if (types.isEmpty()) {
-            throw call.wrong("argument types is empty, expected types of records such as \"A\"");
-        }
-        if (types.contains("SOA") || types.contains("ANY")) {
-            throw call.wrong("types cannot have " + (types.contains("SOA") ? "SOA" : "ANY"));
-        }
-        call.done(0);
-        return new Site.Right(key, names, Set.copyOf(types));
+  private Object zone(Arguments call) throws ScriptError {
+    String name = domain(call, "name");
+    if (zones.stream().anyMatch(one -> one.name().equals(name))) {
+      throw call.wrong("zone " + name + " is given twice");
+    }
+    Site.Zone zone =
+        new Site.Zone(
+            name, file(call, "file"), call.list("updates", Site.Right.class, "allow(...)"));
+    call.done(0);
+    for (Site.Right right : zone.rights()) {
+      String names = right.names().startsWith("*.") ? right.names().substring(2) : right.names();
+      if (!names.equals(name) && !names.endsWith("." + name)) {
+        throw call.wrong("allow names " + right.names() + ", which is outside of zone " + name);
+      }
+    }
+    zones.add(zone);
+    zoneCalls.put(zone, call);
+    return zone;
+  }
+
+  private static Object allow(Arguments call) throws ScriptError {
+    String key = domain(call, "key");
+    String names = domain(call, "names");
+    Set<String> types = new LinkedHashSet<>();
+    for (String one : call.list("types", String.class, "a type of records")) {
+      types.add(one.toUpperCase(Locale.ROOT));
+    }
+    if (types.isEmpty()) {
+      throw call.wrong("argument types is empty, expected types of records such as \"A\"");
+    }
+    if (types.contains("SOA") || types.contains("ANY")) {
+      throw call.wrong("types cannot have " + (types.contains("SOA") ? "SOA" : "ANY"));
     }
+    call.done(0);
+    return new Site.Right(key, names, Set.copyOf(types));
+  }
 }
--- a/src/main/java/mothwing/store/Disk.java
+++ b/src/main/java/mothwing/store/Disk.java
@@ -11,135 +11,148 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A folder of files, as far as a store needs it: the place at which tests let writes, forces and renames fail. */
+/**
+ * A folder of files, as far as a store needs it: the place at which tests let writes, forces and
+ * renames fail.
+ */
 public interface Disk {
-    /** One open file. */
-    interface Opened extends AutoCloseable {
-        /** Bytes that it has. */
-        long size() throws IOException;
-
-        /** Reads bytes from a place on, as many as there are up to the buffer's room. */
-        int read(ByteBuffer into, long from) throws IOException;
-
-        /** Writes all bytes at its end. */
-        void append(ByteBuffer bytes) throws IOException;
-
-        /** Waits until all that was written would survive a loss of power. */
-        void force() throws IOException;
-
-        /** Cuts it. */
-        void truncate(long size) throws IOException;
-
-        @Override
-        void close() throws IOException;
+  /** One open file. */
+  interface Opened extends AutoCloseable {
+    /** Bytes that it has. */
+    long size() throws IOException;
+
+    /** Reads bytes from a place on, as many as there are up to the buffer's room. */
+    int read(ByteBuffer into, long from) throws IOException;
+
+    /** Writes all bytes at its end. */
+    void append(ByteBuffer bytes) throws IOException;
+
+    /** Waits until all that was written would survive a loss of power. */
+    void force() throws IOException;
+
+    /** Cuts it. */
+    void truncate(long size) throws IOException;
+
+    @Override
+    void close() throws IOException;
+  }
+
+  /** The names of its files, sorted. */
+  List<String> list() throws IOException;
+
+  /** Opens a file, which is made where there is none. */
+  Opened open(String name) throws IOException;
+
+  /** Gives a file another name, in the place of one that has it; as a whole or not at all. */
+  void rename(String from, String to) throws IOException;
+
+  /** Takes a file away. */
+  void delete(String name) throws IOException;
+
+  /** Waits until the names of files would survive a loss of power. */
+  void forceNames() throws IOException;
+
+  /**
+   * The files of a real folder, which is made where there is none.
+   *
+   * @param folder the folder
+   * @return its files
+   * @throws IOException where it cannot be made
+   */
+  static Disk of(Path folder) throws IOException {
+    Files.createDirectories(folder);
+    String control = System.getProperty(TroubledDisk.PROPERTY);
+    return control == null
+        ? new Folder(folder)
+        : new TroubledDisk(new Folder(folder), Path.of(control));
+  }
+
+  /** A real folder. */
+  record Folder(Path path) implements Disk {
+    @Override
+    public List<String> list() throws IOException {
+      try (Stream<Path> files = Files.list(path)) {
+        return files
+            .filter(Files::isRegularFile)
+            .map(one -> one.getFileName().toString())
+            .sorted()
+            .toList();
+      }
     }
 
-    /** The names of its files, sorted. */
-    List<String> list() throws IOException;
-
-    /** Opens a file, which is made where there is none. */
-    Opened open(String name) throws IOException;
-
-    /** Gives a file another name, in the place of one that has it; as a whole or not at all. */
-    void rename(String from, String to) throws IOException;
-
-    /** Takes a file away. */
-    void delete(String name) throws IOException;
-
-    /** Waits until the names of files would survive a loss of power. */
-    void forceNames() throws IOException;
-
-    /**
-     * The files of a real folder, which is made where there is none.
-     *
-     * @param folder the folder
-     * @return its files
-     * @throws IOException where it cannot be made
-     */
-    static Disk of(Path folder) throws IOException {
-        Files.createDirectories(folder);
-        String control = System.getProperty(TroubledDisk.PROPERTY);
-        return control == null ? new Folder(folder) : new TroubledDisk(new Folder(folder), Path.of(control));
+    @Override
+    public Opened open(String name) throws IOException {
+      return new Channel(
+          FileChannel.open(
+              path.resolve(name),
+              StandardOpenOption.CREATE,
+              StandardOpenOption.READ,
+              StandardOpenOption.WRITE));
     }
 
-    /** A real folder. */
-    record Folder(Path path) implements Disk {
-        @Override
-        public List<String> list() throws IOException {
-            try (Stream<Path> files = Files.list(path)) {
-                return files.filter(Files::isRegularFile).map(one -> one.getFileName().toString()).sorted().toList();
-            }
-        }
-
-        @Override
-        public Opened open(String name) throws IOException {
-            return new Channel(FileChannel.open(path.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.READ,
-                    StandardOpenOption.WRITE));
-        }
-
-        @Override
-        public void rename(String from, String to) throws IOException {
-            Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
-        }
+    @Override
+    public void rename(String from, String to) throws IOException {
+      Files.move(path.resolve(from), path.resolve(to), StandardCopyOption.ATOMIC_MOVE);
+    }
 
-        @Override
-        public void delete(String name) throws IOException {
-            try {
-                Files.delete(path.resolve(name));
-            } catch (NoSuchFileException gone) {
-                // that is what was wanted
-            }
-        }
+    @Override
+    public void delete(String name) throws IOException {
+      try {
+        Files.delete(path.resolve(name));
+      } catch (NoSuchFileException gone) {
+        // that is what was wanted
+      }
+    }
 
-        @Override
-        public void forceNames() throws IOException {
-            try (FileChannel names = FileChannel.open(path, StandardOpenOption.READ)) {
-                names.force(true);
-            }
-        }
+    @Override
+    public void forceNames() throws IOException {
+      try (FileChannel names = FileChannel.open(path, StandardOpenOption.READ)) {
+        names.force(true);
+      }
     }
+  }
 
-    /** A real file. */
-    record Channel(FileChannel file) implements Opened {
-        @Override
-        public long size() throws IOException {
-            return file.size();
-        }
+  /** A real file. */
+  record Channel(FileChannel file) implements Opened {
+    @Override
+    public long size() throws IOException {
+      return file.size();
+    }
 
-        @Override
-        public int read(ByteBuffer into, long from) throws IOException {
-            int read = 0;
-            while (into.hasRemaining()) {
-                int more = file.read(into, from + read);
-                if (more < 0) {
-                    break;
-                }
-                read += more;
-            }
-            return read;
+    @Override
+    public int read(ByteBuffer into, long from) throws IOException {
+      int read = 0;
+      while (into.hasRemaining()) {
+        int more = file.read(into, from + read);
+        if (more < 0) {
+          break;
         }
+        read += more;
+      }
+      return read;
+    }
 
-        @Override
-        public void append(ByteBuffer bytes) throws IOException {
-            long at = file.size();
-            while (bytes.hasRemaining()) {
-                at += file.write(bytes, at);
-            }
-        }
+    @Override
+    public void append(ByteBuffer bytes) throws IOException {
+      long at = file.size();
+      while (bytes.hasRemaining()) {
+        at += file.write(bytes, at);
+      }
+    }
 
-        @Override
-        public void force() throws IOException {
-            file.force(true);
-        }
+    @Override
+    public void force() throws IOException {
+      file.force(true);
+    }
 
-        @Override
-        public void truncate(long size) throws IOException {
-            file.truncate(size);
-        }
+    @Override
+    public void truncate(long size) throws IOException {
+      file.truncate(size);
+    }
 
-        @Override
-        public void close() throws IOException {
-            file.close();
-        }
+    @Override
+    public void close() throws IOException {
+      file.close();
     }
+  }
 }
