--- a/src/test/java/mothwing/override/EffectTest.java
+++ b/src/test/java/mothwing/override/EffectTest.java
@@ -15,82 +15,131 @@
 
 /** What overrides come to, and the bounds of the book that has them. */
 class EffectTest {
-    private static final long SECOND = 1_000_000;
-    private static final TrafficOverride.What[] ABOUT = {TrafficOverride.What.REFUSE, TrafficOverride.What.LIMIT};
+  private static final long SECOND = 1_000_000;
+  private static final TrafficOverride.What[] ABOUT = {
+    TrafficOverride.What.REFUSE, TrafficOverride.What.LIMIT
+  };
 
-    private static TrafficOverride made(int number, TrafficOverride.What what, String kind, String tenant, int priority,
-            TrafficOverride.Selector on) {
-        return new TrafficOverride("o" + number, new Stamp(1, "n" + number % 3, number), what, kind, tenant, 1,
-                what == TrafficOverride.What.WITHOUT ? "hedge" : "", on, 60, priority, false, "why", "who");
-    }
+  private static TrafficOverride made(
+      int number,
+      TrafficOverride.What what,
+      String kind,
+      String tenant,
+      int priority,
+      TrafficOverride.Selector on) {
+    return new TrafficOverride(
+        "o" + number,
+        new Stamp(1, "n" + number % 3, number),
+        what,
+        kind,
+        tenant,
+        1,
+        what == TrafficOverride.What.WITHOUT ? "hedge" : "",
+        on,
+        60,
+        priority,
+        false,
+        "why",
+        "who");
+  }
 
-    private static String some(Random random, String... all) {
-        return all[random.nextInt(all.length)];
-    }
+  private static String some(Random random, String... all) {
+    return all[random.nextInt(all.length)];
+  }
 
-    /** Guards against a look-up that finds another one than the ranking of all that match, in whatever order they came. */
-    @Property(seed = "1764576031", tries = 300)
-    void theLookUpFindsTheOneThatRanksFirst(@ForAll int seed) {
-        Random random = new Random(seed);
-        Book book = new Book(Limits.USUAL);
-        List<TrafficOverride> all = new ArrayList<>();
-        for (int i = 0; i < 1 + random.nextInt(30); i++) {
-            String kind = some(random, "", "look", "order");
-            String tenant = kind.isEmpty() ? some(random, "a", "b") : some(random, "", "a", "b");
-            TrafficOverride.Selector on = random.nextBoolean() ? TrafficOverride.Selector.ALL : new TrafficOverride.Selector(
-                    Set.of(some(random, "n1", "n2")), Set.of(some(random, "one", "two")), Set.of());
-            TrafficOverride one = made(i, ABOUT[random.nextInt(2)], kind, tenant, random.nextInt(3), on);
-            all.add(one);
-            assertEquals(Book.Taken.NEW, book.make(5, one));
-        }
-        Effect effect = new Effect(book.acting(6), "n1", "one", "rack", book.actingUntil(6));
-        for (TrafficOverride.What what : ABOUT) {
-            for (String kind : List.of("look", "order", "save")) {
-                for (String tenant : List.of("a", "b", "c", "")) {
-                    TrafficOverride wanted = all.stream().filter(one -> one.what() == what && one.on().has("n1", "one", "rack")
-                            && (one.kind().isEmpty() || one.kind().equals(kind))
-                            && (one.tenant().isEmpty() || one.tenant().equals(tenant))).min(TrafficOverride.RANK).orElse(null);
-                    assertEquals(wanted, effect.on(what, kind, tenant));
-                }
-            }
+  /**
+   * Guards against a look-up that finds another one than the ranking of all that match, in whatever
+   * order they came.
+   */
+  @Property(seed = "1764576031", tries = 300)
+  void theLookUpFindsTheOneThatRanksFirst(@ForAll int seed) {
+    Random random = new Random(seed);
+    Book book = new Book(Limits.USUAL);
+    List<TrafficOverride> all = new ArrayList<>();
+    for (int i = 0; i < 1 + random.nextInt(30); i++) {
+      String kind = some(random, "", "look", "order");
+      String tenant = kind.isEmpty() ? some(random, "a", "b") : some(random, "", "a", "b");
+      TrafficOverride.Selector on =
+          random.nextBoolean()
+              ? TrafficOverride.Selector.ALL
+              : new TrafficOverride.Selector(
+                  Set.of(some(random, "n1", "n2")), Set.of(some(random, "one", "two")), Set.of());
+      TrafficOverride one = made(i, ABOUT[random.nextInt(2)], kind, tenant, random.nextInt(3), on);
+      all.add(one);
+      assertEquals(Book.Taken.NEW, book.make(5, one));
+    }
+    Effect effect = new Effect(book.acting(6), "n1", "one", "rack", book.actingUntil(6));
+    for (TrafficOverride.What what : ABOUT) {
+      for (String kind : List.of("look", "order", "save")) {
+        for (String tenant : List.of("a", "b", "c", "")) {
+          TrafficOverride wanted =
+              all.stream()
+                  .filter(
+                      one ->
+                          one.what() == what
+                              && one.on().has("n1", "one", "rack")
+                              && (one.kind().isEmpty() || one.kind().equals(kind))
+                              && (one.tenant().isEmpty() || one.tenant().equals(tenant)))
+                  .min(TrafficOverride.RANK)
+                  .orElse(null);
+          assertEquals(wanted, effect.on(what, kind, tenant));
         }
-        assertTrue(effect.holds(59 * SECOND));
-        assertFalse(effect.holds(60 * SECOND + 5));
+      }
     }
+    assertTrue(effect.holds(59 * SECOND));
+    assertFalse(effect.holds(60 * SECOND + 5));
+  }
 
-    @Example
-    void drainsAndLeavesOutWhereItIsToHold() {
-        TrafficOverride.Selector rooms = new TrafficOverride.Selector(Set.of(), Set.of("one"), Set.of("rack"));
-        List<TrafficOverride> all = List.of(made(1, TrafficOverride.What.DRAIN, "", "", 0, rooms),
-                made(2, TrafficOverride.What.WITHOUT, "", "", 0, rooms));
-        Effect here = new Effect(all, "n1", "one", "rack", Long.MAX_VALUE);
-        Effect there = new Effect(all, "n1", "one", "till-box", Long.MAX_VALUE);
-        assertEquals("o1", here.drains().id());
-        assertTrue(here.isWithout("hedge") && !here.isWithout("spill"));
-        assertEquals(null, there.drains());
-        assertFalse(there.isWithout("hedge"));
-        assertEquals(null, Effect.NONE.refuses("look", "a", 0));
-    }
+  @Example
+  void drainsAndLeavesOutWhereItIsToHold() {
+    TrafficOverride.Selector rooms =
+        new TrafficOverride.Selector(Set.of(), Set.of("one"), Set.of("rack"));
+    List<TrafficOverride> all =
+        List.of(
+            made(1, TrafficOverride.What.DRAIN, "", "", 0, rooms),
+            made(2, TrafficOverride.What.WITHOUT, "", "", 0, rooms));
+    Effect here = new Effect(all, "n1", "one", "rack", Long.MAX_VALUE);
+    Effect there = new Effect(all, "n1", "one", "till-box", Long.MAX_VALUE);
+    assertEquals("o1", here.drains().id());
+    assertTrue(here.isWithout("hedge") && !here.isWithout("spill"));
+    assertEquals(null, there.drains());
+    assertFalse(there.isWithout("hedge"));
+    assertEquals(null, Effect.NONE.refuses("look", "a", 0));
+  }
 
-    /** Guards against a table that grows without an end, and against a live one that cannot be taken back as it is full. */
-    @Example
-    void keepsToItsBoundsAndCanAlwaysTakeBack() {
-        Limits few = new Limits(3, 2, 100, 60, 0);
-        Book book = new Book(few);
-        for (int i = 0; i < 3; i++) {
-            assertEquals(Book.Taken.NEW, book.make(1, made(i, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
-        }
-        assertEquals(Book.Taken.FULL, book.make(1, made(3, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
-        for (int i = 0; i < 3; i++) {
-            assertEquals(Book.Taken.NEW, book.revoke(2, "o" + i));
-        }
-        assertEquals(Book.Taken.KNOWN, book.make(3, made(0, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
-        assertEquals(Book.Taken.NEW, book.revoke(3, "x1"));
-        assertEquals(Book.Taken.NEW, book.revoke(3, "x2"));
-        assertEquals(Book.Taken.FULL, book.revoke(3, "x3"));
-        assertEquals(Standing.REVOKED, book.standing(60 * SECOND, "o1"));
-        assertEquals(null, book.standing(60 * SECOND + 3, "o1"), "remembered for its lifetime");
-        assertThrows(IllegalArgumentException.class,
-                () -> made(9, TrafficOverride.What.REFUSE, "", "", 0, TrafficOverride.Selector.ALL));
+  /**
+   * Guards against a table that grows without an end, and against a live one that cannot be taken
+   * back as it is full.
+   */
+  @Example
+  void keepsToItsBoundsAndCanAlwaysTakeBack() {
+    Limits few = new Limits(3, 2, 100, 60, 0);
+    Book book = new Book(few);
+    for (int i = 0; i < 3; i++) {
+      assertEquals(
+          Book.Taken.NEW,
+          book.make(
+              1,
+              made(i, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+    }
+    assertEquals(
+        Book.Taken.FULL,
+        book.make(
+            1, made(3, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+    for (int i = 0; i < 3; i++) {
+      assertEquals(Book.Taken.NEW, book.revoke(2, "o" + i));
     }
+    assertEquals(
+        Book.Taken.KNOWN,
+        book.make(
+            3, made(0, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+    assertEquals(Book.Taken.NEW, book.revoke(3, "x1"));
+    assertEquals(Book.Taken.NEW, book.revoke(3, "x2"));
+    assertEquals(Book.Taken.FULL, book.revoke(3, "x3"));
+    assertEquals(Standing.REVOKED, book.standing(60 * SECOND, "o1"));
+    assertEquals(null, book.standing(60 * SECOND + 3, "o1"), "remembered for its lifetime");
+    assertThrows(
+        IllegalArgumentException.class,
+        () -> made(9, TrafficOverride.What.REFUSE, "", "", 0, TrafficOverride.Selector.ALL));
+  }
 }
--- a/src/test/java/mothwing/peer/CodecTest.java
+++ b/src/test/java/mothwing/peer/CodecTest.java
@@ -22,76 +22,94 @@
 
 /** Messages as bytes, whole, damaged and of another version. */
 class CodecTest {
-    private static Claim claim(Random random) {
-        int long31 = random.nextInt(31) + 1;
-        return new Claim("n".repeat(long31), random.nextLong() >>> random.nextInt(64) & Long.MAX_VALUE, "127.0.0.1:" + random.nextInt(65_536),
-                "z".repeat(random.nextInt(31) + 1), random.nextLong() >>> 1 + random.nextInt(62),
-                State.values()[random.nextInt(State.values().length)], "b".repeat(long31));
-    }
+  private static Claim claim(Random random) {
+    int long31 = random.nextInt(31) + 1;
+    return new Claim(
+        "n".repeat(long31),
+        random.nextLong() >>> random.nextInt(64) & Long.MAX_VALUE,
+        "127.0.0.1:" + random.nextInt(65_536),
+        "z".repeat(random.nextInt(31) + 1),
+        random.nextLong() >>> 1 + random.nextInt(62),
+        State.values()[random.nextInt(State.values().length)],
+        "b".repeat(long31));
+  }
 
-    private static Message message(long seed) {
-        Random random = new Random(seed);
-        List<Claim> claims = new ArrayList<>();
-        for (int i = random.nextInt(20); i > 0; i--) {
-            claims.add(claim(random));
-        }
-        return new Message("cairo", Message.Kind.values()[random.nextInt(Message.Kind.values().length)], random.nextLong() >>> 1,
-                random.nextBoolean() ? "" : "s1", claim(random), claims);
+  private static Message message(long seed) {
+    Random random = new Random(seed);
+    List<Claim> claims = new ArrayList<>();
+    for (int i = random.nextInt(20); i > 0; i--) {
+      claims.add(claim(random));
     }
+    return new Message(
+        "cairo",
+        Message.Kind.values()[random.nextInt(Message.Kind.values().length)],
+        random.nextLong() >>> 1,
+        random.nextBoolean() ? "" : "s1",
+        claim(random),
+        claims);
+  }
 
-    /** Guards against a datagram that is larger than the core took it for. */
-    @Property(seed = "1764630001", tries = 500)
-    void comesBackAsItWasAndIsNoLargerThanSaid(@ForAll long seed) throws IOException {
-        Message message = message(seed);
-        byte[] bytes = Codec.bytes(message);
-        assertEquals(message, Codec.message(bytes));
-        assertTrue(bytes.length <= message.bytes(), bytes.length + " bytes, said " + message.bytes());
-    }
+  /** Guards against a datagram that is larger than the core took it for. */
+  @Property(seed = "1764630001", tries = 500)
+  void comesBackAsItWasAndIsNoLargerThanSaid(@ForAll long seed) throws IOException {
+    Message message = message(seed);
+    byte[] bytes = Codec.bytes(message);
+    assertEquals(message, Codec.message(bytes));
+    assertTrue(bytes.length <= message.bytes(), bytes.length + " bytes, said " + message.bytes());
+  }
 
-    @Property(seed = "1764630002", tries = 500)
-    void whatIsDamagedOrCutIsNoMessage(@ForAll long seed, @ForAll long other) throws IOException {
-        byte[] bytes = Codec.bytes(message(seed));
-        Random random = new Random(other);
-        byte[] flipped = bytes.clone();
-        flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
-        assertThrows(Codec.Bad.class, () -> Codec.message(flipped));
-        assertThrows(Codec.Bad.class, () -> Codec.message(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
-        byte[] noise = new byte[random.nextInt(200)];
-        random.nextBytes(noise);
-        assertThrows(Codec.Bad.class, () -> Codec.message(noise));
-        assertThrows(Codec.Bad.class, () -> Codec.message(sealed(noise, 1)));
-    }
+  @Property(seed = "1764630002", tries = 500)
+  void whatIsDamagedOrCutIsNoMessage(@ForAll long seed, @ForAll long other) throws IOException {
+    byte[] bytes = Codec.bytes(message(seed));
+    Random random = new Random(other);
+    byte[] flipped = bytes.clone();
+    flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
+    assertThrows(Codec.Bad.class, () -> Codec.message(flipped));
+    assertThrows(
+        Codec.Bad.class, () -> Codec.message(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
+    byte[] noise = new byte[random.nextInt(200)];
+    random.nextBytes(noise);
+    assertThrows(Codec.Bad.class, () -> Codec.message(noise));
+    assertThrows(Codec.Bad.class, () -> Codec.message(sealed(noise, 1)));
+  }
 
-    /** Bytes as a map that is whole by its checksum. */
-    private static byte[] sealed(byte[] map, int version) {
-        byte[] all = new byte[Codec.HEAD + map.length];
-        all[0] = 'm';
-        all[1] = 'P';
-        all[2] = (byte) version;
-        System.arraycopy(map, 0, all, Codec.HEAD, map.length);
-        CRC32C crc = new CRC32C();
-        crc.update(all, 0, 3);
-        crc.update(map, 0, map.length);
-        for (int i = 0; i < 4; i++) {
-            all[3 + i] = (byte) (crc.getValue() >> (3 - i) * 8);
-        }
-        return all;
+  /** Bytes as a map that is whole by its checksum. */
+  private static byte[] sealed(byte[] map, int version) {
+    byte[] all = new byte[Codec.HEAD + map.length];
+    all[0] = 'm';
+    all[1] = 'P';
+    all[2] = (byte) version;
+    System.arraycopy(map, 0, all, Codec.HEAD, map.length);
+    CRC32C crc = new CRC32C();
+    crc.update(all, 0, 3);
+    crc.update(map, 0, map.length);
+    for (int i = 0; i < 4; i++) {
+      all[3 + i] = (byte) (crc.getValue() >> (3 - i) * 8);
     }
+    return all;
+  }
 
-    /** A later program may say more: what is not known is passed over. */
-    @Example
-    void whatIsNotKnownIsPassedOver() throws IOException {
-        byte[] bytes = Codec.bytes(message(7));
-        byte[] map = Arrays.copyOfRange(bytes, Codec.HEAD, bytes.length);
-        assertArrayEquals(bytes, sealed(map, 1));
-        try (MessageBufferPacker more = MessagePack.newDefaultBufferPacker()) {
-            more.packInt(99).packMapHeader(1).packString("later").packArrayHeader(2).packNil().packDouble(1.5);
-            byte[] tail = more.toByteArray();
-            byte[] longer = Arrays.copyOf(map, map.length + tail.length);
-            System.arraycopy(tail, 0, longer, map.length, tail.length);
-            longer[0]++; // one more pair
-            assertEquals(message(7), Codec.message(sealed(longer, 1)));
-        }
-        assertEquals("newer-version", assertThrows(Codec.Bad.class, () -> Codec.message(sealed(map, 2))).getMessage());
+  /** A later program may say more: what is not known is passed over. */
+  @Example
+  void whatIsNotKnownIsPassedOver() throws IOException {
+    byte[] bytes = Codec.bytes(message(7));
+    byte[] map = Arrays.copyOfRange(bytes, Codec.HEAD, bytes.length);
+    assertArrayEquals(bytes, sealed(map, 1));
+    try (MessageBufferPacker more = MessagePack.newDefaultBufferPacker()) {
+      more.packInt(99)
+          .packMapHeader(1)
+          .packString("later")
+          .packArrayHeader(2)
+          .packNil()
+          .packDouble(1.5);
+      byte[] tail = more.toByteArray();
+      byte[] longer = Arrays.copyOf(map, map.length + tail.length);
+      System.arraycopy(tail, 0, longer, map.length, tail.length);
+      longer[0]++; // one more pair
+      assertEquals(message(7), Codec.message(sealed(longer, 1)));
     }
+    assertEquals(
+        "newer-version",
+        assertThrows(Codec.Bad.class, () -> Codec.message(sealed(map, 2))).getMessage());
+  }
 }
--- a/src/test/java/mothwing/settings/SiteScriptTest.java
+++ b/src/test/java/mothwing/settings/SiteScriptTest.java
@@ -16,7 +16,8 @@
 
 /** Our own settings, read from a script. */
 class SiteScriptTest {
-    private static final String GOOD = """
+  private static final String GOOD =
+      """
             load("rooms.star", "rooms")
             ajp(listen = "127.0.0.1:8009")
             dns(listen = "127.0.0.1:5353", state = "state", idle_ms = 500)
@@ -25,36 +26,39 @@
                 allow(key = "till-key", names = "*.%s.example.org" % room, types = ["A", "srv"]) for room in rooms])
             """;
 
-    @TempDir
-    private Path folder;
+  @TempDir private Path folder;
 
-    @BeforeEach
-    void files() throws IOException {
-        Files.writeString(folder.resolve("rooms.star"), "rooms = ['nasr-city', 'sixth-october']\n");
-        Files.writeString(folder.resolve("till.key"), "MDEyMzQ1Njc4OWFiY2RlZg==\n");
-        Files.writeString(folder.resolve("example.zone"), "");
-    }
+  @BeforeEach
+  void files() throws IOException {
+    Files.writeString(folder.resolve("rooms.star"), "rooms = ['nasr-city', 'sixth-october']\n");
+    Files.writeString(folder.resolve("till.key"), "MDEyMzQ1Njc4OWFiY2RlZg==\n");
+    Files.writeString(folder.resolve("example.zone"), "");
+  }
 
-    private Site read(String script) throws IOException {
-        return SiteScript.read(Files.writeString(folder.resolve("site.star"), script));
-    }
+  private Site read(String script) throws IOException {
+    return SiteScript.read(Files.writeString(folder.resolve("site.star"), script));
+  }
 
-    @Test
-    void readsASite() throws IOException {
-        Site site = read(GOOD);
-        assertEquals(8009, site.ajp().getPort());
-        assertEquals(500, site.dns().limits().idleMs());
-        assertEquals(1232, site.dns().limits().udpBytes());
-        assertEquals(16, Secret.read(site.dns().keys().get(0)).length);
-        Site.Zone zone = site.dns().zones().get(0);
-        assertEquals("example.org", zone.name());
-        assertEquals(2, zone.rights().size());
-        assertEquals(new Site.Right("till-key", "*.sixth-october.example.org", Set.of("A", "SRV")),
-                zone.rights().get(1));
-    }
+  @Test
+  void readsASite() throws IOException {
+    Site site = read(GOOD);
+    assertEquals(8009, site.ajp().getPort());
+    assertEquals(500, site.dns().limits().idleMs());
+    assertEquals(1232, site.dns().limits().udpBytes());
+    assertEquals(16, Secret.read(site.dns().keys().get(0)).length);
+    Site.Zone zone = site.dns().zones().get(0);
+    assertEquals("example.org", zone.name());
+    assertEquals(2, zone.rights().size());
+    assertEquals(
+        new Site.Right("till-key", "*.sixth-october.example.org", Set.of("A", "SRV")),
+        zone.rights().get(1));
+  }
 
-    @ParameterizedTest
-    @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
+  @ParameterizedTest
+  @CsvSource(
+      delimiter = '|',
+      quoteCharacter = '`',
+      value = {
         "127.0.0.1:5353| till.svc:53| site.star:3:1: dns: field listen: not an address",
         "idle_ms = 500| idle_ms = 5| site.star:3:1: dns: argument idle_ms is 5, expected 100 to 600000",
         "idle_ms = 500| idle = 5| site.star:3:1: dns: unknown argument idle",
@@ -67,32 +71,36 @@
         "[\"A\", \"srv\"]| [\"A\", 1]| argument types[1] is an int, expected a type of records",
         "[\"A\", \"srv\"]| [\"SOA\"]| allow: types cannot have SOA",
         ".example.org\"| .example.net\"| which is outside of zone example.org",
-        "dns(| #| there are zones but no dns"})
-    void namesWhatIsWrong(String good, String bad, String message) {
-        IOException error = assertThrows(IOException.class, () -> read(GOOD.replace(good, bad)));
-        assertTrue(error.getMessage().startsWith("site.star:"), error::getMessage);
-        assertTrue(error.getMessage().contains(message), error::getMessage);
-    }
+        "dns(| #| there are zones but no dns"
+      })
+  void namesWhatIsWrong(String good, String bad, String message) {
+    IOException error = assertThrows(IOException.class, () -> read(GOOD.replace(good, bad)));
+    assertTrue(error.getMessage().startsWith("site.star:"), error::getMessage);
+    assertTrue(error.getMessage().contains(message), error::getMessage);
+  }
 
-    /** A link that leads out of the folder is no way round: neither for files nor for loads. */
-    @Test
-    void staysBelowItsFolder(@TempDir Path elsewhere) throws IOException {
-        Files.writeString(elsewhere.resolve("out.star"), "rooms = []\n");
-        Files.createSymbolicLink(folder.resolve("link.star"), elsewhere.resolve("out.star"));
-        String script = GOOD.replace("rooms.star", "link.star");
-        assertTrue(assertThrows(IOException.class, () -> read(script)).getMessage().contains("lies outside"));
-        assertTrue(assertThrows(IOException.class, () -> read(GOOD.replace("example.zone", "link.star")))
-                .getMessage().contains("lies outside"));
-    }
+  /** A link that leads out of the folder is no way round: neither for files nor for loads. */
+  @Test
+  void staysBelowItsFolder(@TempDir Path elsewhere) throws IOException {
+    Files.writeString(elsewhere.resolve("out.star"), "rooms = []\n");
+    Files.createSymbolicLink(folder.resolve("link.star"), elsewhere.resolve("out.star"));
+    String script = GOOD.replace("rooms.star", "link.star");
+    assertTrue(
+        assertThrows(IOException.class, () -> read(script)).getMessage().contains("lies outside"));
+    assertTrue(
+        assertThrows(IOException.class, () -> read(GOOD.replace("example.zone", "link.star")))
+            .getMessage()
+            .contains("lies outside"));
+  }
 
-    @Test
-    void complainsOfSecretsWithoutShowingThem() throws IOException {
-        Site.Key key = read(GOOD).dns().keys().get(0);
-        for (String wrong : new String[] {"short", "c2hvcnQ=", "not base64 at all!"}) {
-            Files.writeString(folder.resolve("till.key"), wrong);
-            IOException error = assertThrows(IOException.class, () -> Secret.read(key));
-            assertTrue(error.getMessage().startsWith("key till-key: till.key "), error::getMessage);
-            assertTrue(!error.getMessage().contains(wrong), error::getMessage);
-        }
+  @Test
+  void complainsOfSecretsWithoutShowingThem() throws IOException {
+    Site.Key key = read(GOOD).dns().keys().get(0);
+    for (String wrong : new String[] {"short", "c2hvcnQ=", "not base64 at all!"}) {
+      Files.writeString(folder.resolve("till.key"), wrong);
+      IOException error = assertThrows(IOException.class, () -> Secret.read(key));
+      assertTrue(error.getMessage().startsWith("key till-key: till.key "), error::getMessage);
+      assertTrue(!error.getMessage().contains(wrong), error::getMessage);
     }
+  }
 }
--- a/src/test/java/mothwing/testing/Altered.java
+++ b/src/test/java/mothwing/testing/Altered.java
@@ -10,35 +10,75 @@
 
 /** Settings as they were but for one thing, as a new configuration brings them. */
 public final class Altered {
-    private Altered() {
-    }
-
-    /** With other classes and tenants. */
-    public static Settings parts(Settings one, List<RequestClass> classes, List<Tenant> tenants) {
-        return make(one, classes, tenants, one.signals());
-    }
-
-    /** With another meaning of the free value. */
-    public static Settings meaning(Settings one, FreeValue meaning) {
-        return signals(one, by -> new Signals(meaning, by.heardFor(), by.mayAdvise(), by.longestAdvice(), by.goneNotices(), by.idle()));
-    }
-
-    /** With advice to stay away passed on, or not. */
-    public static Settings advice(Settings one, boolean may) {
-        return signals(one, by -> new Signals(by.freeValue(), by.heardFor(), may, by.longestAdvice(), by.goneNotices(), by.idle()));
-    }
-
-    /** With another idle limit, in microseconds. */
-    public static Settings idle(Settings one, long span) {
-        return signals(one, by -> new Signals(by.freeValue(), by.heardFor(), by.mayAdvise(), by.longestAdvice(), by.goneNotices(), span));
-    }
-
-    private static Settings signals(Settings one, UnaryOperator<Signals> change) {
-        return make(one, one.classes(), one.tenants(), change.apply(one.signals()));
-    }
-
-    private static Settings make(Settings one, List<RequestClass> classes, List<Tenant> tenants, Signals signals) {
-        return new Settings(one.seed(), one.round(), classes, tenants, one.replicas(), one.callers(), one.worthByWork(),
-                one.overShareWorth(), one.freshFor(), one.goal(), one.rules(), one.dependency(), one.machine(), signals);
-    }
+  private Altered() {}
+
+  /** With other classes and tenants. */
+  public static Settings parts(Settings one, List<RequestClass> classes, List<Tenant> tenants) {
+    return make(one, classes, tenants, one.signals());
+  }
+
+  /** With another meaning of the free value. */
+  public static Settings meaning(Settings one, FreeValue meaning) {
+    return signals(
+        one,
+        by ->
+            new Signals(
+                meaning,
+                by.heardFor(),
+                by.mayAdvise(),
+                by.longestAdvice(),
+                by.goneNotices(),
+                by.idle()));
+  }
+
+  /** With advice to stay away passed on, or not. */
+  public static Settings advice(Settings one, boolean may) {
+    return signals(
+        one,
+        by ->
+            new Signals(
+                by.freeValue(),
+                by.heardFor(),
+                may,
+                by.longestAdvice(),
+                by.goneNotices(),
+                by.idle()));
+  }
+
+  /** With another idle limit, in microseconds. */
+  public static Settings idle(Settings one, long span) {
+    return signals(
+        one,
+        by ->
+            new Signals(
+                by.freeValue(),
+                by.heardFor(),
+                by.mayAdvise(),
+                by.longestAdvice(),
+                by.goneNotices(),
+                span));
+  }
+
+  private static Settings signals(Settings one, UnaryOperator<Signals> change) {
+    return make(one, one.classes(), one.tenants(), change.apply(one.signals()));
+  }
+
+  private static Settings make(
+      Settings one, List<RequestClass> classes, List<Tenant> tenants, Signals signals) {
+    return new Settings(
+        one.seed(),
+        one.round(),
+        classes,
+        tenants,
+        one.replicas(),
+        one.callers(),
+        one.worthByWork(),
+        one.overShareWorth(),
+        one.freshFor(),
+        one.goal(),
+        one.rules(),
+        one.dependency(),
+        one.machine(),
+        signals);
+  }
 }
--- a/src/test/java/mothwing/testing/FrontModel.java
+++ b/src/test/java/mothwing/testing/FrontModel.java
@@ -12,175 +12,209 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import mothwing.lab.Gateway;
+import mothwing.OverloadControl.Outcome;
 import mothwing.lab.Answer;
+import mothwing.lab.Gateway;
 import mothwing.lab.Stand;
-import mothwing.OverloadControl.Outcome;
 import mothwing.net.Connection;
 
 /**
- * The model that both fronts are checked against: what was read is owed one answer by its due time unless its
- * caller left; what must run once runs once and, once run, is not refused; what is served is its own result.
+ * The model that both fronts are checked against: what was read is owed one answer by its due time
+ * unless its caller left; what must run once runs once and, once run, is not refused; what is
+ * served is its own result.
  */
 public final class FrontModel {
-    private static final List<String> ENDS = List.of("completed", "rejected", "failed");
-    private static final int LEFT = 3;
-    private static final long DUE = 4_500_000 + 150_000;
-
-    /** A request as its gateway knows it. */
-    private static final class Known {
-        final String id;
-        final boolean order;
-        final long dueAt;
-
-        Known(String id, boolean order, long dueAt) {
-            this.id = id;
-            this.order = order;
-            this.dueAt = dueAt;
-        }
-    }
-
-    /** The server under test. */
-    public final Stand stand = new Stand().bound();
-    /** What the gateway sends and reads on the connection under test. */
-    public Gateway gateway;
-    /** The connection under test. */
-    public EmbeddedChannel channel;
-
-    private final Function<Stand, Connection> maker;
-    private final Supplier<Gateway> speaker;
-
-    private final Map<Integer, Known> owed = new HashMap<>();
-    private final Map<String, long[]> ends = Map.of(Stand.LOOK, new long[4], Stand.ORDER, new long[4]);
-    private final Map<String, String> kinds = new HashMap<>();
-    private int made;
-
-    /** Makes a model with one open connection of a front. */
-    public FrontModel(Function<Stand, Connection> maker, Supplier<Gateway> speaker) {
-        this.maker = maker;
-        this.speaker = speaker;
-        open();
-    }
-
-    private void open() {
-        gateway = speaker.get();
-        channel = stand.open(maker.apply(stand));
+  private static final List<String> ENDS = List.of("completed", "rejected", "failed");
+  private static final int LEFT = 3;
+  private static final long DUE = 4_500_000 + 150_000;
+
+  /** A request as its gateway knows it. */
+  private static final class Known {
+    final String id;
+    final boolean order;
+    final long dueAt;
+
+    Known(String id, boolean order, long dueAt) {
+      this.id = id;
+      this.order = order;
+      this.dueAt = dueAt;
     }
-
-    /** Sends bytes of the gateway, and reads what comes back at once. */
-    public void send(byte[] bytes) {
-        stand.send(channel, gateway, bytes);
+  }
+
+  /** The server under test. */
+  public final Stand stand = new Stand().bound();
+
+  /** What the gateway sends and reads on the connection under test. */
+  public Gateway gateway;
+
+  /** The connection under test. */
+  public EmbeddedChannel channel;
+
+  private final Function<Stand, Connection> maker;
+  private final Supplier<Gateway> speaker;
+
+  private final Map<Integer, Known> owed = new HashMap<>();
+  private final Map<String, long[]> ends =
+      Map.of(Stand.LOOK, new long[4], Stand.ORDER, new long[4]);
+  private final Map<String, String> kinds = new HashMap<>();
+  private int made;
+
+  /** Makes a model with one open connection of a front. */
+  public FrontModel(Function<Stand, Connection> maker, Supplier<Gateway> speaker) {
+    this.maker = maker;
+    this.speaker = speaker;
+    open();
+  }
+
+  private void open() {
+    gateway = speaker.get();
+    channel = stand.open(maker.apply(stand));
+  }
+
+  /** Sends bytes of the gateway, and reads what comes back at once. */
+  public void send(byte[] bytes) {
+    stand.send(channel, gateway, bytes);
+  }
+
+  /**
+   * Sends a request on a place of the connection, unless one is open there: in two pieces, cut
+   * anywhere.
+   */
+  public void ask(int place, int step) {
+    if (owed.containsKey(place)) {
+      return;
     }
-
-    /** Sends a request on a place of the connection, unless one is open there: in two pieces, cut anywhere. */
-    public void ask(int place, int step) {
-        if (owed.containsKey(place)) {
-            return;
-        }
-        boolean order = step % 3 == 0;
-        int lateMs = step % 400;
-        String id = Stand.id(++made);
-        owed.put(place, new Known(id, order, stand.now() - lateMs * 1000L + DUE));
-        kinds.put(id, order ? Stand.ORDER : Stand.LOOK);
-        byte[] all = gateway.request(place, order ? "/call/" + Stand.ORDER : "/call/" + Stand.LOOK, "",
-                Gateway.fields(id, stand.wallMs() - lateMs), new byte[step % 2049]);
-        int cut = step % all.length;
-        send(Arrays.copyOf(all, cut));
-        send(Arrays.copyOfRange(all, cut, all.length));
+    boolean order = step % 3 == 0;
+    int lateMs = step % 400;
+    String id = Stand.id(++made);
+    owed.put(place, new Known(id, order, stand.now() - lateMs * 1000L + DUE));
+    kinds.put(id, order ? Stand.ORDER : Stand.LOOK);
+    byte[] all =
+        gateway.request(
+            place,
+            order ? "/call/" + Stand.ORDER : "/call/" + Stand.LOOK,
+            "",
+            Gateway.fields(id, stand.wallMs() - lateMs),
+            new byte[step % 2049]);
+    int cut = step % all.length;
+    send(Arrays.copyOf(all, cut));
+    send(Arrays.copyOfRange(all, cut, all.length));
+  }
+
+  /** Whether a place of the connection is taken. */
+  public boolean busy(int place) {
+    return owed.containsKey(place);
+  }
+
+  /** The gateway no longer waits for a request. */
+  public void left(int place) {
+    Known known = owed.remove(place);
+    if (known != null) {
+      ends.get(kinds.get(known.id))[LEFT]++;
     }
-
-    /** Whether a place of the connection is taken. */
-    public boolean busy(int place) {
-        return owed.containsKey(place);
+  }
+
+  /** The gateway closes the connection, which is all its callers leaving, and opens another. */
+  public void reopen() {
+    List.copyOf(owed.keySet()).forEach(this::left);
+    channel.close();
+    open();
+  }
+
+  /** Ends some run, well or badly. */
+  public void endRun(int number) {
+    String id = stand.someRun(number);
+    if (id != null) {
+      stand.finish(id, number % 5 == 0 ? Outcome.FAILED : Outcome.GOOD);
     }
-
-    /** The gateway no longer waits for a request. */
-    public void left(int place) {
-        Known known = owed.remove(place);
-        if (known != null) {
-            ends.get(kinds.get(known.id))[LEFT]++;
-        }
+  }
+
+  /**
+   * Lets time pass, and checks all that the gateway has read by then, and that nothing is overdue.
+   */
+  public void check(long span) {
+    stand.pass(span);
+    stand.read(channel, gateway);
+    Answer answer;
+    while ((answer = gateway.answers.poll()) != null) {
+      Known known = owed.remove(answer.id());
+      assertNotNull(known, "an answer that is not owed");
+      boolean ran = stand.spawns.containsKey(known.id);
+      assertNotNull(answer.fields().get("Feedback"));
+      ends.get(kinds.get(known.id))[answer.status() == 200 ? 0 : answer.status() == 503 ? 1 : 2]++;
+      switch (answer.status()) {
+        case 200 -> assertArrayEquals(Stand.result(known.id), answer.content());
+        case 503 -> assertTrue(!ran || !known.order, known.id + " ran and is refused");
+        default -> assertEquals(500, answer.status());
+      }
     }
-
-    /** The gateway closes the connection, which is all its callers leaving, and opens another. */
-    public void reopen() {
-        List.copyOf(owed.keySet()).forEach(this::left);
-        channel.close();
-        open();
+    for (Known known : owed.values()) {
+      assertTrue(
+          stand.now() <= known.dueAt,
+          () ->
+              known.id
+                  + " is overdue at "
+                  + stand.now()
+                  + "\n"
+                  + stand.counters
+                  + "\n"
+                  + String.join("\n", stand.lines));
     }
-
-    /** Ends some run, well or badly. */
-    public void endRun(int number) {
-        String id = stand.someRun(number);
-        if (id != null) {
-            stand.finish(id, number % 5 == 0 ? Outcome.FAILED : Outcome.GOOD);
-        }
-    }
-
-    /** Lets time pass, and checks all that the gateway has read by then, and that nothing is overdue. */
-    public void check(long span) {
-        stand.pass(span);
-        stand.read(channel, gateway);
-        Answer answer;
-        while ((answer = gateway.answers.poll()) != null) {
-            Known known = owed.remove(answer.id());
-            assertNotNull(known, "an answer that is not owed");
-            boolean ran = stand.spawns.containsKey(known.id);
-            assertNotNull(answer.fields().get("Feedback"));
-            ends.get(kinds.get(known.id))[answer.status() == 200 ? 0 : answer.status() == 503 ? 1 : 2]++;
-            switch (answer.status()) {
-                case 200 -> assertArrayEquals(Stand.result(known.id), answer.content());
-                case 503 -> assertTrue(!ran || !known.order, known.id + " ran and is refused");
-                default -> assertEquals(500, answer.status());
-            }
-        }
-        for (Known known : owed.values()) {
-            assertTrue(stand.now() <= known.dueAt, () -> known.id + " is overdue at " + stand.now() + "\n"
-                    + stand.counters
-                    + "\n" + String.join("\n", stand.lines));
-        }
-        stand.spawns.forEach((id, times) -> assertEquals(1, times, id + " ran twice"));
-        reconcile();
-    }
-
-    /** Holds the figures against the gateway's own list. What ended after it had left may stand anywhere, or nowhere. */
-    private void reconcile() {
-        Map<String, Object> figures = stand.broker.figures();
-        assertEquals((long) owed.size(), figures.get("pending"));
-        ends.forEach((kind, seen) -> {
-            for (int end = 0; end < LEFT; end++) {
-                long count = count(figures, ENDS.get(end), kind);
-                assertTrue(count >= seen[end] && count <= seen[end] + seen[LEFT], ENDS.get(end) + " " + figures);
-            }
-            assertEquals(stand.spawns.keySet().stream().filter(id -> kinds.get(id).equals(kind)).count(),
-                    count(figures, "upstream_requests", kind));
+    stand.spawns.forEach((id, times) -> assertEquals(1, times, id + " ran twice"));
+    reconcile();
+  }
+
+  /**
+   * Holds the figures against the gateway's own list. What ended after it had left may stand
+   * anywhere, or nowhere.
+   */
+  private void reconcile() {
+    Map<String, Object> figures = stand.broker.figures();
+    assertEquals((long) owed.size(), figures.get("pending"));
+    ends.forEach(
+        (kind, seen) -> {
+          for (int end = 0; end < LEFT; end++) {
+            long count = count(figures, ENDS.get(end), kind);
+            assertTrue(
+                count >= seen[end] && count <= seen[end] + seen[LEFT],
+                ENDS.get(end) + " " + figures);
+          }
+          assertEquals(
+              stand.spawns.keySet().stream().filter(id -> kinds.get(id).equals(kind)).count(),
+              count(figures, "upstream_requests", kind));
         });
-    }
-
-    private static long count(Map<String, Object> figures, String name, String kind) {
-        return (Long) ((Map<?, ?>) figures.get(name)).get(kind);
-    }
-
-    /** Waits until all must be answered, and checks that all is and that nothing went wrong inside. */
-    public void checkEnd() {
-        check(6_000_000);
-        assertEquals(0, owed.size());
-        assertEquals(0, stand.broker.owed());
-        checkClosed();
-        assertEquals(0, stand.counters.get("controller-faults"));
-    }
-
-    /** Closes the connection, and checks that it ended without a fault and with one line in the log. */
-    public void checkClosed() {
-        stand.lines.clear();
-        boolean open = channel.isOpen();
-        channel.close();
-        assertEquals(0, stand.counters.get("faults"));
-        assertEquals(open ? 1 : 0, stand.lines.stream().filter(line -> line.startsWith("end side=")).count());
-    }
-
-    /** Whether the last line of the log is that of a connection which ended for a reason. */
-    public boolean endedAs(String reason) {
-        return !channel.isOpen() && stand.lines.get(stand.lines.size() - 1).contains(" reason=" + reason + " ");
-    }
+  }
+
+  private static long count(Map<String, Object> figures, String name, String kind) {
+    return (Long) ((Map<?, ?>) figures.get(name)).get(kind);
+  }
+
+  /**
+   * Waits until all must be answered, and checks that all is and that nothing went wrong inside.
+   */
+  public void checkEnd() {
+    check(6_000_000);
+    assertEquals(0, owed.size());
+    assertEquals(0, stand.broker.owed());
+    checkClosed();
+    assertEquals(0, stand.counters.get("controller-faults"));
+  }
+
+  /**
+   * Closes the connection, and checks that it ended without a fault and with one line in the log.
+   */
+  public void checkClosed() {
+    stand.lines.clear();
+    boolean open = channel.isOpen();
+    channel.close();
+    assertEquals(0, stand.counters.get("faults"));
+    assertEquals(
+        open ? 1 : 0, stand.lines.stream().filter(line -> line.startsWith("end side=")).count());
+  }
+
+  /** Whether the last line of the log is that of a connection which ended for a reason. */
+  public boolean endedAs(String reason) {
+    return !channel.isOpen()
+        && stand.lines.get(stand.lines.size() - 1).contains(" reason=" + reason + " ");
+  }
 }
--- a/src/test/java/mothwing/testing/HeldLog.java
+++ b/src/test/java/mothwing/testing/HeldLog.java
@@ -6,64 +6,64 @@
 import mothwing.broker.Log;
 
 /**
- * A log that can hold the thread which writes a line, between that line and the next statement: whatever the test does
- * meanwhile crosses it there. It keeps all lines.
+ * A log that can hold the thread which writes a line, between that line and the next statement:
+ * whatever the test does meanwhile crosses it there. It keeps all lines.
  */
 public final class HeldLog implements Log {
-    private final List<String> lines = new ArrayList<>();
-    private String start;
-    private CountDownLatch held;
-    private CountDownLatch goes;
+  private final List<String> lines = new ArrayList<>();
+  private String start;
+  private CountDownLatch held;
+  private CountDownLatch goes;
 
-    /** Holds the writer of the next line that starts so, once. */
-    public synchronized void hold(String lineStart) {
-        start = lineStart;
-        held = new CountDownLatch(1);
-        goes = new CountDownLatch(1);
-    }
+  /** Holds the writer of the next line that starts so, once. */
+  public synchronized void hold(String lineStart) {
+    start = lineStart;
+    held = new CountDownLatch(1);
+    goes = new CountDownLatch(1);
+  }
 
-    /** Waits until a writer is held. */
-    public void awaitHeld() throws InterruptedException {
-        held.await();
-    }
+  /** Waits until a writer is held. */
+  public void awaitHeld() throws InterruptedException {
+    held.await();
+  }
 
-    /** Lets the writer go on. */
-    public void release() {
-        goes.countDown();
-    }
+  /** Lets the writer go on. */
+  public void release() {
+    goes.countDown();
+  }
 
-    /** The lines so far. */
-    public synchronized List<String> lines() {
-        return List.copyOf(lines);
-    }
+  /** The lines so far. */
+  public synchronized List<String> lines() {
+    return List.copyOf(lines);
+  }
 
-    /** Waits for a line that starts so. */
-    public void awaitLine(String lineStart) throws InterruptedException {
-        awaitLines(lineStart, 1);
-    }
+  /** Waits for a line that starts so. */
+  public void awaitLine(String lineStart) throws InterruptedException {
+    awaitLines(lineStart, 1);
+  }
 
-    /** Waits for so many lines that start so. */
-    public synchronized void awaitLines(String lineStart, int many) throws InterruptedException {
-        while (lines.stream().filter(line -> line.startsWith(lineStart)).count() < many) {
-            wait();
-        }
+  /** Waits for so many lines that start so. */
+  public synchronized void awaitLines(String lineStart, int many) throws InterruptedException {
+    while (lines.stream().filter(line -> line.startsWith(lineStart)).count() < many) {
+      wait();
     }
+  }
 
-    @Override
-    public void line(String line) {
-        synchronized (this) {
-            lines.add(line);
-            notifyAll();
-            if (start == null || !line.startsWith(start)) {
-                return;
-            }
-            start = null;
-        }
-        held.countDown();
-        try {
-            goes.await();
-        } catch (InterruptedException ended) {
-            Thread.currentThread().interrupt();
-        }
+  @Override
+  public void line(String line) {
+    synchronized (this) {
+      lines.add(line);
+      notifyAll();
+      if (start == null || !line.startsWith(start)) {
+        return;
+      }
+      start = null;
+    }
+    held.countDown();
+    try {
+      goes.await();
+    } catch (InterruptedException ended) {
+      Thread.currentThread().interrupt();
     }
+  }
 }
--- a/src/test/java/mothwing/testing/KnownRedTest.java
+++ b/src/test/java/mothwing/testing/KnownRedTest.java
@@ -15,51 +15,66 @@
 
 /** The list of known failures, and that it hides nothing else. */
 class KnownRedTest {
-    private static final String LINE = "mothwing.testing.KnownRedTest.theListInForceIsWellFormed | a cause | issue 1";
+  private static final String LINE =
+      "mothwing.testing.KnownRedTest.theListInForceIsWellFormed | a cause | issue 1";
 
-    @Test
-    void theListInForceIsWellFormed() {
-        KnownRed.list().forEach(one -> System.out.println("KNOWN-RED.txt lists " + one));
-        assertTrue(KnownRed.list().size() <= KnownRed.MOST);
-    }
+  @Test
+  void theListInForceIsWellFormed() {
+    KnownRed.list().forEach(one -> System.out.println("KNOWN-RED.txt lists " + one));
+    assertTrue(KnownRed.list().size() <= KnownRed.MOST);
+  }
 
-    @Test
-    void aListThatSaysTooMuchOrTooLittleIsTurnedDown() {
-        assertEquals(1, KnownRed.parse(List.of(LINE, "")).size());
-        for (List<String> bad : List.of(Collections.nCopies(KnownRed.MOST + 1, LINE), List.of(LINE.replace("a cause", " ")),
-                List.of(LINE.replace("issue 1", "later")), List.of(LINE.replace("theList", "noList")),
-                List.of(LINE.replace("KnownRedTest", "NoTest")))) {
-            assertThrows(IllegalArgumentException.class, () -> KnownRed.parse(bad), bad::toString);
-        }
+  @Test
+  void aListThatSaysTooMuchOrTooLittleIsTurnedDown() {
+    assertEquals(1, KnownRed.parse(List.of(LINE, "")).size());
+    for (List<String> bad :
+        List.of(
+            Collections.nCopies(KnownRed.MOST + 1, LINE),
+            List.of(LINE.replace("a cause", " ")),
+            List.of(LINE.replace("issue 1", "later")),
+            List.of(LINE.replace("theList", "noList")),
+            List.of(LINE.replace("KnownRedTest", "NoTest")))) {
+      assertThrows(IllegalArgumentException.class, () -> KnownRed.parse(bad), bad::toString);
     }
+  }
 
-    /** Played through the interceptor itself, with this test's own method in the place of a listed one. */
-    @Test
-    void whatIsNotListedKeepsItsVerdict() throws Throwable {
-        Method own = KnownRedTest.class.getDeclaredMethod("whatIsNotListedKeepsItsVerdict");
-        IllegalStateException failure = new IllegalStateException("fails");
-        assertEquals(failure, assertThrows(IllegalStateException.class, () -> new KnownRed().interceptTestMethod(
-                failing(failure), of(own), null)));
-        new KnownRed().interceptTestMethod(() -> null, of(own), null);
-    }
+  /**
+   * Played through the interceptor itself, with this test's own method in the place of a listed
+   * one.
+   */
+  @Test
+  void whatIsNotListedKeepsItsVerdict() throws Throwable {
+    Method own = KnownRedTest.class.getDeclaredMethod("whatIsNotListedKeepsItsVerdict");
+    IllegalStateException failure = new IllegalStateException("fails");
+    assertEquals(
+        failure,
+        assertThrows(
+            IllegalStateException.class,
+            () -> new KnownRed().interceptTestMethod(failing(failure), of(own), null)));
+    new KnownRed().interceptTestMethod(() -> null, of(own), null);
+  }
 
-    @Test
-    void aListedTestIsPassedOverWhileItFailsAndFailsOnceItPasses() throws Throwable {
-        KnownRed.Entry listed = KnownRed.parse(List.of(LINE)).get(0);
-        assertThrows(TestAbortedException.class, () -> KnownRed.passOver(listed, failing(new AssertionError("red"))));
-        assertThrows(AssertionError.class, () -> KnownRed.passOver(listed, () -> null));
-    }
+  @Test
+  void aListedTestIsPassedOverWhileItFailsAndFailsOnceItPasses() throws Throwable {
+    KnownRed.Entry listed = KnownRed.parse(List.of(LINE)).get(0);
+    assertThrows(
+        TestAbortedException.class,
+        () -> KnownRed.passOver(listed, failing(new AssertionError("red"))));
+    assertThrows(AssertionError.class, () -> KnownRed.passOver(listed, () -> null));
+  }
 
-    private static Invocation<Void> failing(Throwable by) {
-        return () -> {
-            throw by;
-        };
-    }
+  private static Invocation<Void> failing(Throwable by) {
+    return () -> {
+      throw by;
+    };
+  }
 
-    @SuppressWarnings("unchecked")
-    private static ReflectiveInvocationContext<Method> of(Method method) {
-        return (ReflectiveInvocationContext<Method>) Proxy.newProxyInstance(KnownRedTest.class.getClassLoader(),
-                new Class<?>[] {ReflectiveInvocationContext.class},
-                (proxy, called, words) -> called.getName().equals("getExecutable") ? method : null);
-    }
+  @SuppressWarnings("unchecked")
+  private static ReflectiveInvocationContext<Method> of(Method method) {
+    return (ReflectiveInvocationContext<Method>)
+        Proxy.newProxyInstance(
+            KnownRedTest.class.getClassLoader(),
+            new Class<?>[] {ReflectiveInvocationContext.class},
+            (proxy, called, words) -> called.getName().equals("getExecutable") ? method : null);
+  }
 }
