--- /dev/null
+++ b/src/test/java/mothwing/witness/FrontWitness.java
@@ -0,0 +1,83 @@
+package mothwing.witness;
+
+import io.netty.buffer.Unpooled;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.io.IOException;
+import java.util.HexFormat;
+import java.util.function.Function;
+import mothwing.OverloadControl.Outcome;
+import mothwing.lab.Gateway;
+import mothwing.lab.Stand;
+import mothwing.net.Connection;
+import mothwing.testing.Undecided;
+
+/** The steps of a recorded conversation between a gateway and a front, with decisions by hand. */
+final class FrontWitness {
+  private static final long SETTLING = 10_000; // microseconds: events are given in batches
+
+  private final Stand stand = new Stand(new Undecided()).bound();
+  private final GoldenFile golden;
+  private final Function<Stand, Connection> maker;
+  private EmbeddedChannel channel;
+
+  /** Makes the steps of a recorded conversation. */
+  FrontWitness(String name, Function<Stand, Connection> maker) throws IOException {
+    golden = new GoldenFile(name);
+    this.maker = maker;
+  }
+
+  /** Replays the conversation, and compares what the front wrote with the recorded bytes. */
+  void replay() throws IOException {
+    golden.replay(this::step);
+    channel.finishAndReleaseAll();
+  }
+
+  /** Gives the recorded bytes of the front to a gateway. */
+  static void read(String name, Gateway gateway) throws IOException {
+    new GoldenFile(name)
+        .outputs().stream()
+            .filter(line -> !line.startsWith("open="))
+            .map(HexFormat.of()::parseHex)
+            .forEach(gateway::came);
+  }
+
+  private void step(String word, String rest) {
+    String[] words = rest.split(" ", 2);
+    switch (word) {
+      case "open" -> open();
+      case "send" -> send(rest);
+      case "start" -> stand.broker.start(rest);
+      case "done" -> finish(words, Outcome.GOOD);
+      case "crashed" -> finish(words, Outcome.FAILED);
+      case "refuse" -> stand.broker.refuse(rest, false, 0);
+      case "refuse-for-ms" -> stand.broker.refuse(words[0], false, 1000 * Long.parseLong(words[1]));
+      case "refuse-last" -> stand.broker.refuse(rest, true, 0);
+      case "fail" -> stand.broker.fail(rest);
+      case "say" -> stand.broker.say(Double.parseDouble(rest));
+      case "leave" -> stand.broker.away(true);
+      case "join" -> stand.broker.away(false);
+      case "drain" -> stand.broker.drain(stand.now(), stand.now() + 3_000_000, false);
+      default -> throw new AssertionError("no step " + word);
+    }
+    stand.pass(SETTLING);
+    golden.outputHex(channel);
+    golden.output("open=" + channel.isOpen());
+  }
+
+  private void open() {
+    if (channel != null) {
+      channel.finishAndReleaseAll();
+    }
+    channel = stand.open(maker.apply(stand));
+  }
+
+  private void send(String digits) {
+    channel.writeInbound(Unpooled.wrappedBuffer(GoldenFile.hex(digits)));
+  }
+
+  private void finish(String[] words, Outcome outcome) {
+    byte[] result = words.length > 1 ? GoldenFile.bytes(words[1]) : new byte[0];
+    stand.running.put(words[0], result);
+    stand.finish(words[0], outcome);
+  }
+}
