--- /dev/null
+++ b/src/test/java/mothwing/witness/AjpWitnessTest.java
@@ -0,0 +1,54 @@
+package mothwing.witness;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import mothwing.ajp.AjpConnection;
+import mothwing.lab.Answer;
+import mothwing.lab.Gateway;
+import mothwing.lab.Stand;
+import mothwing.net.Connection;
+import org.junit.jupiter.api.Test;
+
+/** The recorded bytes of the AJP front, and what a gateway reads in them. */
+class AjpWitnessTest {
+  private static final String REQUESTS = "ajp-requests.txt";
+
+  private static Connection connection(Stand stand) {
+    return new AjpConnection(stand.broker, stand.lines::add, stand.counters);
+  }
+
+  @Test
+  void requestsAreAnsweredAsRecorded() throws IOException {
+    new FrontWitness(REQUESTS, AjpWitnessTest::connection).replay();
+  }
+
+  @Test
+  void otherPacketsAreAnsweredAsRecorded() throws IOException {
+    new FrontWitness("ajp-packets.txt", AjpWitnessTest::connection).replay();
+  }
+
+  @Test
+  void recordedAnswersHoldTheValuesThatTheyWereWrittenWith() throws IOException {
+    Gateway.Ajp gateway = new Gateway.Ajp();
+    FrontWitness.read(REQUESTS, gateway);
+    List<Answer> answers = new ArrayList<>(gateway.answers);
+    assertEquals(
+        List.of(200, 200, 500, 503, 503, 503, 500, 500, 400, 400, 200, 503, 200, 200),
+        answers.stream().map(Answer::status).toList());
+    assertEquals("0.375", answers.get(1).fields().get("Feedback"));
+    assertEquals(
+        "made for 1\r\n", new String(answers.get(0).content(), StandardCharsets.ISO_8859_1));
+    assertArrayEquals(GoldenFile.bytes("\\0\\377"), answers.get(1).content());
+    answers.forEach(
+        one ->
+            assertEquals(
+                Integer.toString(one.content().length), one.fields().get("Content-Length")));
+    assertTrue(gateway.refusesReuse);
+  }
+}
