--- /dev/null
+++ b/src/test/java/mothwing/witness/StoredJournalTest.java
@@ -0,0 +1,214 @@
+package mothwing.witness;
+
+import static org.junit.jupiter.api.Assertions.assertArrayEquals;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.List;
+import mothwing.store.Corrupt;
+import mothwing.store.Disk;
+import mothwing.store.Journal;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** The files of a journal as recorded: written again to the byte, read again, and damaged. */
+class StoredJournalTest {
+  private static final String FIRST_LOG = "log-0000000000000001";
+  private static final String LOG = "log-0000000000000004";
+  private static final String SNAPSHOT = "snapshot-0000000000000003";
+  private static final int CHUNK = 1 << 20; // from so many bytes on a snapshot has another frame
+  private static final int HEAD = 24;
+  private static final int[] FIRST_LOG_FRAMES = {24, 66, 100};
+
+  @TempDir private Path folder;
+  private final List<String> lines = new ArrayList<>();
+  private final List<String> pieces = new ArrayList<>();
+  private final List<String> records = new ArrayList<>();
+
+  private Journal open() throws IOException {
+    pieces.clear();
+    records.clear();
+    lines.clear();
+    return Journal.open(
+        Disk.of(folder),
+        new Journal.Replay() {
+          @Override
+          public void snapshot(byte[] piece) {
+            pieces.add(new String(piece, StandardCharsets.ISO_8859_1));
+          }
+
+          @Override
+          public void record(byte[] record) {
+            records.add(new String(record, StandardCharsets.ISO_8859_1));
+          }
+        },
+        lines::add);
+  }
+
+  private static byte[] bytes(String text) {
+    return text.getBytes(StandardCharsets.ISO_8859_1);
+  }
+
+  private static List<byte[]> all(String... records) {
+    return Arrays.stream(records).map(StoredJournalTest::bytes).toList();
+  }
+
+  private byte[] stored(String file) throws IOException {
+    return Files.readAllBytes(folder.resolve(file));
+  }
+
+  private void store(String file, byte[] content) throws IOException {
+    Files.write(folder.resolve(file), content);
+  }
+
+  private void assertCorrupt(String message) {
+    assertEquals(message, assertThrows(Corrupt.class, this::open).getMessage());
+  }
+
+  private static byte[] flipped(byte[] content, int at) {
+    byte[] changed = content.clone();
+    changed[at] ^= 1;
+    return changed;
+  }
+
+  @Test
+  void writesTheRecordedFiles() throws IOException {
+    try (Journal journal = open()) {
+      journal.append(all("alpha", "bravo"));
+      journal.append(all("\0\1\u00fe\u00ff\r\n"));
+      HexFile.assertRecorded("journal/" + FIRST_LOG, stored(FIRST_LOG));
+      Journal.Snapshot snapshot =
+          journal.snapshot(List.of(new byte[CHUNK], bytes("piece two"), bytes("")).iterator());
+      snapshot.step();
+      journal.append(all("charlie"));
+      while (snapshot.step()) {
+        journal.append(List.of());
+      }
+      journal.append(all("delta", ""));
+      assertEquals(6, journal.last());
+      assertEquals(stored(LOG).length, journal.size());
+    }
+    assertEquals(List.of(LOG, SNAPSHOT), Disk.of(folder).list());
+    HexFile.assertRecorded("journal/" + LOG, stored(LOG));
+    HexFile.assertRecorded("journal/" + SNAPSHOT, stored(SNAPSHOT));
+  }
+
+  @Test
+  void readsTheRecordedFiles() throws IOException {
+    store(LOG, HexFile.read("journal/" + LOG));
+    store(SNAPSHOT, HexFile.read("journal/" + SNAPSHOT));
+    try (Journal journal = open()) {
+      assertEquals(List.of("\0".repeat(CHUNK), "piece two", ""), pieces);
+      assertEquals(List.of("charlie", "delta", ""), records);
+      assertEquals(6, journal.last());
+      assertEquals(List.of(), lines);
+    }
+    assertArrayEquals(HexFile.read("journal/" + LOG), stored(LOG));
+    assertArrayEquals(HexFile.read("journal/" + SNAPSHOT), stored(SNAPSHOT));
+  }
+
+  @Test
+  void readsTheRecordedLogWithoutASnapshotAndGoesOn() throws IOException {
+    store(FIRST_LOG, HexFile.read("journal/" + FIRST_LOG));
+    try (Journal journal = open()) {
+      assertEquals(List.of("alpha", "bravo", "\0\1\u00fe\u00ff\r\n"), records);
+      assertEquals(3, journal.last());
+      assertEquals(FIRST_LOG_FRAMES[2], journal.size());
+      journal.append(all("four"));
+    }
+    HexFile.assertRecorded("journal/continued-log", stored(FIRST_LOG));
+  }
+
+  @Test
+  void cutsATornFrameOffTheRecordedLog() throws IOException {
+    byte[] whole = HexFile.read("journal/" + FIRST_LOG);
+    assertEquals(FIRST_LOG_FRAMES[2], whole.length);
+    for (int length = FIRST_LOG_FRAMES[1] + 1; length < whole.length; length++) {
+      store(FIRST_LOG, Arrays.copyOf(whole, length));
+      try (Journal journal = open()) {
+        assertEquals(List.of("alpha", "bravo"), records);
+        assertEquals(2, journal.last());
+      }
+      int cut = length - FIRST_LOG_FRAMES[1];
+      assertEquals(List.of("journal-cut file=" + FIRST_LOG + " at=66 bytes=" + cut), lines);
+      assertArrayEquals(Arrays.copyOf(whole, FIRST_LOG_FRAMES[1]), stored(FIRST_LOG));
+    }
+  }
+
+  @Test
+  void cutsADamagedLastFrameOffTheRecordedLog() throws IOException {
+    byte[] whole = HexFile.read("journal/" + FIRST_LOG);
+    for (int at = FIRST_LOG_FRAMES[1]; at < whole.length; at++) {
+      store(FIRST_LOG, flipped(whole, at));
+      open().close();
+      assertEquals(List.of("alpha", "bravo"), records);
+      assertEquals(List.of("journal-cut file=" + FIRST_LOG + " at=66 bytes=34"), lines);
+      assertArrayEquals(Arrays.copyOf(whole, FIRST_LOG_FRAMES[1]), stored(FIRST_LOG));
+    }
+  }
+
+  @Test
+  void beginsAgainWhereTheHeadIsTorn() throws IOException {
+    byte[] whole = HexFile.read("journal/" + FIRST_LOG);
+    for (int length = 0; length < HEAD; length++) {
+      store(FIRST_LOG, Arrays.copyOf(whole, length));
+      open().close();
+      assertEquals(List.of(), records);
+      assertEquals(List.of("journal-cut file=" + FIRST_LOG + " at=0 bytes=" + length), lines);
+      assertArrayEquals(Arrays.copyOf(whole, HEAD), stored(FIRST_LOG));
+    }
+  }
+
+  @Test
+  void refusesARecordedLogThatIsDamagedInTheMiddle() throws IOException {
+    byte[] whole = HexFile.read("journal/" + FIRST_LOG);
+    for (int at = FIRST_LOG_FRAMES[0]; at < FIRST_LOG_FRAMES[1]; at++) {
+      store(FIRST_LOG, flipped(whole, at));
+      assertCorrupt(FIRST_LOG + " at byte 24: a damaged frame, followed by whole ones at byte 66");
+      assertArrayEquals(flipped(whole, at), stored(FIRST_LOG));
+    }
+    for (int at = 0; at < HEAD; at++) {
+      store(FIRST_LOG, flipped(whole, at));
+      assertCorrupt(FIRST_LOG + " at byte 0: the head is damaged");
+    }
+  }
+
+  @Test
+  void refusesRecordedFilesThatDoNotFollowEachOther() throws IOException {
+    store(LOG, HexFile.read("journal/" + LOG));
+    assertCorrupt(LOG + " at byte 0: records 1 to 3 are missing");
+    store(FIRST_LOG, Arrays.copyOf(HexFile.read("journal/" + FIRST_LOG), 99));
+    assertCorrupt(
+        FIRST_LOG + " at byte 66: a damaged frame, followed by whole ones in the next file");
+  }
+
+  @Test
+  void refusesARecordedSnapshotThatIsDamagedOrCut() throws IOException {
+    byte[] whole = HexFile.read("journal/" + SNAPSHOT);
+    store(LOG, HexFile.read("journal/" + LOG));
+    int second = HEAD + HEAD + 4 + CHUNK;
+    int last = second + HEAD + 4 + "piece two".length() + 4;
+    store(SNAPSHOT, flipped(whole, 0));
+    assertCorrupt(SNAPSHOT + " at byte 0: the snapshot is cut short");
+    store(SNAPSHOT, flipped(whole, HEAD + 100));
+    assertCorrupt(SNAPSHOT + " at byte 24: a damaged piece of the snapshot");
+    store(SNAPSHOT, flipped(whole, second));
+    assertCorrupt(SNAPSHOT + " at byte " + second + ": a damaged piece of the snapshot");
+    store(SNAPSHOT, flipped(whole, last));
+    assertCorrupt(SNAPSHOT + " at byte " + last + ": a damaged piece of the snapshot");
+    store(SNAPSHOT, Arrays.copyOf(whole, last));
+    assertCorrupt(SNAPSHOT + " at byte " + last + ": the snapshot is cut short");
+  }
+
+  @Test
+  void refusesAFileOfALaterVersion() throws IOException {
+    store(FIRST_LOG, HexFile.read("journal/later-version"));
+    assertCorrupt(FIRST_LOG + " at byte 0: written by a newer version of this program");
+  }
+}
