--- a/src/test/java/mothwing/witness/AdapterRecorder.java
+++ b/src/test/java/mothwing/witness/AdapterRecorder.java
@@ -21,8 +21,9 @@
 import mothwing.adapter.Adapter;
 
 /**
- * Records the files of {@link AdapterWitnessTest}: it plays two instances against the adapter, with
- * a seeded random load that follows the actions, and writes down both directions.
+ * Records the files of {@link AdapterWitnessTest}, and the messages of {@link SettingsWitnessTest}:
+ * it plays two instances against the adapter, with a seeded random load that follows the actions,
+ * and writes down both directions.
  *
  * <p>Run it only where a change of the decisions is meant: {@code AdapterRecorder FOLDER}, with the
  * test classes on the class path, twice: the list of kinds is of the recordings on the class path.
@@ -83,6 +84,9 @@
     }
     Files.writeString(folder.resolve("kinds.txt"), AdapterWitnessTest.kinds());
     Files.writeString(folder.resolve("bad-lines.txt"), AdapterWitnessTest.badLines());
+    Files.writeString(
+        folder.resolveSibling("settings").resolve("bad-values.txt"),
+        SettingsWitnessTest.badValues());
   }
 
   private void record(Path folder, String variant) throws Exception {
--- /dev/null
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -0,0 +1,292 @@
+package mothwing.witness;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertThrows;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import com.google.gson.GsonBuilder;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
+import com.google.gson.JsonPrimitive;
+import java.io.IOException;
+import java.io.InputStream;
+import java.io.StringReader;
+import java.math.BigDecimal;
+import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import mothwing.OverloadControl.FreeValue;
+import mothwing.OverloadControl.Halting;
+import mothwing.OverloadControl.Repeats;
+import mothwing.OverloadControl.RequestClass;
+import mothwing.OverloadControl.Settings;
+import mothwing.server.Config;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Holds each key of the configuration file and of the settings in it: what it sets, what stands for
+ * it where it is absent, and what is said of a bad value.
+ */
+class SettingsWitnessTest {
+  private static final String FOLDER = "/witness/settings/";
+
+  /** What a key's value is replaced by in turn. */
+  private static final List<String> BAD_VALUES =
+      List.of("null", "true", "7", "-7", "\"word\"", "\"\"", "[]", "[7]", "{}", "1e999");
+
+  private static String text(String name) throws IOException {
+    try (InputStream file = SettingsWitnessTest.class.getResourceAsStream(FOLDER + name)) {
+      return new String(file.readAllBytes(), StandardCharsets.UTF_8);
+    }
+  }
+
+  private static Config read(String json) throws IOException {
+    return Config.read(new StringReader(json));
+  }
+
+  private static Settings full() throws IOException {
+    return read(text("config.json")).settings();
+  }
+
+  /** The settings of a configuration in which one text is replaced by another. */
+  private static Settings changed(String from, String to) throws IOException {
+    String json = text("config.json");
+    assertTrue(json.contains(from), from);
+    return read(json.replace(from, to)).settings();
+  }
+
+  /** The settings of a configuration that names no more than it must. */
+  private static Settings least() throws IOException {
+    return read(text("least.json")).settings();
+  }
+
+  @Test
+  void eachKeyOfTheConfigurationSetsItsField() throws IOException {
+    Config config = read(text("config.json"));
+    assertEquals("quay-3", config.name());
+    assertEquals(0xf00000000000000dL, config.settings().seed());
+    assertEquals(new InetSocketAddress("127.0.0.1", 4101), config.listen());
+    assertEquals(new InetSocketAddress("127.0.0.2", 4102), config.pool());
+    assertEquals(new InetSocketAddress("127.0.0.3", 4103), config.announce());
+    assertEquals(new InetSocketAddress("127.0.0.4", 4104), config.ledger());
+    assertEquals(new InetSocketAddress("::1", 4105), config.management());
+    assertEquals(4106, config.stopMs());
+    assertEquals(4107, config.sockets());
+  }
+
+  @Test
+  void eachKeyAtTheTopOfTheSettingsSetsItsField() throws IOException {
+    Settings settings = full();
+    assertEquals(11, settings.round());
+    assertEquals(12, settings.replicas());
+    assertTrue(settings.worthByWork());
+    assertFalse(changed("\"work\"", "\"request\"").worthByWork());
+    assertEquals(0.13, settings.overShareWorth());
+    assertEquals(0.14, settings.goal().whole());
+    assertEquals(0.15, settings.goal().worstWindow());
+    assertEquals(0.16, settings.goal().worstClass());
+    assertEquals(0.17, settings.goal().worstTenant());
+    assertEquals(2, settings.tenants().size());
+    assertEquals("alder", settings.tenants().get(0).name());
+    assertEquals(0.51, settings.tenants().get(0).quota());
+    assertEquals("birch", settings.tenants().get(1).name());
+    assertEquals(0, settings.tenants().get(1).quota());
+  }
+
+  @Test
+  void eachKeyOfAClassSetsItsField() throws IOException {
+    List<RequestClass> classes = full().classes();
+    assertEquals(3, classes.size());
+    RequestClass peek = classes.get(0);
+    assertEquals("peek", peek.name());
+    assertEquals(21, peek.aim());
+    assertEquals(22, peek.deadline());
+    assertEquals(0.23, peek.worth());
+    assertEquals(0.24, peek.lateWorth());
+    assertEquals(Repeats.SAFE, peek.repeats());
+    assertEquals(25, peek.window());
+    assertFalse(peek.calls());
+    assertEquals(0.83, peek.skipWorth());
+    RequestClass stow = classes.get(1);
+    assertEquals("stow", stow.name());
+    assertEquals(31, stow.aim());
+    assertEquals(32, stow.deadline());
+    assertEquals(0.33, stow.worth());
+    assertEquals(0.34, stow.lateWorth());
+    assertEquals(Repeats.GUARDED, stow.repeats());
+    assertEquals(35, stow.window());
+    assertTrue(stow.calls());
+    assertEquals(0.84, stow.skipWorth());
+    RequestClass mint = classes.get(2);
+    assertEquals("mint", mint.name());
+    assertEquals(41, mint.aim());
+    assertEquals(42, mint.deadline());
+    assertEquals(0, mint.worth());
+    assertEquals(0, mint.lateWorth());
+    assertEquals(Repeats.SINGLE_SHOT, mint.repeats());
+    assertEquals(0, mint.window());
+    assertFalse(mint.calls());
+    assertEquals(0, mint.skipWorth());
+  }
+
+  @Test
+  void eachKeyOfTheRulesAndTheDependencySetsItsField() throws IOException {
+    Settings settings = full();
+    assertEquals(61, settings.rules().answerSlack());
+    assertEquals(62, settings.rules().drainGrace());
+    assertEquals(0.63, settings.rules().crowdPerCore());
+    assertEquals(64, settings.rules().crowdWindow());
+    assertEquals(0.65, settings.rules().coldSpeed());
+    assertEquals(66, settings.rules().warmAfter());
+    assertEquals(81, settings.callers());
+    assertEquals(82, settings.freshFor());
+    assertEquals(0.85, settings.dependency().share());
+    assertEquals(86, settings.dependency().window());
+    assertEquals(87, settings.dependency().linger());
+  }
+
+  @Test
+  void eachKeyOfTheMachineAndTheSignalsSetsItsField() throws IOException {
+    Settings settings = full();
+    assertEquals(88, settings.machine().cores());
+    assertEquals(0.89, settings.machine().memory());
+    assertEquals(0.91, settings.machine().runFactor());
+    assertEquals(0.92, settings.machine().entryMemory());
+    assertTrue(settings.machine().cold());
+    assertEquals(List.of("cpu_busy", "runnable"), settings.machine().gauges());
+    assertEquals(93, settings.signals().heardFor());
+    assertTrue(settings.signals().mayAdvise());
+    assertEquals(71, settings.signals().longestAdvice());
+    assertTrue(settings.signals().goneNotices());
+    assertEquals(94, settings.signals().idle());
+  }
+
+  @Test
+  void eachWordThatHaltAndSayKnowSetsItsValue() throws IOException {
+    String halt = "\"suspend\"";
+    assertEquals(Halting.SUSPEND, full().machine().halting());
+    assertEquals(Halting.ABORT, changed(halt, "\"abort\"").machine().halting());
+    assertEquals(Halting.NONE, changed(halt, "\"silent\"").machine().halting());
+    assertEquals(Halting.NONE, changed(halt, "\"other\"").machine().halting());
+    String say = "\"share_of\"";
+    assertEquals(FreeValue.SHARE, full().signals().freeValue());
+    assertEquals(FreeValue.LEVEL, changed(say, "\"threshold\"").signals().freeValue());
+    assertEquals(FreeValue.WINDOW, changed(say, "\"window\"").signals().freeValue());
+    assertEquals(FreeValue.NONE, changed(say, "\"silent\"").signals().freeValue());
+    assertEquals(FreeValue.NONE, changed(say, "\"other\"").signals().freeValue());
+  }
+
+  @Test
+  void whatStandsForAnAbsentKeyAtTheTopIsHeld() throws IOException {
+    Config config = read(text("least.json"));
+    assertNull(config.ledger());
+    assertEquals(System.getenv("EDGE_MANAGEMENT") == null, config.management() == null);
+    Settings settings = config.settings();
+    assertEquals(0, settings.round());
+    assertEquals(List.of(), settings.tenants());
+    assertEquals(1, settings.replicas());
+    assertEquals(0, settings.callers());
+    assertFalse(settings.worthByWork());
+    assertEquals(1, settings.overShareWorth());
+    assertEquals(0, settings.freshFor());
+    assertEquals(0, settings.goal().whole());
+    assertEquals(0, settings.goal().worstWindow());
+    assertEquals(0, settings.goal().worstClass());
+    assertEquals(0, settings.goal().worstTenant());
+    assertEquals(Repeats.SAFE, settings.classes().get(0).repeats());
+  }
+
+  @Test
+  void whatStandsForAnAbsentKeyFurtherDownIsHeld() throws IOException {
+    Settings settings = least();
+    assertEquals(0, settings.rules().answerSlack());
+    assertEquals(0, settings.rules().drainGrace());
+    assertEquals(1, settings.rules().crowdPerCore());
+    assertEquals(0, settings.rules().crowdWindow());
+    assertEquals(1, settings.rules().coldSpeed());
+    assertEquals(0, settings.rules().warmAfter());
+    assertEquals(0, settings.dependency().share());
+    assertEquals(0, settings.dependency().window());
+    assertEquals(0, settings.dependency().linger());
+    assertEquals(1, settings.machine().cores());
+    assertEquals(0, settings.machine().memory());
+    assertEquals(1, settings.machine().runFactor());
+    assertEquals(0, settings.machine().entryMemory());
+    assertFalse(settings.machine().cold());
+    assertEquals(List.of(), settings.machine().gauges());
+    assertEquals(Halting.NONE, settings.machine().halting());
+    assertEquals(FreeValue.NONE, settings.signals().freeValue());
+    assertEquals(0, settings.signals().heardFor());
+    assertFalse(settings.signals().mayAdvise());
+    assertEquals(0, settings.signals().longestAdvice());
+    assertFalse(settings.signals().goneNotices());
+    assertEquals(0, settings.signals().idle());
+  }
+
+  /**
+   * Each value of the full configuration is replaced by each bad value, and the message, or that
+   * there is none, compared with the recorded one.
+   */
+  @Test
+  void eachBadValueOfEachKeyGetsTheRecordedMessage() throws IOException {
+    assertEquals(text("bad-values.txt"), badValues());
+  }
+
+  /** The bad values, each with the message of now. */
+  static String badValues() throws IOException {
+    JsonObject whole = JsonParser.parseString(text("config.json")).getAsJsonObject();
+    List<String> lines = new ArrayList<>();
+    visit(whole, whole, "", lines);
+    return String.join("\n", lines) + "\n";
+  }
+
+  private static void visit(JsonObject whole, JsonElement here, String path, List<String> lines) {
+    if (here instanceof JsonObject object) {
+      for (String key : List.copyOf(object.keySet())) {
+        JsonElement good = object.get(key);
+        for (String bad : BAD_VALUES) {
+          object.add(key, value(bad));
+          lines.add(path + key + " = " + bad + ": " + message(whole));
+        }
+        object.add(key, good);
+        visit(whole, good, path + key + ".", lines);
+      }
+    } else if (here instanceof JsonArray array && !array.isEmpty()) {
+      visit(whole, array.get(0), path + "0.", lines);
+    }
+  }
+
+  private static JsonElement value(String json) {
+    return json.equals("1e999")
+        ? new JsonPrimitive(new BigDecimal(json))
+        : JsonParser.parseString(json);
+  }
+
+  private static String message(JsonObject whole) {
+    try {
+      read(new GsonBuilder().serializeNulls().create().toJson(whole));
+      return "taken";
+    } catch (IOException bad) {
+      return bad.getMessage();
+    }
+  }
+
+  @Test
+  void whatIsNoConfigurationIsTurnedDown() {
+    assertEquals("not a JSON object", refusal("[]"));
+    assertEquals("not a JSON object", refusal("7"));
+    assertTrue(refusal("{} {}").contains("malformed JSON at line 1 column 5 path $"));
+    assertEquals("field seed: required", refusal("{}"));
+    assertEquals("field settings: required", refusal("{\"seed\":\"1\"}"));
+    assertEquals("field settings.Classes: required", refusal("{\"seed\":\"1\",\"settings\":{}}"));
+  }
+
+  private static String refusal(String json) {
+    return assertThrows(IOException.class, () -> read(json), json).getMessage();
+  }
+}
