--- a/src/main/java/mothwing/Brain.java
+++ b/src/main/java/mothwing/Brain.java
@@ -371,7 +371,7 @@
   private boolean faulty(Job job) {
     boolean dear = job.kind.worth() >= dearestCaller;
     return faults[RUNS] > FAULTS
-        || job.kind.calls() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2);
+        || (job.kind.calls() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2));
   }
 
   private void account(int place, boolean good) {
@@ -739,7 +739,7 @@
       boolean waits = job.state == State.AT_CALL || job.state == State.REPLAYING;
       if (job.state == State.HELD && !job.ran && (due || now + stretched(job) > usefulUntil(job))) {
         turnAway(job);
-      } else if (due || now > worthUntil(job) && waits) {
+      } else if (due || (now > worthUntil(job) && waits)) {
         answerFailed(job); // what waits is given up once it can earn nothing; a run goes on
       }
     }
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -115,7 +115,7 @@
   boolean room(Exchange one) {
     return !one.guarded()
         || all.containsKey(key(one))
-        || all.size() < MOST && bytes + LARGEST <= MOST_BYTES;
+        || (all.size() < MOST && bytes + LARGEST <= MOST_BYTES);
   }
 
   /** Lets a try stand for its key until a time at the least. */
@@ -181,7 +181,7 @@
     all.values()
         .removeIf(
             entry -> {
-              boolean over = !entry.stands() || now > entry.until + READ_LATE && !entry.pending();
+              boolean over = !entry.stands() || (now > entry.until + READ_LATE && !entry.pending());
               bytes -= over ? entry.bytes : 0;
               return over;
             });
--- a/src/main/java/mothwing/cli/Commands.java
+++ b/src/main/java/mothwing/cli/Commands.java
@@ -193,7 +193,7 @@
                 MemberFigures.print(
                     (int) number(line, "members", 2, 10_000),
                     number(line, "seed", 0, Long.MAX_VALUE),
-                    number(line, "seconds", 1, 1_000_000),
+                    (double) number(line, "seconds", 1, 1_000_000),
                     to.out()),
             Command.required("members", "N", "how many"),
             Command.required("seed", "N", "of all random numbers"),
--- a/src/main/java/mothwing/dns/server/AnswerCache.java
+++ b/src/main/java/mothwing/dns/server/AnswerCache.java
@@ -35,7 +35,7 @@
     }
     byte[] answer = entry.answer.clone();
     System.arraycopy(query.bytes(), 0, answer, 0, 2);
-    answer[2] = (byte) (answer[2] & ~1 | query.bytes()[2] & 1); // recursion desired
+    answer[2] = (byte) ((answer[2] & ~1) | (query.bytes()[2] & 1)); // recursion desired
     System.arraycopy(
         query.bytes(), Query.HEADER, answer, Query.HEADER, query.questionEnd() - Query.HEADER);
     if (query.replyCookie() != null) {
--- a/src/main/java/mothwing/dns/server/AnswerWriter.java
+++ b/src/main/java/mothwing/dns/server/AnswerWriter.java
@@ -259,7 +259,7 @@
     int there = place;
     while (true) {
       while ((out[there] & 0xc0) == 0xc0) {
-        there = (out[there] & 0x3f) << 8 | out[there + 1] & 0xff;
+        there = (out[there] & 0x3f) << 8 | (out[there + 1] & 0xff);
       }
       int length = wire[i];
       if (out[there] != length) {
--- a/src/main/java/mothwing/dns/server/DnsEngine.java
+++ b/src/main/java/mothwing/dns/server/DnsEngine.java
@@ -69,7 +69,6 @@
   private long cpuAt;
   private long cpuUsed;
   private double cpuBusy;
-  private int running;
 
   DnsEngine(
       Executor loop,
@@ -196,7 +195,6 @@
     scheduled = false;
     for (DnsRequest request = started.poll(); request != null; request = started.poll()) {
       request.started(timers.now());
-      running++;
       if (request.query().opcode() == Opcode.UPDATE || request.query().signed()) {
         signed(request);
       } else {
@@ -206,7 +204,6 @@
   }
 
   private void finish(DnsRequest request, byte[] answer) {
-    running--;
     broker.finished(
         request.id(), Outcome.GOOD, Math.max(1, timers.now() - request.startedAt()), answer);
   }
--- a/src/main/java/mothwing/dns/server/Query.java
+++ b/src/main/java/mothwing/dns/server/Query.java
@@ -66,7 +66,7 @@
   }
 
   private int u16(int at) {
-    return (bytes[at] & 0xff) << 8 | bytes[at + 1] & 0xff;
+    return (bytes[at] & 0xff) << 8 | (bytes[at + 1] & 0xff);
   }
 
   private void parse() {
@@ -131,7 +131,7 @@
       } else if (u16(option) == COOKIE && cookie == null) {
         boolean well =
             length == Cookies.CLIENT
-                || length >= 2 * Cookies.CLIENT && length <= 5 * Cookies.CLIENT;
+                || (length >= 2 * Cookies.CLIENT && length <= 5 * Cookies.CLIENT);
         error = well ? error : Rcode.FORMERR; // RFC 7873 section 5.2.2
         cookie = Arrays.copyOfRange(bytes, option + 4, option + 4 + length);
       }
@@ -175,7 +175,7 @@
 
   /** Bits that an answer repeats: the opcode, and that recursion was desired. */
   int echoedFlags() {
-    return QR | u16(2) & 0x7900;
+    return QR | (u16(2) & 0x7900);
   }
 
   /** The code with which it must be answered as it stands, NOERROR where there is none. */
--- a/src/main/java/mothwing/dns/server/RateLimit.java
+++ b/src/main/java/mothwing/dns/server/RateLimit.java
@@ -47,7 +47,7 @@
     int bytes = (address.length == 4 ? V4_BITS : V6_BITS) / 8;
     int hash = address.length;
     for (int i = 0; i < bytes; i++) {
-      hash = (hash ^ address[i] & 0xff) * 0x01000193;
+      hash = (hash ^ (address[i] & 0xff)) * 0x01000193;
     }
     int place = (hash ^ hash >>> 15) & tokens.length - 1;
     double gained = touched[place] == 0 ? perSecond : (now - touched[place]) * perSecond / SECOND;
--- a/src/main/java/mothwing/dns/server/Signer.java
+++ b/src/main/java/mothwing/dns/server/Signer.java
@@ -74,7 +74,7 @@
   }
 
   static long fudge(TSIGRecord record) {
-    return Math.min(MOST_FUDGE, record.getFudge().getSeconds());
+    return Math.min(MOST_FUDGE, record.getFudge().toSeconds());
   }
 
   /**
--- a/src/main/java/mothwing/dns/zone/DomainName.java
+++ b/src/main/java/mothwing/dns/zone/DomainName.java
@@ -55,7 +55,7 @@
   static void lower(byte[] wire) {
     for (int i = 0; i < wire.length; i++) {
       if (wire[i] >= 'A' && wire[i] <= 'Z') {
-        wire[i] += 'a' - 'A'; // the bytes of lengths are below the letters
+        wire[i] = (byte) (wire[i] + ('a' - 'A')); // the bytes of lengths are below the letters
       }
     }
   }
--- a/src/main/java/mothwing/dns/zone/RRset.java
+++ b/src/main/java/mothwing/dns/zone/RRset.java
@@ -103,7 +103,7 @@
    * @return the length
    */
   public int length(int at) {
-    return (packed[at] & 0xff) << 8 | packed[at + 1] & 0xff;
+    return (packed[at] & 0xff) << 8 | (packed[at + 1] & 0xff);
   }
 
   /**
--- a/src/main/java/mothwing/dns/zone/Resolver.java
+++ b/src/main/java/mothwing/dns/zone/Resolver.java
@@ -50,7 +50,7 @@
     while (true) {
       boolean last = i < 0;
       boolean isApex = node == zone.apex();
-      RRset cut = isApex || last && type == Type.DS ? null : node.get(Type.NS);
+      RRset cut = isApex || (last && type == Type.DS) ? null : node.get(Type.NS);
       if (cut != null) {
         refer(cutName(name, i + 1), cut);
         return;
--- a/src/main/java/mothwing/dns/zone/Serial.java
+++ b/src/main/java/mothwing/dns/zone/Serial.java
@@ -33,6 +33,6 @@
    * @return the greater
    */
   public static int later(int one, int other) {
-    return greater(other, one) ? other : one;
+    return greater(/* one= */ other, /* other= */ one) ? other : one;
   }
 }
--- a/src/main/java/mothwing/dns/zone/Update.java
+++ b/src/main/java/mothwing/dns/zone/Update.java
@@ -206,7 +206,7 @@
     } else if (set == null
         || one.type == Type.SOA
         || !set.has(one.data)
-        || guarded(zone, owner, one.type) && set.count() == 1) {
+        || (guarded(zone, owner, one.type) && set.count() == 1)) {
       return zone;
     }
     RRset less = set.without(one.data);
--- a/src/main/java/mothwing/dns/zone/Zone.java
+++ b/src/main/java/mothwing/dns/zone/Zone.java
@@ -204,7 +204,7 @@
     int[] offsets = name.offsets();
     Node top = put(apex, name.wire(), offsets, offsets.length - origin.labels() - 1, type, set);
     int had = old == null || old.empty() ? 0 : 1;
-    int has = set != null || had == 1 && old.sets().length > (before == null ? 0 : 1) ? 1 : 0;
+    int has = set != null || (had == 1 && old.sets().length > (before == null ? 0 : 1)) ? 1 : 0;
     return new Zone(
         origin,
         top,
--- a/src/main/java/mothwing/dns/zone/ZoneCodec.java
+++ b/src/main/java/mothwing/dns/zone/ZoneCodec.java
@@ -81,7 +81,7 @@
     }
     int at = 0;
     while (at + 2 <= length) {
-      at += 2 + ((packed[at] & 0xff) << 8 | packed[at + 1] & 0xff);
+      at += 2 + ((packed[at] & 0xff) << 8 | (packed[at + 1] & 0xff));
     }
     if (at != length || length == 0) {
       throw new IOException("the records of a set do not fill it");
--- a/src/main/java/mothwing/dns/zone/ZoneFile.java
+++ b/src/main/java/mothwing/dns/zone/ZoneFile.java
@@ -313,7 +313,7 @@
    */
   static boolean beside(int type, int other) {
     return type == other
-        || type != Type.CNAME && other != Type.CNAME
+        || (type != Type.CNAME && other != Type.CNAME)
         || signs(type)
         || signs(other);
   }
--- a/src/main/java/mothwing/lab/ColdStart.java
+++ b/src/main/java/mothwing/lab/ColdStart.java
@@ -107,7 +107,7 @@
     for (History.Listed one : history.listed) {
       if (one.gateway().equals(call.gateway()) && one.at() <= call.sentAt()) {
         boolean there = one.servers().contains(life.machine);
-        told = there && (absent && one.at() >= life.beganAt || told);
+        told = there && ((absent && one.at() >= life.beganAt) || told);
         absent = !there;
       }
     }
--- a/src/main/java/mothwing/lab/DeploymentPlay.java
+++ b/src/main/java/mothwing/lab/DeploymentPlay.java
@@ -265,8 +265,8 @@
         crowdSum -= crowd.remove();
       }
       int most = of.settings().machine().cores();
-      if (crowdSum / (of.settings().rules().crowdWindow() / LOOK)
-          > of.settings().rules().crowdPerCore() * most) {
+      long looks = of.settings().rules().crowdWindow() / LOOK;
+      if (crowdSum / looks > of.settings().rules().crowdPerCore() * most) {
         breach("felled by a crowd of " + running + " on " + most);
       }
       double kb = 0;
--- a/src/main/java/mothwing/lab/Gateway.java
+++ b/src/main/java/mothwing/lab/Gateway.java
@@ -6,6 +6,7 @@
 import java.util.ArrayDeque;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Queue;
 
@@ -96,7 +97,8 @@
       pair(params, "SCRIPT_NAME", path);
       pair(params, "QUERY_STRING", query);
       fields.forEach(
-          (name, value) -> pair(params, "HTTP_" + name.toUpperCase().replace('-', '_'), value));
+          (name, value) ->
+              pair(params, "HTTP_" + name.toUpperCase(Locale.ROOT).replace('-', '_'), value));
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       out.writeBytes(begin(id));
       out.writeBytes(record(4, id, params.toByteArray()));
--- a/src/main/java/mothwing/lab/LateSeeing.java
+++ b/src/main/java/mothwing/lab/LateSeeing.java
@@ -154,7 +154,7 @@
   @Override
   public void callEnded(long at, String id, Outcome outcome, long took) {
     Job job = open.get(id);
-    boolean again = outcome.neverRan() || job != null && job.kind.repeats() == Repeats.SAFE;
+    boolean again = outcome.neverRan() || (job != null && job.kind.repeats() == Repeats.SAFE);
     if (job != null && outcome == Outcome.GOOD) {
       job.stand = Stand.RUNNING;
     } else if (job != null && again && at + MARGIN < until(job)) {
@@ -198,7 +198,8 @@
       long due = Math.min(job.arrived + job.kind.deadline(), stopAt);
       if (job.answered) {
         continue;
-      } else if (job.stand == Stand.HELD && at + alone(job) > until(job)) {
+      }
+      if (job.stand == Stand.HELD && at + alone(job) > until(job)) {
         host.refuse(job.request.id(), false, 0);
         open.remove(job.request.id());
       } else if (at + MARGIN > due) {
--- a/src/main/java/mothwing/lab/Links.java
+++ b/src/main/java/mothwing/lab/Links.java
@@ -79,8 +79,8 @@
 
   /** Whether a fault touches what goes from the one to the other. */
   static boolean touches(Fault fault, String from, String to) {
-    return fault.from().contains(from) && fault.to().contains(to)
-        || !fault.oneWay() && fault.from().contains(to) && fault.to().contains(from);
+    return (fault.from().contains(from) && fault.to().contains(to))
+        || (!fault.oneWay() && fault.from().contains(to) && fault.to().contains(from));
   }
 
   private static List<Pair> pairs(Fault fault) {
--- a/src/main/java/mothwing/lab/Oracles.java
+++ b/src/main/java/mothwing/lab/Oracles.java
@@ -187,14 +187,14 @@
       boolean meanwhile = one.at() <= call.endedAt() && one.until() + CROSSING >= call.sentAt();
       Fault fault = one.fault();
       boolean gone = fault.kind() == Kind.KILL || fault.kind() == Kind.WIPE;
-      if (meanwhile
+      if ((meanwhile
               && gone
-              && fault.from().stream().anyMatch(name -> Trial.machine(name).equals(call.server()))
-          || meanwhile
+              && fault.from().stream().anyMatch(name -> Trial.machine(name).equals(call.server())))
+          || (meanwhile
               && fault.kind().link
               && fault.kind() != Kind.HEAL
               && (Links.touches(fault, call.gateway(), call.server())
-                  || Links.touches(fault, call.server(), call.gateway()))) {
+                  || Links.touches(fault, call.server(), call.gateway())))) {
         return true;
       }
     }
@@ -302,7 +302,7 @@
                 "overload",
                 machine
                     + " fell: "
-                    + Fault.number(Math.round(mean))
+                    + Fault.number((double) Math.round(mean))
                     + " runs on its cores in the mean of "
                     + seconds(FALL_SPAN));
           }
@@ -389,7 +389,7 @@
             who + " ended by itself at " + seconds(life.endedAt) + " with status " + life.status);
       }
       if (life.noticeAt >= 0
-          && (life.overstayed || life.endedAt >= 0 && !life.killed && life.status != 0)) {
+          && (life.overstayed || (life.endedAt >= 0 && !life.killed && life.status != 0))) {
         breach(
             "drain",
             who
@@ -430,8 +430,8 @@
         });
     most.forEach(
         (what, one) -> {
-          if (what.endsWith("kB") && one.kilobytes() > trial.fleet().memoryMb() * 1024L
-              || what.endsWith("rs") && one.descriptors() > trial.fleet().sockets()) {
+          if ((what.endsWith("kB") && one.kilobytes() > trial.fleet().memoryMb() * 1024L)
+              || (what.endsWith("rs") && one.descriptors() > trial.fleet().sockets())) {
             breach(
                 "bounds",
                 what
--- a/src/main/java/mothwing/lab/OverrideNet.java
+++ b/src/main/java/mothwing/lab/OverrideNet.java
@@ -254,7 +254,7 @@
   private void carry(String from, String to, Message message) {
     messages++;
     if (tamper != null) {
-      long usual = 200 + random.nextInt(800);
+      long usual = 200L + random.nextInt(800);
       if (!parted(from, to)) {
         tamper.carry(
             messages,
--- a/src/main/java/mothwing/lab/PoolCores.java
+++ b/src/main/java/mothwing/lab/PoolCores.java
@@ -17,6 +17,7 @@
 final class PoolCores {
   private boolean fresh;
   private static final long UNENDING = Long.MAX_VALUE / 4;
+  private static final long NEVER = UNENDING / 2; // a wait beyond it is not planned
   private static final int MOST_OVER = 20_000;
   private static final double MICRO_SHARE = 1e-3; // microseconds of work left that count as done
 
@@ -294,11 +295,11 @@
   private void plan() {
     told();
     double least = running.values().stream().mapToDouble(job -> job.left).min().orElse(-1);
-    if (least < 0 && running.isEmpty() || off || rate() <= 0) {
+    if ((least < 0 && running.isEmpty()) || off || rate() <= 0) {
       return;
     }
     double wait = Math.max(0, least) / rate();
-    long at = wait > UNENDING / 2 ? Long.MAX_VALUE : timers.now() + (long) Math.ceil(wait);
+    long at = wait > NEVER ? Long.MAX_VALUE : timers.now() + (long) Math.ceil(wait);
     if (at < planned || planned <= timers.now()) {
       planned = at;
       if (at < Long.MAX_VALUE) {
--- a/src/main/java/mothwing/lab/ProcessStage.java
+++ b/src/main/java/mothwing/lab/ProcessStage.java
@@ -453,7 +453,7 @@
         fault.kind() == Fault.Kind.KILL
             || fault.kind() == Fault.Kind.WIPE
             || fault.kind() == Fault.Kind.LEAVE;
-    if (!inForce.containsKey(fault) || ending && starts) {
+    if (!inForce.containsKey(fault) || (ending && starts)) {
       return;
     }
     if (fault.kind().link) {
--- a/src/main/java/mothwing/lab/SimulationStage.java
+++ b/src/main/java/mothwing/lab/SimulationStage.java
@@ -372,7 +372,7 @@
           gateway,
           server,
           () -> {
-            if (!machine.running() || machine.life.noticeAt >= 0 && machine.open.isEmpty()) {
+            if (!machine.running() || (machine.life.noticeAt >= 0 && machine.open.isEmpty())) {
               net.send(server, gateway, () -> then.accept(Reply.bare(End.UNREACHED)));
               return;
             }
--- a/src/main/java/mothwing/lab/Stand.java
+++ b/src/main/java/mothwing/lab/Stand.java
@@ -3,6 +3,7 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -189,7 +190,7 @@
 
   /** What the pool makes of a request. */
   public static byte[] result(String id) {
-    return ("made for " + id).getBytes();
+    return ("made for " + id).getBytes(StandardCharsets.UTF_8);
   }
 
   @Override
--- a/src/main/java/mothwing/lab/StandInPool.java
+++ b/src/main/java/mothwing/lab/StandInPool.java
@@ -127,7 +127,9 @@
 
   private void read(Socket socket) {
     try (socket;
-        BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()))) {
+        BufferedReader in =
+            new BufferedReader(
+                new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))) {
       String line;
       while ((line = in.readLine()) != null) {
         synchronized (lock) {
--- a/src/main/java/mothwing/ledger/Ledger.java
+++ b/src/main/java/mothwing/ledger/Ledger.java
@@ -88,7 +88,7 @@
         link != null
             && left.size() < MOST_LEFT
             && link.silentFor(timers.now()) > Math.max(SILENT_LEAST, SILENT * took);
-    if (silent || link != null && link.mayStillAnswer(id)) {
+    if (silent || (link != null && link.mayStillAnswer(id))) {
       counters.add(silent ? "ledger-silent-link" : "ledger-new-link");
       retire();
     }
--- a/src/main/java/mothwing/member/Membership.java
+++ b/src/main/java/mothwing/member/Membership.java
@@ -178,7 +178,7 @@
    * heard.
    */
   private void join() {
-    if (silent || seeds.isEmpty() || joined && !alone) {
+    if (silent || seeds.isEmpty() || (joined && !alone)) {
       return;
     }
     host.stream(seeds.get(random.nextInt(seeds.size())), message(Kind.SYNC, ++seq, "", all()));
@@ -394,7 +394,8 @@
       return (long) (pace.most() * pace.hearsay());
     }
     double agreed = Math.min(1, Math.log(one.accusers.size()) / Math.log(pace.enough() + 1));
-    return (long) (pace.most() - (pace.most() - pace.least()) * agreed) * (1 + doubt);
+    long agreedPatience = (long) (pace.most() - (pace.most() - pace.least()) * agreed);
+    return agreedPatience * (1 + doubt);
   }
 
   private void awaitDeath(Entry one) {
@@ -707,7 +708,7 @@
           other); // it may be an old message: only an answer to a question of mine shows that it
       // lives
     } else if (other.incarnation() > me.incarnation()
-        || other.incarnation() == me.incarnation() && other.start() > me.start()) {
+        || (other.incarnation() == me.incarnation() && other.start() > me.start())) {
       silent = true;
       change(What.DISPLACED, other);
     } else {
--- a/src/main/java/mothwing/net/SharedPortQuota.java
+++ b/src/main/java/mothwing/net/SharedPortQuota.java
@@ -62,7 +62,7 @@
     others = Math.max(0, connections);
     boolean settled =
         at - beganAt >= FRESH; // whatever the other knew of an empty address is out of date
-    admitted |= !otherListens || first && others <= watched() || settled && others <= half();
+    admitted |= !otherListens || (first && others <= watched()) || (settled && others <= half());
   }
 
   /** The list cannot be read: it goes on as if it were alone. */
--- a/src/main/java/mothwing/overload/FilterLadder.java
+++ b/src/main/java/mothwing/overload/FilterLadder.java
@@ -105,7 +105,8 @@
     timeIn[filter] += span;
     count(now, index);
     long sojourn = SOJOURN * sample;
-    if (now - lastSwitch < Math.max(sojourn, Math.min(2 * lag, LONGEST_WAIT * sojourn))) {
+    if (now - lastSwitch
+        < Math.max((double) sojourn, Math.min(2 * lag, (double) (LONGEST_WAIT * sojourn)))) {
       return false;
     }
     int next = filter;
--- a/src/main/java/mothwing/override/Book.java
+++ b/src/main/java/mothwing/override/Book.java
@@ -132,8 +132,8 @@
 
   private Taken join(long now, Told told, long askedAt, long upFor) {
     boolean live = told.standing() == Standing.IN_FORCE || told.standing() == Standing.UNSURE;
-    if (live && told.value() == null
-        || told.stamp() == null && told.standing() != Standing.REVOKED) {
+    if ((live && told.value() == null)
+        || (told.stamp() == null && told.standing() != Standing.REVOKED)) {
       return Taken.KNOWN; // it says too little to be taken
     }
     long age = told.age() + stretched(now - askedAt);
@@ -184,7 +184,7 @@
       return known.standing == Standing.UNSURE;
     }
     int order = stamp.compareTo(known.stamp);
-    return order > 0 || order == 0 && standing.compareTo(known.standing) > 0;
+    return order > 0 || (order == 0 && standing.compareTo(known.standing) > 0);
   }
 
   private boolean full(Entry known, TrafficOverride value) {
@@ -247,7 +247,7 @@
     List<TrafficOverride> all = new ArrayList<>();
     for (Entry one : entries.values()) {
       if (one.standing == Standing.IN_FORCE
-          || one.standing == Standing.UNSURE && one.value.keepUnsure() && now < one.keptUntil) {
+          || (one.standing == Standing.UNSURE && one.value.keepUnsure() && now < one.keptUntil)) {
         all.add(one.value);
       }
     }
--- a/src/main/java/mothwing/override/Effect.java
+++ b/src/main/java/mothwing/override/Effect.java
@@ -81,7 +81,7 @@
   }
 
   private static TrafficOverride first(TrafficOverride one, TrafficOverride other) {
-    return one == null || other != null && TrafficOverride.RANK.compare(other, one) < 0
+    return one == null || (other != null && TrafficOverride.RANK.compare(other, one) < 0)
         ? other
         : one;
   }
--- a/src/main/java/mothwing/script/Lexer.java
+++ b/src/main/java/mothwing/script/Lexer.java
@@ -204,7 +204,7 @@
     Place where = here();
     int from = at;
     if (Character.isDigit(c)
-        || c == '.' && at + 1 < text.length() && Character.isDigit(text.charAt(at + 1))) {
+        || (c == '.' && at + 1 < text.length() && Character.isDigit(text.charAt(at + 1)))) {
       number(where);
     } else if (c == '"' || c == '\'') {
       string(c, false, where);
@@ -248,9 +248,9 @@
     while (Character.isLetterOrDigit(peek())
         || peek() == '.'
         || peek() == '_'
-        || (peek() == '-' || peek() == '+')
+        || ((peek() == '-' || peek() == '+')
             && "eE".indexOf(text.charAt(at - 1)) >= 0
-            && !text.startsWith("0x", from)) {
+            && !text.startsWith("0x", from))) {
       at++;
     }
     String word = text.substring(from, at);
@@ -276,7 +276,7 @@
     at += end.length();
     StringBuilder value = new StringBuilder();
     while (!text.startsWith(end, at)) {
-      if (at >= text.length() || peek() == '\n' && !longForm) {
+      if (at >= text.length() || (peek() == '\n' && !longForm)) {
         throw new ScriptError(where, "string is not closed, expected " + end);
       }
       if (peek() == '\\' && at + 1 < text.length()) {
--- a/src/main/java/mothwing/script/Parser.java
+++ b/src/main/java/mothwing/script/Parser.java
@@ -304,7 +304,7 @@
       if (operator.is("not") && tokens.get(at + 1).is("in")) {
         word = "not in";
       }
-      if (operator.kind() != Kind.OPERATOR && operator.kind() != Kind.KEYWORD
+      if ((operator.kind() != Kind.OPERATOR && operator.kind() != Kind.KEYWORD)
           || !BINARY.get(level).contains(word)) {
         return left;
       }
@@ -337,7 +337,7 @@
       if (take(".")) {
         value = new Tree.Attribute(where, value, expect(Kind.NAME, "a method's name").text());
       } else if (take("(")) {
-        value = call(where, value);
+        value = call(value);
       } else if (take("[")) {
         value = index(where, value);
       } else {
@@ -346,7 +346,7 @@
     }
   }
 
-  private Tree.Expression call(Place where, Tree.Expression function) throws ScriptError {
+  private Tree.Expression call(Tree.Expression function) throws ScriptError {
     List<Tree.Expression> positional = new ArrayList<>();
     List<String> names = new ArrayList<>();
     List<Tree.Expression> named = new ArrayList<>();
--- a/src/main/java/mothwing/script/Values.java
+++ b/src/main/java/mothwing/script/Values.java
@@ -111,7 +111,7 @@
   static boolean same(Run run, Place at, Object one, Object other) throws ScriptError {
     run.step(at);
     if (number(one) && number(other)) {
-      return one instanceof Long && other instanceof Long
+      return (one instanceof Long && other instanceof Long)
           ? one.equals(other)
           : real(one) == real(other);
     } else if (one.getClass() == other.getClass() && one instanceof Dict left) {
--- a/src/main/java/mothwing/server/Drain.java
+++ b/src/main/java/mothwing/server/Drain.java
@@ -161,7 +161,7 @@
     }
     listeners.forEach(one -> one.trim(last ? 0 : PERIOD, Reason.DRAIN));
     if (now >= lastUntil
-        || broker.owed() == 0 && listeners.stream().allMatch(one -> one.open() == 0)) {
+        || (broker.owed() == 0 && listeners.stream().allMatch(one -> one.open() == 0))) {
       log.line("leave owed=" + broker.owed());
       loop.execute(done); // behind what was answered in this turn
     } else {
--- a/src/main/java/mothwing/settings/Fields.java
+++ b/src/main/java/mothwing/settings/Fields.java
@@ -5,6 +5,7 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 
 /**
@@ -144,7 +145,8 @@
   private <T> T typed(String name, Class<T> type) throws BadInput {
     Object value = values.get(name);
     if (value != null && !type.isInstance(value)) {
-      throw new BadInput("field " + path + name + ": not a " + type.getSimpleName().toLowerCase());
+      throw new BadInput(
+          "field " + path + name + ": not a " + type.getSimpleName().toLowerCase(Locale.ROOT));
     }
     return type.cast(value);
   }
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -113,7 +113,7 @@
       long pieces = 0;
       while (at >= 0 && at < opened.size()) {
         Frames.Frame frame = Frames.read(opened, at);
-        if (frame == null || frame.first() != pieces && frame.first() != -1) {
+        if (frame == null || (frame.first() != pieces && frame.first() != -1)) {
           throw new Corrupt(snapshot, at, "a damaged piece of the snapshot");
         }
         if (frame.first() == -1) { // the last: says how many there were
@@ -346,8 +346,8 @@
       disk.rename(ASIDE, named(SNAPSHOT, covers));
       disk.forceNames();
       for (String one : disk.list()) {
-        if (one.startsWith(SNAPSHOT) && sequence(one, SNAPSHOT) < covers
-            || one.startsWith(LOG) && sequence(one, LOG) <= covers && !one.equals(name)) {
+        if ((one.startsWith(SNAPSHOT) && sequence(one, SNAPSHOT) < covers)
+            || (one.startsWith(LOG) && sequence(one, LOG) <= covers && !one.equals(name))) {
           disk.delete(one);
         }
       }
--- a/src/test/java/mothwing/RecordingHost.java
+++ b/src/test/java/mothwing/RecordingHost.java
@@ -240,7 +240,7 @@
       if (known.over) {
         continue;
       }
-      if (known.halted && known.onCore || known.atCall && known.answered) {
+      if ((known.halted && known.onCore) || (known.atCall && known.answered)) {
         finish(one.getKey(), Outcome.STOPPED);
       } else if (known.calling && known.callUntil <= now) {
         callEnded(one.getKey(), Outcome.TIMED_OUT);
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -464,7 +464,9 @@
     List<Boolean> good = new ArrayList<>();
     stand.broker.health(false, true);
     stand.broker.check(true, good::add); // under way at the call
-    assertTrue(stand.broker.away(true) && stand.broker.away(true));
+    boolean first = stand.broker.away(true);
+    boolean repeated = first && stand.broker.away(true);
+    assertTrue(first && repeated);
     stand.pass(5_000);
     stand.broker.check(true, good::add);
     stand.broker.check(false, good::add);
@@ -473,7 +475,9 @@
     stand.finish(Stand.id(1), Outcome.GOOD);
     assertEquals(List.of("served"), answers);
     assertTrue(!decisions.told.contains("drain") && stand.broker.serving());
-    assertTrue(stand.broker.away(false) && stand.broker.away(false));
+    boolean calledBack = stand.broker.away(false);
+    boolean calledBackAgain = calledBack && stand.broker.away(false);
+    assertTrue(calledBack && calledBackAgain);
     stand.broker.check(false, good::add);
     assertEquals(List.of(false, false, false, true), good);
     stand.broker.away(true);
--- a/src/test/java/mothwing/cli/CommandsTest.java
+++ b/src/test/java/mothwing/cli/CommandsTest.java
@@ -12,6 +12,7 @@
 import java.io.PrintStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -39,7 +40,7 @@
     err.reset();
     return Commands.run(
         arguments,
-        new ByteArrayInputStream("{\"SimTime\":5,\"in\":[]}\n".getBytes()),
+        new ByteArrayInputStream("{\"SimTime\":5,\"in\":[]}\n".getBytes(StandardCharsets.UTF_8)),
         new PrintStream(out, true),
         new PrintStream(err, true));
   }
@@ -51,12 +52,14 @@
   @Test
   void knowsItsCommands() throws Exception {
     assertEquals(0, run("adapter"));
-    assertEquals("{\"out\":[]}\n", out.toString());
+    assertEquals("{\"out\":[]}\n", out.toString(StandardCharsets.UTF_8));
     assertEquals(0, run("version"));
-    assertTrue(out.toString().startsWith("mothwing "));
+    assertTrue(out.toString(StandardCharsets.UTF_8).startsWith("mothwing "));
     assertEquals(0, run("help"));
-    assertTrue(out.toString().contains("serve [-a <FILE>] [-c <FILE>]"), out::toString);
-    assertTrue(out.toString().contains("settings check FILE"), out::toString);
+    assertTrue(
+        out.toString(StandardCharsets.UTF_8).contains("serve [-a <FILE>] [-c <FILE>]"),
+        out::toString);
+    assertTrue(out.toString(StandardCharsets.UTF_8).contains("settings check FILE"), out::toString);
     for (String[] wrong :
         List.of(
             new String[0],
@@ -73,7 +76,9 @@
   @Test
   void checksAConfigurationAndNamesWhatIsWrong() throws Exception {
     assertEquals(0, run("check", "--config", config(CONFIG)), err::toString);
-    assertEquals("good: n3 listens on /127.0.0.1:9090, 1 classes, 0 tenants\n", out.toString());
+    assertEquals(
+        "good: n3 listens on /127.0.0.1:9090, 1 classes, 0 tenants\n",
+        out.toString(StandardCharsets.UTF_8));
     String[][] wrongs = {
       {"'pool':'127.0.0.1:4400',", "", "pool"},
       {"127.0.0.1:4400", "pool.svc:4400", "pool"},
@@ -84,12 +89,12 @@
     };
     for (String[] wrong : wrongs) {
       assertEquals(2, run("check", "--config", config(CONFIG.replace(wrong[0], wrong[1]))));
-      assertTrue(err.toString().contains(wrong[2]), err::toString);
-      assertEquals(1, err.toString().lines().count());
+      assertTrue(err.toString(StandardCharsets.UTF_8).contains(wrong[2]), err::toString);
+      assertEquals(1, err.toString(StandardCharsets.UTF_8).lines().count());
     }
     for (String text : List.of("", "[]", "{", "{'name':")) {
       assertEquals(2, run("check", "--config", config(text)));
-      assertEquals(1, err.toString().lines().count(), err::toString);
+      assertEquals(1, err.toString(StandardCharsets.UTF_8).lines().count(), err::toString);
     }
     assertEquals(2, run("serve", "--config", folder.resolve("none").toString()));
   }
@@ -99,12 +104,14 @@
     Path script = folder.resolve("site.star");
     Files.writeString(script, "ajp(listen = '127.0.0.1:8009')\n");
     assertEquals(0, run("settings", "check", script.toString()), err::toString);
-    assertEquals("good: ajp on /127.0.0.1:8009, fleet off, dns off\n", out.toString());
+    assertEquals(
+        "good: ajp on /127.0.0.1:8009, fleet off, dns off\n", out.toString(StandardCharsets.UTF_8));
     assertEquals(8009, Config.readSite(script).ajp().getPort());
     Files.writeString(script, "ajp(lisen = '127.0.0.1:8009')\n");
     assertEquals(2, run("settings", "check", script.toString()));
     assertEquals(
-        "settings check: site.star:1:1: ajp: argument listen is missing\n", err.toString());
+        "settings check: site.star:1:1: ajp: argument listen is missing\n",
+        err.toString(StandardCharsets.UTF_8));
   }
 
   @Test
@@ -117,16 +124,17 @@
                 good.replace("host 1", "host 2") + "ns A 10.0.0.2\nx A 10.0.0.300\n")
             .toString();
     assertEquals(0, run("zone", "check", a, "--origin", "example.org"), err::toString);
-    assertEquals("3 records, 0 refused\n", out.toString());
+    assertEquals("3 records, 0 refused\n", out.toString(StandardCharsets.UTF_8));
     assertEquals(1, run("zone", "check", b, "--origin", "example.org"));
     assertEquals(
-        "b.zone:6: A: Invalid address: 10.0.0.300\n4 records, 1 refused\n", out.toString());
+        "b.zone:6: A: Invalid address: 10.0.0.300\n4 records, 1 refused\n",
+        out.toString(StandardCharsets.UTF_8));
     assertEquals(1, run("zone", "diff", a, b, "--origin", "example.org"));
     assertEquals(
         "- example.org. 60 SOA ns.example.org. host.example.org. 1 2 3 4 5\n"
             + "+ example.org. 60 SOA ns.example.org. host.example.org. 2 2 3 4 5\n"
             + "+ ns.example.org. 60 A 10.0.0.2\n",
-        out.toString());
+        out.toString(StandardCharsets.UTF_8));
     assertEquals(0, run("zone", "diff", a, a, "--origin", "example.org"));
     assertEquals(2, run("zone", "check", a));
   }
@@ -218,8 +226,9 @@
       server.start();
       int port = server.listening().get(0).getPort();
       assertEquals(0, run("counts", "--server", "127.0.0.1:" + port), err::toString);
-      assertTrue(out.toString().startsWith("in_hand=0 owed=0 "), out::toString);
-      assertTrue(out.toString().contains("fastcgi-opened=1"), out::toString);
+      assertTrue(
+          out.toString(StandardCharsets.UTF_8).startsWith("in_hand=0 owed=0 "), out::toString);
+      assertTrue(out.toString(StandardCharsets.UTF_8).contains("fastcgi-opened=1"), out::toString);
       server.close();
     }
   }
--- a/src/test/java/mothwing/dns/server/DnsServiceTest.java
+++ b/src/test/java/mothwing/dns/server/DnsServiceTest.java
@@ -10,6 +10,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Clock;
@@ -212,7 +213,7 @@
             TSIG.HMAC_SHA256,
             DnsPeer.name("till-key."),
             new javax.crypto.spec.SecretKeySpec(
-                Arrays.copyOf("till-key".getBytes(), 32), "HmacSHA256"),
+                Arrays.copyOf("till-key".getBytes(StandardCharsets.UTF_8), 32), "HmacSHA256"),
             Clock.offset(Clock.systemUTC(), Duration.ofSeconds(-400)));
     Message badTime =
         DnsPeer.tcp(server, DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), late));
@@ -407,7 +408,7 @@
       }
       count++;
       byte[] data = answer.getData();
-      byte[] request = sent[(data[0] & 0xff) << 8 | data[1] & 0xff];
+      byte[] request = sent[(data[0] & 0xff) << 8 | (data[1] & 0xff)];
       assertTrue(
           answer.getLength() <= request.length,
           () -> answer.getLength() + " for " + request.length);
--- a/src/test/java/mothwing/dns/server/ZoneKeeperTest.java
+++ b/src/test/java/mothwing/dns/server/ZoneKeeperTest.java
@@ -112,7 +112,6 @@
     private boolean adds;
     private boolean open;
     private final List<Integer> old = new ArrayList<>();
-    private int repeatsOfOld;
 
     Updater(String name) {
       this.name = name;
@@ -157,7 +156,6 @@
     }
     int which = 1 + random.nextInt(one.old.size() - 1);
     int number = one.old.get(which) - one.name.charAt(1) * 1000;
-    one.repeatsOfOld++;
     keeper.update(
         update(one.name, number, number % 2 == 1),
         signature(one.old.get(which)),
--- a/src/test/java/mothwing/dns/zone/ZoneTest.java
+++ b/src/test/java/mothwing/dns/zone/ZoneTest.java
@@ -8,6 +8,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
@@ -244,7 +245,7 @@
             "\\200.z.example.");
     List<DomainName> names = new ArrayList<>();
     for (String one : order) {
-      names.add(DomainName.parse(one.toUpperCase(), DomainName.ROOT));
+      names.add(DomainName.parse(one.toUpperCase(Locale.ROOT), DomainName.ROOT));
       assertEquals(one, names.get(names.size() - 1).toString());
     }
     assertEquals(
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -5,6 +5,7 @@
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
+import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -194,7 +195,7 @@
 
   @Example
   void answersQuestionsAboutItself() {
-    byte[] name = "FCGI_MPXS_CONNS".getBytes();
+    byte[] name = "FCGI_MPXS_CONNS".getBytes(StandardCharsets.UTF_8);
     byte[] pair = new byte[2 + name.length];
     pair[0] = (byte) name.length;
     System.arraycopy(name, 0, pair, 2, name.length);
--- a/src/test/java/mothwing/lab/CallsTest.java
+++ b/src/test/java/mothwing/lab/CallsTest.java
@@ -7,6 +7,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -31,7 +32,7 @@
   private int served(Till till, Fault meanwhile) throws IOException, InterruptedException {
     for (int i = 1; i <= EACH; i++) {
       String id = Stand.id(++asked);
-      till.ask(i, i % 2 == 0 ? Stand.LOOK : Stand.ORDER, id, id.getBytes());
+      till.ask(i, i % 2 == 0 ? Stand.LOOK : Stand.ORDER, id, id.getBytes(StandardCharsets.UTF_8));
     }
     meanwhile.happens();
     int served = 0;
--- a/src/test/java/mothwing/lab/FaultyServer.java
+++ b/src/test/java/mothwing/lab/FaultyServer.java
@@ -23,7 +23,6 @@
  * A double of the program that breaks one rule, which its name says: the oracles have to see it.
  */
 public final class FaultyServer {
-  private static final String HEAD = "Status: %s\r\n\r\n";
 
   private record Open(OutputStream to, int id, String kind) {}
 
@@ -45,7 +44,8 @@
     Socket link = new Socket(pool.getAddress(), pool.getPort());
     FaultyServer one = new FaultyServer(name, link);
     one.command("{\"action\":\"bind\",\"pos\":0}");
-    BufferedReader notices = new BufferedReader(new InputStreamReader(link.getInputStream()));
+    BufferedReader notices =
+        new BufferedReader(new InputStreamReader(link.getInputStream(), StandardCharsets.UTF_8));
     daemon(() -> one.read(notices));
     daemon(() -> accept(listen(address(config, "management")), one::door));
     Runtime.getRuntime()
@@ -129,8 +129,8 @@
       if (head.length < 8) {
         return;
       }
-      int id = (head[2] & 255) << 8 | head[3] & 255;
-      byte[] content = in.readNBytes((head[4] & 255) << 8 | head[5] & 255);
+      int id = (head[2] & 255) << 8 | (head[3] & 255);
+      byte[] content = in.readNBytes((head[4] & 255) << 8 | (head[5] & 255));
       in.skipNBytes(head[6]);
       if (head[1] == 4 && content.length > 0) {
         params = new String(content, StandardCharsets.ISO_8859_1);
@@ -193,7 +193,7 @@
   }
 
   private static void answer(Open one, String status, byte[] result) throws IOException {
-    byte[] head = String.format(HEAD, status).getBytes(StandardCharsets.ISO_8859_1);
+    byte[] head = String.format("Status: %s\r\n\r\n", status).getBytes(StandardCharsets.ISO_8859_1);
     byte[] all = new byte[head.length + result.length];
     System.arraycopy(head, 0, all, 0, head.length);
     System.arraycopy(result, 0, all, head.length, result.length);
--- a/src/test/java/mothwing/lab/FleetTest.java
+++ b/src/test/java/mothwing/lab/FleetTest.java
@@ -86,7 +86,7 @@
 
   /** Lets a fault last while each machine's view is looked at, again and again. */
   private void during(double seconds, Predicate<Machine> holds) {
-    for (long end = System.nanoTime() + (long) (seconds * 1000) * MILLI;
+    for (long end = System.nanoTime() + ((long) (seconds * 1000)) * MILLI;
         System.nanoTime() < end; ) {
       for (Machine one : stage.machines) {
         assertTrue(holds.test(one), () -> one.name + " holds " + one.holds() + " " + one.now.lines);
--- a/src/test/java/mothwing/lab/MemberNetTest.java
+++ b/src/test/java/mothwing/lab/MemberNetTest.java
@@ -96,7 +96,8 @@
     net.cut = (from, to) -> from.equals("m2") && to.equals("m5");
     net.pass(60);
     net.cut =
-        (from, to) -> from.equals("m2") && to.equals("m5") || from.equals("m5") && to.equals("m2");
+        (from, to) ->
+            (from.equals("m2") && to.equals("m5")) || (from.equals("m5") && to.equals("m2"));
     net.pass(60);
     assertEquals(List.of(), of(net, What.DIED), "one direction, then both, others see the two");
   }
@@ -174,7 +175,7 @@
               net.cut =
                   (from, to) ->
                       from.equals(some.name)
-                          || from.compareTo("m" + half) < 0 && to.equals(other.name);
+                          || (from.compareTo("m" + half) < 0 && to.equals(other.name));
           default ->
               net.cut =
                   (from, to) ->
--- a/src/test/java/mothwing/ledger/LedgerTest.java
+++ b/src/test/java/mothwing/ledger/LedgerTest.java
@@ -182,12 +182,11 @@
     Map<String, Integer> made = new LinkedHashMap<>();
     for (int step : steps) {
       String id = Stand.id(step / 10 % RUNS);
-      int before = supplies(id);
       switch (step % 10) {
         case 0, 1 -> blocked(id); // also where a call of it is out: the run was begun again
         case 2, 3, 4 -> {
           long calls = stand.counters.get("calls");
-          stand.broker.call(id, stand.now() + 1_000 * (1 + step % 200));
+          stand.broker.call(id, stand.now() + 1_000L * (1 + step % 200));
           made.merge(id, (int) (stand.counters.get("calls") - calls), Integer::sum);
         }
         case 5, 6, 7 ->
--- a/src/test/java/mothwing/net/FairReadsTest.java
+++ b/src/test/java/mothwing/net/FairReadsTest.java
@@ -173,7 +173,7 @@
     var second = sent("b");
     second.close();
     while (clock.turn()) {
-      continue;
+      // until nothing is left to do
     }
     assertEquals(1, taken.stream().filter("ended"::equals).count());
     assertFalse(taken.contains("b"));
@@ -184,7 +184,7 @@
   void aShareIsRefusedWhereSomeAlwaysWaitAndNoneOnceNoneDoes() {
     sent("a".repeat(20));
     while (clock.turn()) {
-      continue;
+      // until nothing is left to do
     }
     assertEquals(0, shed(100), "a burst");
     for (int i = 0; i < 300; i++) {
@@ -193,7 +193,7 @@
     }
     assertTrue(shed(100) > 80, "each turn leaves something behind");
     while (clock.turn()) {
-      continue;
+      // until nothing is left to do
     }
     for (int i = 0; i < 50; i++) {
       clock.now += 100_000;
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -5,6 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import io.netty.channel.embedded.EmbeddedChannel;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -272,7 +273,7 @@
       Answer answer;
       while ((answer = gateway.answers.poll()) != null) {
         Asked one = asked.get(answer.id());
-        String content = new String(answer.content());
+        String content = new String(answer.content(), StandardCharsets.UTF_8);
         assertNotNull(one, "an answer to nothing");
         one.answers++;
         assertEquals(1, one.answers, one.id + " is answered twice");
@@ -283,11 +284,12 @@
         if (answer.status() == 200) {
           assertTrue(
               all.stream()
-                  .filter(by -> by == one || by.key != null && by.key.equals(one.key))
+                  .filter(by -> by == one || (by.key != null && by.key.equals(one.key)))
                   .anyMatch(
                       by ->
                           pool.runs.containsKey(by.id)
-                              && new String(Stand.result(by.id)).equals(content)),
+                              && new String(Stand.result(by.id), StandardCharsets.UTF_8)
+                                  .equals(content)),
               one.id + " is given what no run made for it");
         }
       }
@@ -345,7 +347,7 @@
   }
 
   private static Settings settings(int step) {
-    Settings one = guarded(Stand.settings(step % 2 == 0 ? 3 : LONGEST / SECOND, 2));
+    Settings one = guarded(Stand.settings((double) (step % 2 == 0 ? 3 : LONGEST / SECOND), 2));
     return step % 5 > 0 ? one : Altered.parts(one, one.classes().subList(1, 3), one.tenants());
   }
 
--- a/src/test/java/mothwing/net/SharedPortQuotaTest.java
+++ b/src/test/java/mothwing/net/SharedPortQuotaTest.java
@@ -82,7 +82,7 @@
       random = new Random(seed);
       sides.clear();
       sides.add(new Side(0));
-      long comes = 4_000_000 + random.nextInt(4_000_000);
+      long comes = 4_000_000L + random.nextInt(4_000_000);
       long leaves = comes + random.nextInt(4_000_000);
       long full = 0;
       for (long now = 0; now < 40_000_000; now += STEP) {
--- a/src/test/java/mothwing/peer/CodecTest.java
+++ b/src/test/java/mothwing/peer/CodecTest.java
@@ -29,7 +29,7 @@
         random.nextLong() >>> random.nextInt(64) & Long.MAX_VALUE,
         "127.0.0.1:" + random.nextInt(65_536),
         "z".repeat(random.nextInt(31) + 1),
-        random.nextLong() >>> 1 + random.nextInt(62),
+        random.nextLong() >>> (1 + random.nextInt(62)),
         State.values()[random.nextInt(State.values().length)],
         "b".repeat(long31));
   }
@@ -84,7 +84,7 @@
     crc.update(all, 0, 3);
     crc.update(map, 0, map.length);
     for (int i = 0; i < 4; i++) {
-      all[3 + i] = (byte) (crc.getValue() >> (3 - i) * 8);
+      all[3 + i] = (byte) (crc.getValue() >> ((3 - i) * 8));
     }
     return all;
   }
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -13,6 +13,7 @@
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -251,7 +252,7 @@
         InputStream.nullInputStream(),
         new PrintStream(out),
         System.err);
-    return out.toString();
+    return out.toString(StandardCharsets.UTF_8);
   }
 
   /**
@@ -374,11 +375,15 @@
                     byte[] came = new byte[4096];
                     String text = "";
                     while (!text.endsWith("}")) {
-                      text += new String(came, 0, call.getInputStream().read(came));
+                      text +=
+                          new String(
+                              came, 0, call.getInputStream().read(came), StandardCharsets.UTF_8);
                     }
                     if (text.startsWith("PUT /announce/n1 HTTP/1.1\r\n")
                         && text.endsWith("{\"accepting\":\"true\"}")) {
-                      call.getOutputStream().write("HTTP/1.1 204 No Content\r\n\r\n".getBytes());
+                      call.getOutputStream()
+                          .write(
+                              "HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                       reports.countDown();
                     }
                   } catch (IOException | IndexOutOfBoundsException broken) {
--- a/src/test/java/mothwing/server/UpgradeTest.java
+++ b/src/test/java/mothwing/server/UpgradeTest.java
@@ -8,6 +8,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -55,7 +56,7 @@
         boolean first = till == null;
         try {
           till = first ? new Till(new Gateway.FastCgi(), to) : till;
-          till.ask(1, Stand.ORDER, id, id.getBytes());
+          till.ask(1, Stand.ORDER, id, id.getBytes(StandardCharsets.UTF_8));
           Answer answer = till.answer();
           String advice = answer.fields().get("Hold-Off-Ms");
           if (answer.status() == 503 && advice != null) {
@@ -155,7 +156,7 @@
         assertTrue(
             next.call("DUMP")
                 .contains(
-                    "\"completed\":{\"stock-check\":0,\"place-order\":" + (second.spawns().size())),
+                    "\"completed\":{\"stock-check\":0,\"place-order\":" + second.spawns().size()),
             "its figures are those of its own runs");
         next.leave();
         assertEquals(0, next.await(), next.lines::toString);
--- a/src/test/java/mothwing/store/ClaimTableTest.java
+++ b/src/test/java/mothwing/store/ClaimTableTest.java
@@ -101,7 +101,7 @@
         for (String line : out.lines().toList()) {
           answers++;
           assertTrue(
-              line.startsWith("HELD ") || line.startsWith("GRANTED ") && granted.add(line), line);
+              line.startsWith("HELD ") || (line.startsWith("GRANTED ") && granted.add(line)), line);
         }
       }
       assertEquals(0, one.waitFor());
--- a/src/test/java/mothwing/store/FaultyDisk.java
+++ b/src/test/java/mothwing/store/FaultyDisk.java
@@ -81,7 +81,7 @@
   public void flip(String name, int at) {
     Content one = names.get(name);
     one.written = one.written.clone();
-    one.written[at] ^= 1 << random.nextInt(8);
+    one.written[at] = (byte) (one.written[at] ^ 1 << random.nextInt(8));
     one.forced = one.written;
   }
 
--- a/src/test/java/mothwing/store/JournalTest.java
+++ b/src/test/java/mothwing/store/JournalTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -33,12 +34,12 @@
             new Journal.Replay() {
               @Override
               public void snapshot(byte[] piece) {
-                records.add(new String(piece));
+                records.add(new String(piece, StandardCharsets.UTF_8));
               }
 
               @Override
               public void record(byte[] record) {
-                records.add(new String(record));
+                records.add(new String(record, StandardCharsets.UTF_8));
               }
             },
             cuts::add);
--- a/src/test/java/mothwing/testing/DnsPeer.java
+++ b/src/test/java/mothwing/testing/DnsPeer.java
@@ -7,6 +7,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Arrays;
@@ -49,7 +50,7 @@
   }
 
   private static byte[] secret(String key) {
-    return Arrays.copyOf(key.getBytes(), 32);
+    return Arrays.copyOf(key.getBytes(StandardCharsets.UTF_8), 32);
   }
 
   /** A key whose secret follows from its name. */
