--- a/src/test/java/mothwing/witness/AdapterRecorder.java
+++ b/src/test/java/mothwing/witness/AdapterRecorder.java
@@ -305,7 +305,7 @@
   }
 
   private void ask(long now, int who, String id) {
-    long took = 10_000 + random.nextInt(random.nextInt(10) == 0 ? 1_500_000 : 120_000);
+    long took = 10_000L + random.nextInt(random.nextInt(10) == 0 ? 1_500_000 : 120_000);
     JsonObject result = ended("CallResult", who, id, took);
     Job job = jobs.get(id);
     job.waitsAtCall = false;
