--- a/src/bench/java/mothwing/bench/OverrideBench.java
+++ b/src/bench/java/mothwing/bench/OverrideBench.java
@@ -1,10 +1,10 @@
 package mothwing.bench;
 
-import mothwing.override.Book;
-import mothwing.override.Effect;
-import mothwing.override.Limits;
-import mothwing.override.Stamp;
+import mothwing.override.EffectiveOverrides;
+import mothwing.override.OverrideLimits;
+import mothwing.override.OverrideTable;
 import mothwing.override.TrafficOverride;
+import mothwing.override.Version;
 
 /**
  * What a decision by overrides costs a request: the table, against going through all that act, in
@@ -16,14 +16,14 @@
 
   private OverrideBench() {}
 
-  private static Book book(int many) {
-    Book book = new Book(Limits.USUAL);
+  private static OverrideTable book(int many) {
+    OverrideTable book = new OverrideTable(OverrideLimits.USUAL);
     for (int i = 0; i < many; i++) {
       book.make(
           1,
           new TrafficOverride(
               "o" + i,
-              new Stamp(1, "n1", i),
+              new Version(1, "n1", i),
               TrafficOverride.What.REFUSE,
               "class-" + i % CLASSES,
               i % 3 == 0 ? "" : "tenant-" + i % 50,
@@ -51,9 +51,10 @@
     System.out.println(
         "overrides | ns a decision: table | all of them / table, each with least and most of five runs");
     for (int many : new int[] {10, 0, 10, 1000}) { // the first line warms up; not to be read
-      Book book = book(many);
+      OverrideTable book = book(many);
       var acting = book.acting(2);
-      Effect effect = new Effect(acting, "n1", "one", "rack", Long.MAX_VALUE);
+      EffectiveOverrides effect =
+          new EffectiveOverrides(acting, "n1", "one", "rack", Long.MAX_VALUE);
       double[] table = new double[5];
       double[] ratio = new double[5];
       long found = 0;
--- a/src/bench/java/mothwing/bench/RelayBench.java
+++ b/src/bench/java/mothwing/bench/RelayBench.java
@@ -1,6 +1,6 @@
 package mothwing.bench;
 
-import mothwing.lab.RelayTrips;
+import mothwing.trial.RelayTrips;
 
 /** What the relay of trials adds to a round trip (docs/trials.md). */
 public final class RelayBench {
--- a/src/bench/java/mothwing/bench/StartBench.java
+++ b/src/bench/java/mothwing/bench/StartBench.java
@@ -11,8 +11,8 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import mothwing.lab.Served;
-import mothwing.lab.StandInPool;
+import mothwing.trial.ServerProcess;
+import mothwing.trial.StandInPool;
 
 /**
  * From the start of a process to the first good word of its door's health check, which it gives
@@ -24,14 +24,14 @@
 
   private static double start(Path folder, int number) throws IOException, InterruptedException {
     try (StandInPool pool = new StandInPool(1);
-        SocketChannel port = Served.port();
-        SocketChannel door = Served.port()) {
+        SocketChannel port = ServerProcess.port();
+        SocketChannel door = ServerProcess.port()) {
       long begun = System.nanoTime();
-      try (Served one =
-          new Served(
+      try (ServerProcess one =
+          new ServerProcess(
               Files.createDirectories(folder.resolve("s" + number)),
-              Served.number(port),
-              Served.number(door),
+              ServerProcess.number(port),
+              ServerProcess.number(door),
               pool)) {
         while (!one.call("HEALTH").startsWith("YES")) {
           Thread.sleep(5);
--- a/src/bench/java/mothwing/net/IdleConnections.java
+++ b/src/bench/java/mothwing/net/IdleConnections.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import mothwing.broker.Counters;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * Idle connections under a clock by hand: each step lets 50 ms pass and looks for who overstays.
  */
-public final class IdleConnections implements Timers {
+public final class IdleConnections implements Scheduler {
   private static final long STEP = 50_000;
   private static final long SPAN = 30_000_000;
   private static final long PATIENCE = 2_500_000;
@@ -63,7 +63,7 @@
   /** A look at the wheel. Nothing is due in the first span, as each is armed for its own end. */
   public void wheel() {
     now += STEP;
-    table.trim(SPAN, Reason.IDLE);
+    table.trim(SPAN, CloseReason.IDLE);
   }
 
   /** How many would have been closed, so that the work is not dropped. */
--- a/src/bench/java/mothwing/lab/DeploymentBench.java
+++ b/src/bench/java/mothwing/trial/DeploymentBench.java
@@ -1,18 +1,19 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.Locale;
 import java.util.stream.IntStream;
-import mothwing.Brain;
+import mothwing.overload.OverloadController;
 
 /**
  * Drawn deployments, decided by the module and by a policy that is told the truth: the ratio of
  * what they serve.
  */
 public final class DeploymentBench {
-  private record Row(Deployment of, DeploymentPlay.Result ours, DeploymentPlay.Result theirs) {
+  private record Row(
+      Deployment of, DeploymentSimulation.Result ours, DeploymentSimulation.Result theirs) {
     double ratio() {
       return ours.served() / Math.max(1e-9, theirs.served());
     }
@@ -20,14 +21,15 @@
 
   private DeploymentBench() {}
 
-  private static DeploymentPlay.Result best(Deployment of) {
+  private static DeploymentSimulation.Result best(Deployment of) {
     return IntStream.of(1, 2, 4)
         .mapToObj(
             crowd ->
-                DeploymentPlay.play(
+                DeploymentSimulation.play(
                     of,
-                    (settings, host, speed) -> new LateSeeing(settings, host, of, speed, crowd)))
-        .max(Comparator.comparingDouble(DeploymentPlay.Result::served))
+                    (settings, host, speed) ->
+                        new FullKnowledgePolicy(settings, host, of, speed, crowd)))
+        .max(Comparator.comparingDouble(DeploymentSimulation.Result::served))
         .orElseThrow();
   }
 
@@ -41,7 +43,8 @@
       rows.add(
           new Row(
               of,
-              DeploymentPlay.play(of, (settings, host, speed) -> new Brain(settings, host)),
+              DeploymentSimulation.play(
+                  of, (settings, host, speed) -> new OverloadController(settings, host)),
               best(of)));
     }
     rows.sort(Comparator.comparingDouble(Row::ratio));
--- a/src/bench/java/mothwing/lab/RelayTrips.java
+++ b/src/bench/java/mothwing/trial/RelayTrips.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import io.netty.channel.nio.NioEventLoopGroup;
 import java.io.IOException;
--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -4,13 +4,13 @@
 import java.io.IOException;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
-import mothwing.OverloadControl.Host;
+import mothwing.control.ControllerHost;
 
 /**
  * Writes the actions of one instance, as the elements of a JSON array, in the order in which they
  * come.
  */
-final class ActionWriter implements Host {
+final class ActionWriter implements ControllerHost {
   private final long who;
   private final StringBuilder written = new StringBuilder();
 
--- a/src/main/java/mothwing/adapter/Adapter.java
+++ b/src/main/java/mothwing/adapter/Adapter.java
@@ -19,8 +19,8 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import mothwing.settings.BadInput;
-import mothwing.settings.Fields;
+import mothwing.settings.InvalidInputException;
+import mothwing.settings.JsonFields;
 import mothwing.settings.SettingsCodec;
 
 /**
@@ -60,7 +60,7 @@
       String reply;
       try {
         reply = batch(line);
-      } catch (BadInput bad) {
+      } catch (InvalidInputException bad) {
         complaints.println("line " + number + ": " + bad.getMessage());
         return 1;
       } catch (MalformedJsonException | EOFException notJson) {
@@ -75,19 +75,19 @@
   }
 
   private String batch(String line) throws IOException {
-    Fields batch;
+    JsonFields batch;
     try (JsonReader parser = new JsonReader(new StringReader(line))) {
       if (parser.peek() != JsonToken.BEGIN_OBJECT) {
-        throw new BadInput("not a JSON object");
+        throw new InvalidInputException("not a JSON object");
       }
-      batch = Fields.read(parser);
+      batch = JsonFields.read(parser);
       if (parser.peek() != JsonToken.END_DOCUMENT) {
-        throw new BadInput("more than one JSON value");
+        throw new InvalidInputException("more than one JSON value");
       }
     }
     long now = batch.whole("SimTime");
     Set<Long> touched = new LinkedHashSet<>();
-    for (Fields event : batch.requiredInners("in")) {
+    for (JsonFields event : batch.requiredInners("in")) {
       event(now, event, touched);
     }
     StringBuilder reply = new StringBuilder("{\"out\":[");
@@ -102,7 +102,7 @@
     return reply.append("]}").toString();
   }
 
-  private void event(long now, Fields event, Set<Long> touched) throws BadInput {
+  private void event(long now, JsonFields event, Set<Long> touched) throws InvalidInputException {
     String what = event.text("what");
     long who = event.whole("Who");
     touched.add(who);
@@ -120,12 +120,12 @@
     }
     Instance life = instances.get(who);
     if (life == null) {
-      throw new BadInput("field Who: instance " + who + " has not started");
+      throw new InvalidInputException("field Who: instance " + who + " has not started");
     }
     guard(who, life, () -> life.event(now, what, event));
   }
 
-  private String settle(long now, long who) throws BadInput {
+  private String settle(long now, long who) throws InvalidInputException {
     Instance life = instances.get(who);
     if (life == null) {
       return "";
@@ -136,11 +136,11 @@
 
   /** A step that may find bad input. */
   private interface Step {
-    void run() throws BadInput;
+    void run() throws InvalidInputException;
   }
 
   /** Reports a failure of the controller for its instance, with the stack on the complaints. */
-  private void guard(long who, Instance life, Step step) throws BadInput {
+  private void guard(long who, Instance life, Step step) throws InvalidInputException {
     try {
       step.run();
     } catch (RuntimeException broken) {
--- a/src/main/java/mothwing/adapter/Instance.java
+++ b/src/main/java/mothwing/adapter/Instance.java
@@ -2,16 +2,16 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import mothwing.Brain;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Tenant;
-import mothwing.settings.BadInput;
-import mothwing.settings.Fields;
+import mothwing.control.Controller;
+import mothwing.control.GaugeSample;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.Tenant;
+import mothwing.overload.OverloadController;
+import mothwing.settings.InvalidInputException;
+import mothwing.settings.JsonFields;
 
 /**
  * One life of one instance: its controller, the names it knows, and the actions of the batch in
@@ -31,7 +31,7 @@
     for (Tenant one : settings.tenants()) {
       tenants.put(one.name(), tenants.size());
     }
-    controller = new Brain(settings, actions);
+    controller = new OverloadController(settings, actions);
   }
 
   ActionWriter actions() {
@@ -43,7 +43,7 @@
   }
 
   /** Gives one event of this life to the controller. */
-  void event(long now, String what, Fields event) throws BadInput {
+  void event(long now, String what, JsonFields event) throws InvalidInputException {
     switch (what) {
       case "Submit" -> controller.read(now, request(event));
       case "Abandoned" -> controller.gone(now, event.text("Job"));
@@ -53,17 +53,17 @@
       case "Finished" ->
           controller.finished(now, event.text("Job"), outcome(event), event.whole("Rtt", 0));
       case "Fired" ->
-          controller.timer(now, event.text("Tag", ""), Sample.of(event.numbers("Stats")));
+          controller.timer(now, event.text("Tag", ""), GaugeSample.of(event.numbers("Stats")));
       case "Sigterm" -> controller.drain(now, event.whole("ValidUntil"));
-      default -> throw new BadInput("field what: unknown event " + what);
+      default -> throw new InvalidInputException("field what: unknown event " + what);
     }
   }
 
-  private Request request(Fields event) throws BadInput {
+  private Request request(JsonFields event) throws InvalidInputException {
     String band = event.text("Band");
     Integer place = classes.get(band);
     if (place == null) {
-      throw new BadInput("field Band: no class " + band + " in the settings");
+      throw new InvalidInputException("field Band: no class " + band + " in the settings");
     }
     String team = event.text("Team", "");
     return new Request(
@@ -80,23 +80,23 @@
         event.mark("Mutates"));
   }
 
-  private static String forerunner(Fields event) throws BadInput {
+  private static String forerunner(JsonFields event) throws InvalidInputException {
     String id = event.reference("Forerunner");
     return id == null || id.isEmpty() || id.equals("0") ? null : id;
   }
 
-  private static Outcome outcome(Fields event) throws BadInput {
+  private static RunOutcome outcome(JsonFields event) throws InvalidInputException {
     String verdict = event.text("Verdict");
     return switch (verdict) {
-      case "GOOD" -> Outcome.GOOD;
-      case "BAD" -> Outcome.FAILED;
-      case "FULL" -> Outcome.DECLINED;
-      case "LATE" -> Outcome.TIMED_OUT;
-      case "NOCONN" -> Outcome.UNREACHED;
-      case "RST" -> Outcome.CUT;
-      case "CXL" -> Outcome.STOPPED;
-      case "NOP" -> Outcome.MOOT;
-      default -> throw new BadInput("field Verdict: unknown outcome " + verdict);
+      case "GOOD" -> RunOutcome.GOOD;
+      case "BAD" -> RunOutcome.FAILED;
+      case "FULL" -> RunOutcome.DECLINED;
+      case "LATE" -> RunOutcome.TIMED_OUT;
+      case "NOCONN" -> RunOutcome.UNREACHED;
+      case "RST" -> RunOutcome.CUT;
+      case "CXL" -> RunOutcome.STOPPED;
+      case "NOP" -> RunOutcome.MOOT;
+      default -> throw new InvalidInputException("field Verdict: unknown outcome " + verdict);
     };
   }
 }
--- a/src/main/java/mothwing/management/OperatorCall.java
+++ b/src/main/java/mothwing/admin/AdminCommand.java
@@ -1,9 +1,9 @@
-package mothwing.management;
+package mothwing.admin;
 
 import java.util.Locale;
 
 /** The calls of the operators' door. */
-public enum OperatorCall {
+public enum AdminCommand {
   /** Asks whether this process takes clients. */
   HEALTH,
   /** Asks for the figures. */
@@ -23,9 +23,9 @@
    * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, but for
    *     the figures
    */
-  static String answer(String line, Operations on) {
+  static String answer(String line, AdminOperations on) {
     String word = line.strip();
-    for (OperatorCall call : values()) {
+    for (AdminCommand call : values()) {
       if (call.name().equals(word)) {
         return call.carriedOut(on);
       }
@@ -36,7 +36,7 @@
             : "unknown call, known are HEALTH DUMP MEMBERS LEAVE JOIN");
   }
 
-  private String carriedOut(Operations on) {
+  private String carriedOut(AdminOperations on) {
     return switch (this) {
       case HEALTH -> on.serving() ? "YES\n" : no("not taking clients");
       case DUMP -> on.figures() + "\nEND\n";
--- a/src/main/java/mothwing/management/DoorConnection.java
+++ b/src/main/java/mothwing/admin/AdminConnection.java
@@ -1,22 +1,22 @@
-package mothwing.management;
+package mothwing.admin;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
+import mothwing.net.ProtocolException;
 
 /**
  * A caller at the operators' door: one line, one reply, and a close. What follows the line is not
  * read; a line over {@link #MOST_LINE} bytes is answered with a plain no.
  */
-public final class DoorConnection extends Connection {
+public final class AdminConnection extends Connection {
   /** Most bytes of a line, its end left out. */
   static final int MOST_LINE = 64;
 
-  private final Operations on;
+  private final AdminOperations on;
 
   /**
    * Makes the state of a new caller.
@@ -25,13 +25,13 @@
    * @param log takes its line
    * @param counters counts what happens
    */
-  public DoorConnection(Operations on, Log log, Counters counters) {
+  public AdminConnection(AdminOperations on, EventLog log, Counters counters) {
     super("management", MOST_LINE + 2, log, counters);
     this.on = on;
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE) {
       return false;
@@ -41,14 +41,14 @@
     boolean whole = length >= 0 && length <= MOST_LINE + 1;
     String answer =
         whole
-            ? OperatorCall.answer(
+            ? AdminCommand.answer(
                 in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), on)
-            : OperatorCall.no("a line has at most " + MOST_LINE + " bytes");
+            : AdminCommand.no("a line has at most " + MOST_LINE + " bytes");
     count(answer.startsWith("NO ") ? "answered-no" : "answered");
     ByteBuf out = room(answer.length());
     out.writeCharSequence(answer, StandardCharsets.US_ASCII);
     send(out);
-    close(Reason.ASKED, "");
+    close(CloseReason.ASKED, "");
     return true;
   }
 
--- a/src/main/java/mothwing/management/Operations.java
+++ b/src/main/java/mothwing/admin/AdminOperations.java
@@ -1,7 +1,7 @@
-package mothwing.management;
+package mothwing.admin;
 
 /** What operators may ask of a running shop server. All of it is called on the event loop. */
-public interface Operations {
+public interface AdminOperations {
   /**
    * Whether this process takes clients.
    *
--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
+import mothwing.net.CloseReason;
+import mothwing.net.ProtocolException;
 
 /**
  * The packets of AJP/1.3: their numbers, how they are written, and how strings and header names are
@@ -54,7 +54,7 @@
   private Ajp() {}
 
   /** Reads a string; an absent one is empty. */
-  static String string(ByteBuf in) throws Malformed {
+  static String string(ByteBuf in) throws ProtocolException {
     need(in, Short.BYTES);
     int length = in.readUnsignedShort();
     if (length == ABSENT) {
@@ -63,28 +63,28 @@
     need(in, length + 1);
     String text = in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
     if (in.readByte() != 0) {
-      throw new Malformed(Reason.MALFORMED, "a string without its closing byte");
+      throw new ProtocolException(CloseReason.MALFORMED, "a string without its closing byte");
     }
     return text;
   }
 
   /** Reads the name of a request header, which may be coded. */
-  static String headerName(ByteBuf in) throws Malformed {
+  static String headerName(ByteBuf in) throws ProtocolException {
     need(in, Short.BYTES);
     if (in.getUnsignedByte(in.readerIndex()) != CODED) {
       return string(in);
     }
     int code = in.readUnsignedShort() & 0xFF;
     if (code == 0 || code > REQUEST_HEADERS.size()) {
-      throw new Malformed(Reason.MALFORMED, "header of code " + code);
+      throw new ProtocolException(CloseReason.MALFORMED, "header of code " + code);
     }
     return REQUEST_HEADERS.get(code - 1);
   }
 
   /** Makes sure that so many bytes are left of the packet. */
-  static void need(ByteBuf in, int bytes) throws Malformed {
+  static void need(ByteBuf in, int bytes) throws ProtocolException {
     if (in.readableBytes() < bytes) {
-      throw new Malformed(Reason.MALFORMED, "a packet is cut short");
+      throw new ProtocolException(CloseReason.MALFORMED, "a packet is cut short");
     }
   }
 
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
+import mothwing.broker.InboundRequest;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
+import mothwing.net.FrontRequest;
 import mothwing.net.Headers;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
-import mothwing.net.Reply;
+import mothwing.net.ProtocolException;
 
 /**
  * One connection of a gateway that speaks AJP/1.3: one request at a time, and a close is its caller
@@ -32,14 +32,14 @@
    * @param log takes its line
    * @param counters counts what happens
    */
-  public AjpConnection(Broker broker, Log log, Counters counters) {
+  public AjpConnection(Broker broker, EventLog log, Counters counters) {
     super("ajp", Ajp.MOST_PACKET, log, counters);
     this.broker = broker;
   }
 
   /** The request that is open: its body is still to come, or its answer. */
-  private final class Asked extends Reply {
-    private final Arrival.Fields fields = new Arrival.Fields();
+  private final class Asked extends FrontRequest {
+    private final InboundRequest.Fields fields = new InboundRequest.Fields();
     private final long begunAt = now();
     private String path;
     private String query = "";
@@ -71,11 +71,11 @@
       count("answered-" + status);
       send(out);
       if (!reuse) {
-        close(Reason.DRAIN, "");
+        close(CloseReason.DRAIN, "");
       }
     }
 
-    void header(String name, String value) throws Malformed {
+    void header(String name, String value) throws ProtocolException {
       switch (name.toLowerCase(Locale.ROOT)) {
         case "content-length" -> length = length(value);
         case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).contains("chunked");
@@ -83,7 +83,7 @@
       }
     }
 
-    private static long length(String value) throws Malformed {
+    private static long length(String value) throws ProtocolException {
       try {
         long length = Long.parseLong(value);
         if (length >= 0) {
@@ -92,7 +92,7 @@
       } catch (NumberFormatException notOne) {
         // falls through to the complaint
       }
-      throw new Malformed(Reason.MALFORMED, "content-length");
+      throw new ProtocolException(CloseReason.MALFORMED, "content-length");
     }
 
     /**
@@ -101,11 +101,12 @@
      */
     void chunk(byte[] more) {
       int before = body.length;
-      int room = Arrival.MOST_BODY + 1 - before; // one byte over shows that the body is too large
+      int room =
+          InboundRequest.MOST_BODY + 1 - before; // one byte over shows that the body is too large
       int taken = Math.min(room, more.length);
       body = Arrays.copyOf(body, before + taken);
       System.arraycopy(more, 0, body, before, taken);
-      if (body.length > Arrival.MOST_BODY || length > Arrival.MOST_BODY) {
+      if (body.length > InboundRequest.MOST_BODY || length > InboundRequest.MOST_BODY) {
         reading = false;
         reject("oversized-body");
       } else if (more.length == 0 && length > body.length) {
@@ -120,7 +121,8 @@
 
     void ask() {
       ByteBuf out = room(Ajp.HEAD + 3);
-      long wanted = length == UNTOLD ? Arrival.MOST_BODY + 1 - body.length : length - body.length;
+      long wanted =
+          length == UNTOLD ? InboundRequest.MOST_BODY + 1 - body.length : length - body.length;
       Ajp.getBodyChunk(out, (int) wanted);
       send(out);
     }
@@ -144,17 +146,17 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     if (in.readableBytes() < Ajp.HEAD) {
       return false;
     }
     int at = in.readerIndex();
     if (in.getUnsignedShort(at) != Ajp.TO_CONTAINER) {
-      throw new Malformed(Reason.MALFORMED, "not the mark of a packet");
+      throw new ProtocolException(CloseReason.MALFORMED, "not the mark of a packet");
     }
     int length = in.getUnsignedShort(at + Short.BYTES);
     if (length > Ajp.MOST_PACKET - Ajp.HEAD) {
-      throw new Malformed(Reason.OVERSIZED, "a packet of " + length + " bytes");
+      throw new ProtocolException(CloseReason.OVERSIZED, "a packet of " + length + " bytes");
     }
     if (in.readableBytes() < Ajp.HEAD + length) {
       return false;
@@ -164,10 +166,10 @@
     return true;
   }
 
-  private void packet(ByteBuf in) throws Malformed {
+  private void packet(ByteBuf in) throws ProtocolException {
     if (open != null) {
       if (!open.reading) {
-        throw new Malformed(Reason.TOO_MANY_OPEN, "a packet before the answer");
+        throw new ProtocolException(CloseReason.TOO_MANY_OPEN, "a packet before the answer");
       }
       open.chunk(bodyChunk(in));
       return;
@@ -183,11 +185,11 @@
         send(out);
       }
       case Ajp.FORWARD_REQUEST -> forward(in);
-      default -> throw new Malformed(Reason.MALFORMED, "packet of code " + code);
+      default -> throw new ProtocolException(CloseReason.MALFORMED, "packet of code " + code);
     }
   }
 
-  private static byte[] bodyChunk(ByteBuf in) throws Malformed {
+  private static byte[] bodyChunk(ByteBuf in) throws ProtocolException {
     if (!in.isReadable()) {
       return NOTHING; // the end of the body
     }
@@ -199,7 +201,7 @@
     return chunk;
   }
 
-  private void forward(ByteBuf in) throws Malformed {
+  private void forward(ByteBuf in) throws ProtocolException {
     Asked asked = new Asked();
     Ajp.need(in, 1);
     in.skipBytes(1); // the method: any may be used
@@ -223,7 +225,7 @@
     }
   }
 
-  private static void attributes(ByteBuf in, Asked asked) throws Malformed {
+  private static void attributes(ByteBuf in, Asked asked) throws ProtocolException {
     while (true) {
       Ajp.need(in, 1);
       int code = in.readUnsignedByte();
@@ -231,7 +233,7 @@
         return;
       }
       if (code < Ajp.CONTEXT || code > Ajp.STORED_METHOD) {
-        throw new Malformed(Reason.MALFORMED, "attribute of code " + code);
+        throw new ProtocolException(CloseReason.MALFORMED, "attribute of code " + code);
       }
       if (code == Ajp.SSL_KEY_SIZE) {
         Ajp.need(in, Short.BYTES);
--- a/src/main/java/mothwing/broker/InForce.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -5,18 +5,18 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import java.util.stream.Collectors;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Tenant;
+import mothwing.control.Machine;
+import mothwing.control.RequestClass;
+import mothwing.control.Settings;
+import mothwing.control.Tenant;
 
 /**
  * The settings in force: classes and tenants at places that do not move while an open request
  * refers to them.
  */
-final class InForce {
-  private final Slots<RequestClass> classes = new Slots<>(RequestClass::name);
-  private final Slots<Tenant> tenants = new Slots<>(Tenant::name);
+final class ActiveSettings {
+  private final StableIndex<RequestClass> classes = new StableIndex<>(RequestClass::name);
+  private final StableIndex<Tenant> tenants = new StableIndex<>(Tenant::name);
   private Settings settings;
   private boolean cold;
 
@@ -25,7 +25,7 @@
    *
    * @param told the settings
    */
-  InForce(Settings told) {
+  ActiveSettings(Settings told) {
     take(told, Set.of());
   }
 
--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -10,16 +10,16 @@
 import java.util.function.BiFunction;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.FreeValue;
+import mothwing.control.GaugeSample;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.StopMode;
 
 /**
  * The core: it owns every open request, gives the controller its events in batches a round apart,
@@ -27,7 +27,7 @@
  * pool brings the ends of runs and the gauges. It knows no wire, and all of it happens on one
  * thread.
  */
-public final class Broker implements Host {
+public final class Broker implements ControllerHost {
   /** Most requests open at once; what comes beyond is refused unread by the controller. */
   public static final int MOST_OPEN = 4096;
 
@@ -52,15 +52,15 @@
 
   private record Check(Consumer<Boolean> answer, long until) {}
 
-  private final InForce inForce;
-  private final BiFunction<Settings, Host, Controller> maker;
-  private final Workers workers;
-  private final Timers timers;
-  private Calls below = Calls.NONE;
+  private final ActiveSettings inForce;
+  private final BiFunction<Settings, ControllerHost, Controller> maker;
+  private final WorkerPool workers;
+  private final Scheduler timers;
+  private DependencyClient below = DependencyClient.NONE;
   private RunClaims claims = RunClaims.ALONE;
   private final Counters counters;
-  private final Log log;
-  private final ReasonLog reasons;
+  private final EventLog log;
+  private final RateLimitedEventLog reasons;
   private final Map<String, Exchange> open = new LinkedHashMap<>();
   private final ArrayDeque<Event> events = new ArrayDeque<>();
   private final Map<String, String> ticks = new LinkedHashMap<>();
@@ -77,8 +77,8 @@
   private double said;
   private boolean checkCheap;
   private boolean checkGood = true;
-  private final Figures figures = new Figures();
-  private final DrainState drainState = new DrainState();
+  private final RequestStatistics figures = new RequestStatistics();
+  private final ShutdownState drainState = new ShutdownState();
   private Consumer<Long> trimmer = span -> {};
   private Runnable onReady = () -> {};
   private BooleanSupplier shed = () -> false;
@@ -95,19 +95,19 @@
    */
   public Broker(
       Settings settings,
-      BiFunction<Settings, Host, Controller> maker,
-      Workers workers,
-      Timers timers,
+      BiFunction<Settings, ControllerHost, Controller> maker,
+      WorkerPool workers,
+      Scheduler timers,
       Counters counters,
-      Log log) {
-    inForce = new InForce(settings);
+      EventLog log) {
+    inForce = new ActiveSettings(settings);
     this.maker = maker;
     this.workers = workers;
     this.timers = timers;
     this.counters = counters;
     this.log = log;
     inForce.names().forEach(figures::know);
-    reasons = new ReasonLog(log, timers);
+    reasons = new RateLimitedEventLog(log, timers);
     reconciler =
         new RunReconciler(
             open, workers, counters, log, () -> told().machine().halting(), new Reconciled());
@@ -177,7 +177,7 @@
    *
    * @param tier the tier below
    */
-  public void callWith(Calls tier) {
+  public void callWith(DependencyClient tier) {
     below = tier;
   }
 
@@ -204,17 +204,17 @@
   public long sheds(String path) {
     if (controller == null
         || drainState.going()
-        || !path.startsWith(Arrival.PATH)
+        || !path.startsWith(InboundRequest.PATH)
         || !shed.getAsBoolean()) {
       return -1;
     }
-    String kind = path.substring(Arrival.PATH.length());
+    String kind = path.substring(InboundRequest.PATH.length());
     if (inForce.known(kind) == null) {
       return -1;
     }
     counters.add("read");
     counters.add("refused-behind");
-    figures.ended(kind, Figures.End.REJECTED);
+    figures.ended(kind, RequestStatistics.End.REJECTED);
     return longestAdvice() / MILLI;
   }
 
@@ -225,7 +225,7 @@
    * @param caller the way back
    * @return its exchange
    */
-  public Exchange read(Arrival arrival, Caller caller) {
+  public Exchange read(InboundRequest arrival, ResponseSink caller) {
     counters.add("read");
     long now = timers.now();
     RequestClass kind = inForce.known(arrival.kind());
@@ -234,13 +234,15 @@
         new Exchange(
             arrival,
             caller,
-            kind != null && kind.repeats() == Repeats.SAFE,
+            kind != null && kind.repeats() == Idempotency.SAFE,
             now,
             now - unread,
             now - unread + (kind == null ? 0 : waits(arrival, kind)),
             inForce.classPlace(arrival.kind()),
             inForce.tenantPlace(arrival.tenant()),
-            kind != null && kind.repeats() == Repeats.GUARDED && arrival.idempotencyKey() != null
+            kind != null
+                    && kind.repeats() == Idempotency.GUARDED
+                    && arrival.idempotencyKey() != null
                 ? kind.window()
                 : 0);
     if (kind == null) {
@@ -267,7 +269,7 @@
    * monotonic clock. Between the stamp and this moment the wall clock may have stepped; a stamp
    * ahead of it, or older than its class waits in all, says nothing.
    */
-  private long unread(Arrival arrival, RequestClass kind) {
+  private long unread(InboundRequest arrival, RequestClass kind) {
     long ms = timers.wallMs() - arrival.acceptedAtMs();
     boolean believed = ms >= -MOST_AHEAD_MS && ms <= kind.deadline() / MILLI;
     if (!believed) {
@@ -280,9 +282,9 @@
    * For how long its caller waits from its arrival on: what it tells, but no longer than its class
    * has it.
    */
-  private static long waits(Arrival arrival, RequestClass kind) {
+  private static long waits(InboundRequest arrival, RequestClass kind) {
     boolean told =
-        arrival.waitMs() != Arrival.NOT_TOLD && arrival.waitMs() < kind.deadline() / MILLI;
+        arrival.waitMs() != InboundRequest.NOT_TOLD && arrival.waitMs() < kind.deadline() / MILLI;
     return told ? arrival.waitMs() * MILLI : kind.deadline();
   }
 
@@ -290,7 +292,7 @@
    * Which try it repeats is asked only now: those read before it in this round have been decided.
    */
   private void give(Exchange one, Controller to, long at) {
-    Arrival arrival = one.arrival();
+    InboundRequest arrival = one.arrival();
     IdempotencyKeys.Entry before = keys.repeated(one);
     if (before != null && !before.sameBody(one)) {
       fail(one, "key-of-another");
@@ -313,7 +315,7 @@
             arrival.reserveKb(),
             before == null ? null : before.id(),
             arrival.rank(),
-            arrival.waitMs() == Arrival.NOT_TOLD ? 0 : one.dueAt(),
+            arrival.waitMs() == InboundRequest.NOT_TOLD ? 0 : one.dueAt(),
             !one.repeatable()));
   }
 
@@ -548,7 +550,7 @@
 
     @Override
     public void giveUp(Exchange run) {
-      finished(run.arrival().id(), Outcome.MOOT, 0, null);
+      finished(run.arrival().id(), RunOutcome.MOOT, 0, null);
     }
   }
 
@@ -571,7 +573,7 @@
    * @param took microseconds it took
    * @param result the result of a good run
    */
-  public void finished(String id, Outcome outcome, long took, byte[] result) {
+  public void finished(String id, RunOutcome outcome, long took, byte[] result) {
     counters.add("finished-" + outcome.name().toLowerCase(Locale.ROOT));
     Exchange one = open.get(id);
     if (one == null || !one.inPool()) {
@@ -579,28 +581,28 @@
       return;
     }
     abandon(one);
-    if (outcome == Outcome.STOPPED
+    if (outcome == RunOutcome.STOPPED
         && one.owed()
         && !one.stopping()
-        && told().machine().halting() == Halting.SUSPEND) {
+        && told().machine().halting() == StopMode.SUSPEND) {
       one.stopped(
           true); // it did run, and was stopped only to find that out: the controller need not know
       one.resumed(reconciler.polls());
       workers.proceed(id);
       return;
     }
-    if (outcome == Outcome.STOPPED) {
-      one.stopped(told().machine().halting() == Halting.SUSPEND);
+    if (outcome == RunOutcome.STOPPED) {
+      one.stopped(told().machine().halting() == StopMode.SUSPEND);
     } else {
       one.left();
     }
     if (!one.inPool()) {
       keys.ended(one, outcome, result);
     }
-    if (outcome == Outcome.GOOD) {
+    if (outcome == RunOutcome.GOOD) {
       served(one, result);
-    } else if (outcome != Outcome.STOPPED) {
-      fail(one, outcome == Outcome.MOOT ? "stale" : "crashed");
+    } else if (outcome != RunOutcome.STOPPED) {
+      fail(one, outcome == RunOutcome.MOOT ? "stale" : "crashed");
     }
     if (!one.inPool() && !one.owed()) {
       open.remove(id);
@@ -634,14 +636,14 @@
    * @param outcome how it ended
    * @param result what came back, where it succeeded
    */
-  public void callOver(String id, Outcome outcome, byte[] result) {
+  public void callOver(String id, RunOutcome outcome, byte[] result) {
     Exchange one = open.get(id);
     if (one == null || !one.callOver()) {
       counters.add("call-unasked");
       return;
     }
     counters.add("call-" + outcome.name().toLowerCase(Locale.ROOT));
-    if (outcome == Outcome.GOOD) {
+    if (outcome == RunOutcome.GOOD) {
       goOn(one, result);
     }
     event((to, at) -> to.callEnded(at, id, outcome, 0));
@@ -681,12 +683,12 @@
     }
     int runnable = told().machine().gauges().indexOf(RUNNABLE);
     reconciler.answered(echo, whole && runnable >= 0 ? meters[runnable] : -1);
-    tick(echo, whole ? Sample.of(meters) : unknown());
+    tick(echo, whole ? GaugeSample.of(meters) : unknown());
   }
 
   /** No gauges of this moment are known; they are never those of an answer before. */
-  private Sample unknown() {
-    return Sample.absent(Math.max(0, timers.now() - sampledAt));
+  private GaugeSample unknown() {
+    return GaugeSample.absent(Math.max(0, timers.now() - sampledAt));
   }
 
   /**
@@ -702,7 +704,7 @@
     }
   }
 
-  private void tick(String echo, Sample sample) {
+  private void tick(String echo, GaugeSample sample) {
     String tag = ticks.remove(echo);
     if (tag != null) {
       event((to, at) -> to.timer(at, tag, sample));
@@ -768,7 +770,7 @@
     }
     for (Exchange one : silent) {
       below.abandon(one.arrival().id());
-      callOver(one.arrival().id(), Outcome.TIMED_OUT, null);
+      callOver(one.arrival().id(), RunOutcome.TIMED_OUT, null);
     }
     for (Exchange one : overdue) {
       counters.add("overdue");
@@ -800,7 +802,7 @@
   private void served(Exchange one, byte[] result) {
     if (one.serve(result)) {
       counters.add("served");
-      count(one, Figures.End.COMPLETED);
+      count(one, RequestStatistics.End.COMPLETED);
     }
   }
 
@@ -808,7 +810,7 @@
     if (one.refuse(last, holdOffMs)) {
       counters.add("refused-" + code);
       reasons.line("refused", one, code);
-      count(one, Figures.End.REJECTED);
+      count(one, RequestStatistics.End.REJECTED);
     }
   }
 
@@ -817,11 +819,11 @@
       abandon(one);
       counters.add("failed-" + code);
       reasons.line("failed", one, code);
-      count(one, Figures.End.FAILED);
+      count(one, RequestStatistics.End.FAILED);
     }
   }
 
-  private void count(Exchange one, Figures.End end) {
+  private void count(Exchange one, RequestStatistics.End end) {
     if (one.classPlace() >= 0) { // names that nobody knows must not fill the table
       figures.ended(one.arrival().kind(), end);
     }
@@ -868,7 +870,7 @@
   /** The controller counts what it starts as running until it hears of an end. */
   private void notStarted(String id) {
     open.remove(id);
-    event((to, at) -> to.finished(at, id, Outcome.MOOT, 0));
+    event((to, at) -> to.finished(at, id, RunOutcome.MOOT, 0));
   }
 
   /** Whether this process may run a guarded request; where it may not, its caller has been told. */
@@ -928,7 +930,7 @@
   /** The gauges of the moment go with a timer, or the age of the last ones that were known. */
   private void timerDue(String tag) {
     if (!workers.ready()) {
-      Sample none = unknown();
+      GaugeSample none = unknown();
       event((to, at) -> to.timer(at, tag, none));
       return;
     }
@@ -979,7 +981,7 @@
     one.calls(timers.now() + limit + CALL_SLACK);
     counters.add("calls");
     if (!below.make(id, limit / MILLI, one.asked())) {
-      callOver(id, Outcome.UNREACHED, null);
+      callOver(id, RunOutcome.UNREACHED, null);
     }
   }
 
@@ -1044,7 +1046,7 @@
       }
       String id = each.getKey();
       open.remove(id);
-      event((to, at) -> to.finished(at, id, good ? Outcome.GOOD : Outcome.FAILED, 0));
+      event((to, at) -> to.finished(at, id, good ? RunOutcome.GOOD : RunOutcome.FAILED, 0));
     }
   }
 }
--- a/src/main/java/mothwing/broker/Calls.java
+++ b/src/main/java/mothwing/broker/DependencyClient.java
@@ -1,10 +1,10 @@
 package mothwing.broker;
 
 /** What the broker asks of the tier below, for runs that stand at a call. */
-public interface Calls {
+public interface DependencyClient {
   /** A tier that is not there: no call can be made. */
-  Calls NONE =
-      new Calls() {
+  DependencyClient NONE =
+      new DependencyClient() {
         @Override
         public boolean make(String id, long limitMs, byte[] content) {
           return false;
--- a/src/main/java/mothwing/broker/Log.java
+++ b/src/main/java/mothwing/broker/EventLog.java
@@ -2,7 +2,7 @@
 
 /** Takes one line of the log: a code, then words of the form {@code name=value}. */
 @FunctionalInterface
-public interface Log {
+public interface EventLog {
   /**
    * Writes a line.
    *
--- a/src/main/java/mothwing/broker/Exchange.java
+++ b/src/main/java/mothwing/broker/Exchange.java
@@ -23,8 +23,8 @@
     GONE
   }
 
-  private final Arrival arrival;
-  private final Caller caller;
+  private final InboundRequest arrival;
+  private final ResponseSink caller;
   private final boolean repeatable;
   private final long readAt;
   private final long arrivedAt;
@@ -51,8 +51,8 @@
   private long probeAt;
 
   Exchange(
-      Arrival arrival,
-      Caller caller,
+      InboundRequest arrival,
+      ResponseSink caller,
       boolean repeatable,
       long readAt,
       long arrivedAt,
@@ -76,7 +76,7 @@
    *
    * @return the request
    */
-  public Arrival arrival() {
+  public InboundRequest arrival() {
     return arrival;
   }
 
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -4,7 +4,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.LinkedHashMap;
 import java.util.Map;
-import mothwing.OverloadControl.Outcome;
+import mothwing.control.RunOutcome;
 
 /**
  * Which try of a guarded request stands for its idempotency key, and how its run ended. Keys are
@@ -33,7 +33,7 @@
     private Exchange holder; // null once its run is over
     private long until;
     private boolean begun;
-    private Outcome end;
+    private RunOutcome end;
     private byte[] result;
     private int bytes = LARGEST;
 
@@ -61,7 +61,7 @@
 
     /** What a good run made, or null: it did not end well, or its result found no room. */
     byte[] result() {
-      return end == Outcome.GOOD ? result : null;
+      return end == RunOutcome.GOOD ? result : null;
     }
 
     /** Whether a repeat asks for the same. */
@@ -153,7 +153,7 @@
   }
 
   /** The run of a try is over. A result that finds no room is not kept: its repeats fail. */
-  void ended(Exchange one, Outcome outcome, byte[] result) {
+  void ended(Exchange one, RunOutcome outcome, byte[] result) {
     Entry entry = one.entry();
     if (entry == null) {
       return;
@@ -161,7 +161,7 @@
     entry.end = outcome;
     entry.holder = null;
     entry.result =
-        outcome == Outcome.GOOD && bytes - entry.bytes + result.length <= MOST_BYTES
+        outcome == RunOutcome.GOOD && bytes - entry.bytes + result.length <= MOST_BYTES
             ? result
             : null;
     int size = entry.result == null ? 0 : result.length;
--- a/src/main/java/mothwing/broker/Arrival.java
+++ b/src/main/java/mothwing/broker/InboundRequest.java
@@ -18,7 +18,7 @@
  *     {@link #NOT_TOLD}
  * @param body the body as it came
  */
-public record Arrival(
+public record InboundRequest(
     String id,
     long acceptedAtMs,
     String tenant,
@@ -49,10 +49,10 @@
   private static final double MOST_RESERVE = 2000;
 
   /** A request whose fields cannot be understood; the message is its reason code. */
-  public static final class Bad extends Exception {
+  public static final class InvalidRequestException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    Bad(String code) {
+    InvalidRequestException(String code) {
       super(code, null, false, false);
     }
   }
@@ -98,35 +98,35 @@
      * @return the request
      * @throws Bad where a field is missing or makes no sense
      */
-    public Arrival at(String path, byte[] body) throws Bad {
+    public InboundRequest at(String path, byte[] body) throws InvalidRequestException {
       if (!path.startsWith(PATH)) {
-        throw new Bad("bad-path");
+        throw new InvalidRequestException("bad-path");
       }
       if (!ID.matcher(id).matches()) {
-        throw new Bad("bad-trace-id");
+        throw new InvalidRequestException("bad-trace-id");
       }
       if (!WHOLE.matcher(accepted).matches()) {
-        throw new Bad("bad-accepted-at-ms");
+        throw new InvalidRequestException("bad-accepted-at-ms");
       }
       if (!WHOLE.matcher(caller).matches()) {
-        throw new Bad("bad-client-no");
+        throw new InvalidRequestException("bad-client-no");
       }
       double kb = number(reserve, "bad-reserve-kb");
       double standing = number(rank, "bad-standing");
       if (!(kb > 0 && kb < MOST_RESERVE)) {
-        throw new Bad("bad-reserve-kb");
+        throw new InvalidRequestException("bad-reserve-kb");
       }
       if (!(standing < 1)) {
-        throw new Bad("bad-standing");
+        throw new InvalidRequestException("bad-standing");
       }
       if (idempotencyKey != null
           && (idempotencyKey.isEmpty() || idempotencyKey.length() > MOST_KEY)) {
-        throw new Bad("bad-replay-key");
+        throw new InvalidRequestException("bad-replay-key");
       }
       if (wait != null && !WHOLE.matcher(wait).matches()) {
-        throw new Bad("bad-max-wait-ms");
+        throw new InvalidRequestException("bad-max-wait-ms");
       }
-      return new Arrival(
+      return new InboundRequest(
           id,
           Long.parseLong(accepted),
           tenant,
@@ -139,9 +139,9 @@
           body);
     }
 
-    private static double number(String text, String code) throws Bad {
+    private static double number(String text, String code) throws InvalidRequestException {
       if (!NUMBER.matcher(text).matches()) {
-        throw new Bad(code);
+        throw new InvalidRequestException(code);
       }
       return Double.parseDouble(text);
     }
--- a/src/main/java/mothwing/broker/ReasonLog.java
+++ b/src/main/java/mothwing/broker/RateLimitedEventLog.java
@@ -7,14 +7,14 @@
  *
  * <p>Thread: the event loop's.
  */
-final class ReasonLog {
+final class RateLimitedEventLog {
   /** Most lines a second: at 20 microseconds a line a thousandth of a core. */
   static final int MOST_A_SECOND = 50;
 
   private static final long SECOND = 1_000_000;
 
-  private final Log log;
-  private final Timers timers;
+  private final EventLog log;
+  private final Scheduler timers;
   private long second = Long.MIN_VALUE;
   private int lines;
   private long suppressed;
@@ -25,7 +25,7 @@
    * @param log takes the lines
    * @param timers the clocks
    */
-  ReasonLog(Log log, Timers timers) {
+  RateLimitedEventLog(EventLog log, Scheduler timers) {
     this.log = log;
     this.timers = timers;
   }
--- a/src/main/java/mothwing/broker/Figures.java
+++ b/src/main/java/mothwing/broker/RequestStatistics.java
@@ -10,7 +10,7 @@
  * exchange comes to its one end, and where a run is first handed to the pool. A class that the
  * settings no longer name keeps its counts.
  */
-public final class Figures {
+public final class RequestStatistics {
   /** Most classes counted apart; those beyond are counted under {@link #OTHERS}. */
   static final int MOST_CLASSES = 256;
 
--- a/src/main/java/mothwing/broker/Caller.java
+++ b/src/main/java/mothwing/broker/ResponseSink.java
@@ -1,7 +1,7 @@
 package mothwing.broker;
 
 /** The way back to whoever sent a request; each exchange uses one of these answers, once. */
-public interface Caller {
+public interface ResponseSink {
   /**
    * The result that the worker pool made for this request.
    *
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
-import mothwing.OverloadControl.Halting;
+import mothwing.control.StopMode;
 
 /**
  * Finds out what became of runs whose last command, or whose end, may have been lost with a link to
@@ -83,10 +83,10 @@
   private static final long PROBE_AGAIN = 1000 * MILLI;
 
   private final Map<String, Exchange> open;
-  private final Workers workers;
+  private final WorkerPool workers;
   private final Counters counters;
-  private final Log log;
-  private final Supplier<Halting> halting;
+  private final EventLog log;
+  private final Supplier<StopMode> halting;
   private final Actions actions;
   private long polls;
   private long answeredPolls;
@@ -109,10 +109,10 @@
    */
   RunReconciler(
       Map<String, Exchange> open,
-      Workers workers,
+      WorkerPool workers,
       Counters counters,
-      Log log,
-      Supplier<Halting> halting,
+      EventLog log,
+      Supplier<StopMode> halting,
       Actions actions) {
     this.open = open;
     this.workers = workers;
@@ -164,7 +164,7 @@
     } else if (run.asked() != null) {
       counters.add("relinked-at-call"); // nothing was said since it told of the call
     } else if (run.supplied() && mayBeLost) {
-      if (run.repeatable() && halting.get() == Halting.ABORT) {
+      if (run.repeatable() && halting.get() == StopMode.ABORT) {
         actions.halt(
             run); // the result is not said again: the run may stand at its next call by now
       }
@@ -182,7 +182,7 @@
       workers.proceed(run.arrival().id());
     } else if (run.repeatable() || !run.handedOver()) {
       actions.startAgain(run);
-    } else if (halting.get() == Halting.SUSPEND) {
+    } else if (halting.get() == StopMode.SUSPEND) {
       return doubt(run);
     } // else a stop would throw its work away: it waits for its end, or its due time
     return false;
@@ -190,7 +190,7 @@
 
   private boolean doubt(Exchange run) {
     run.doubt(true);
-    if (halting.get() != Halting.NONE) {
+    if (halting.get() != StopMode.NONE) {
       workers.suspend(run.arrival().id());
     }
     return true;
@@ -255,11 +255,11 @@
     log.line("run-in-doubt id=" + run);
     boolean runsOnceAtMost =
         run.repeatable()
-            || halting.get() != Halting.ABORT; // an abort that is on its way threw work away
+            || halting.get() != StopMode.ABORT; // an abort that is on its way threw work away
     if (runsOnceAtMost) {
       workers.spawn(run);
     }
-    if (halting.get() != Halting.NONE) {
+    if (halting.get() != StopMode.NONE) {
       workers.suspend(run.arrival().id());
     }
   }
--- a/src/main/java/mothwing/broker/Timers.java
+++ b/src/main/java/mothwing/broker/Scheduler.java
@@ -3,7 +3,7 @@
 /**
  * The clocks, and work that is due later. All of it happens on the one thread that owns the broker.
  */
-public interface Timers {
+public interface Scheduler {
   /** Microseconds of the monotonic clock. */
   long now();
 
--- a/src/main/java/mothwing/broker/DrainState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -5,9 +5,9 @@
  * or leaves; and what that means for arrivals, checks and advice. Times are microseconds of the
  * monotonic clock.
  */
-final class DrainState {
+final class ShutdownState {
   /** How it goes. */
-  enum Way {
+  enum Mode {
     /** It stays. */
     NONE,
     /** Another process takes clients at its address: nothing may be said that keeps them away. */
@@ -16,7 +16,7 @@
     LEAVING
   }
 
-  private Way way = Way.NONE;
+  private Mode way = Mode.NONE;
   private boolean away;
   private long noticeAt;
   private long stopAt;
@@ -41,7 +41,7 @@
    */
   void notice(long at, long stop, long spanOfGrace, boolean handover) {
     if (!going()) {
-      way = handover ? Way.HANDING_OVER : Way.LEAVING;
+      way = handover ? Mode.HANDING_OVER : Mode.LEAVING;
       noticeAt = at;
       stopAt = stop;
       grace = spanOfGrace;
@@ -49,11 +49,11 @@
   }
 
   boolean going() {
-    return way != Way.NONE;
+    return way != Mode.NONE;
   }
 
   boolean handsOver() {
-    return way == Way.HANDING_OVER;
+    return way == Mode.HANDING_OVER;
   }
 
   long stopAt() {
--- a/src/main/java/mothwing/broker/Slots.java
+++ b/src/main/java/mothwing/broker/StableIndex.java
@@ -15,7 +15,7 @@
  *
  * @param <T> the parts
  */
-final class Slots<T> {
+final class StableIndex<T> {
   private final Function<T, String> name;
   private final List<T> all = new ArrayList<>();
   private final Map<String, Integer> known = new HashMap<>();
@@ -25,7 +25,7 @@
    *
    * @param name gives a part's name
    */
-  Slots(Function<T, String> name) {
+  StableIndex(Function<T, String> name) {
     this.name = name;
   }
 
--- a/src/main/java/mothwing/broker/Workers.java
+++ b/src/main/java/mothwing/broker/WorkerPool.java
@@ -1,7 +1,7 @@
 package mothwing.broker;
 
 /** What the broker asks of the worker pool. Calls do nothing while {@link #ready} is false. */
-public interface Workers {
+public interface WorkerPool {
   /** Whether commands reach the pool now. */
   boolean ready();
 
--- a/src/main/java/mothwing/cli/Commands.java
+++ b/src/main/java/mothwing/cli/Commands.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 import mothwing.adapter.Adapter;
 import mothwing.cli.Command.Streams;
-import mothwing.lab.MemberFigures;
-import mothwing.lab.Trials;
+import mothwing.trial.MembershipStatistics;
+import mothwing.trial.Trials;
 import org.apache.commons.cli.CommandLine;
 import org.apache.commons.cli.DefaultParser;
 import org.apache.commons.cli.Option;
@@ -190,7 +190,7 @@
             "members simulate",
             "measure membership on virtual time: kills, a split, slow members, lost messages",
             (line, to) ->
-                MemberFigures.print(
+                MembershipStatistics.print(
                     (int) number(line, "members", 2, 10_000),
                     number(line, "seed", 0, Long.MAX_VALUE),
                     number(line, "seconds", 1, 1_000_000),
--- a/src/main/java/mothwing/cli/Dns.java
+++ b/src/main/java/mothwing/cli/Dns.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Path;
+import mothwing.server.AsyncLogWriter;
 import mothwing.server.DnsService;
-import mothwing.server.LineLog;
 
 /** Runs one DNS server in the foreground until it has drained. */
 final class Dns {
   private Dns() {}
 
   static int run(Path settings, PrintStream out) throws IOException, InterruptedException {
-    LineLog log = new LineLog(out);
+    AsyncLogWriter log = new AsyncLogWriter(out);
     DnsService service = new DnsService(settings, log);
     String noHangups = Hangup.handle(service::reload);
     if (noHangups != null) {
--- a/src/main/java/mothwing/cli/Foreground.java
+++ b/src/main/java/mothwing/cli/Foreground.java
@@ -1,6 +1,6 @@
 package mothwing.cli;
 
-import mothwing.server.LineLog;
+import mothwing.server.AsyncLogWriter;
 import mothwing.server.Service;
 
 /** Keeps a service in the foreground until it is told to leave. */
@@ -8,7 +8,7 @@
   private Foreground() {}
 
   /** Takes the signal to end as the notice to leave from now on. */
-  static void leaveOnSignal(Service service, LineLog log) {
+  static void leaveOnSignal(Service service, AsyncLogWriter log) {
     Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(service, log), "leave"));
   }
 
@@ -16,7 +16,7 @@
    * The runtime waits for this, and then ends with status 0, or with its own where the service has
    * failed.
    */
-  private static void leave(Service service, LineLog log) {
+  private static void leave(Service service, AsyncLogWriter log) {
     try {
       if (service.failed()) {
         log.close();
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -6,9 +6,9 @@
 import java.io.PrintStream;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
+import mothwing.server.AsyncLogWriter;
 import mothwing.server.Config;
-import mothwing.server.LineLog;
-import mothwing.server.Reload;
+import mothwing.server.ConfigReloader;
 import mothwing.server.Server;
 import mothwing.settings.Site;
 
@@ -20,11 +20,12 @@
       throws IOException, InterruptedException {
     // Netty would look for the logging library of the DNS part first, and load it.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
-    CompletableFuture<Reload> started = new CompletableFuture<>();
+    CompletableFuture<ConfigReloader> started = new CompletableFuture<>();
     String noHangups =
-        Hangup.handle(() -> started.thenAccept(Reload::again)); // early: the default ends it
+        Hangup.handle(
+            () -> started.thenAccept(ConfigReloader::again)); // early: the default ends it
     Config config = Config.read(path);
-    LineLog log = new LineLog(out);
+    AsyncLogWriter log = new AsyncLogWriter(out);
     if (noHangups != null) {
       log.line("no-reloads what=\"" + noHangups + "\"");
     }
@@ -35,7 +36,7 @@
     }
     Foreground.leaveOnSignal(server, log);
     server.start();
-    started.complete(new Reload(path, config, server));
+    started.complete(new ConfigReloader(path, config, server));
     server.await();
     return server.failed() ? 1 : 0;
   }
--- a/src/main/java/mothwing/cli/ZoneCommands.java
+++ b/src/main/java/mothwing/cli/ZoneCommands.java
@@ -10,18 +10,18 @@
 import mothwing.dns.zone.RRset;
 import mothwing.dns.zone.Rr;
 import mothwing.dns.zone.ZoneFile;
-import mothwing.settings.BadInput;
+import mothwing.settings.InvalidInputException;
 import mothwing.settings.Site;
 
 /** Commands on zone files. */
 final class ZoneCommands {
   private ZoneCommands() {}
 
-  static DomainName name(String text) throws BadInput {
+  static DomainName name(String text) throws InvalidInputException {
     try {
       return DomainName.parse(text, DomainName.ROOT);
     } catch (DomainName.Bad bad) {
-      throw new BadInput(bad.getMessage());
+      throw new InvalidInputException(bad.getMessage());
     }
   }
 
--- a/src/main/java/mothwing/cli/ZoneUpdate.java
+++ b/src/main/java/mothwing/cli/ZoneUpdate.java
@@ -13,7 +13,7 @@
 import java.nio.file.Path;
 import java.util.Locale;
 import mothwing.settings.Addresses;
-import mothwing.settings.BadInput;
+import mothwing.settings.InvalidInputException;
 import mothwing.settings.Secret;
 import mothwing.settings.Site;
 import org.xbill.DNS.DClass;
@@ -63,7 +63,7 @@
       throws IOException {
     String[] parts = key.split(":", 3);
     if (parts.length < 2) {
-      throw new BadInput("--key is NAME:FILE, or ALGORITHM:NAME:FILE");
+      throw new InvalidInputException("--key is NAME:FILE, or ALGORITHM:NAME:FILE");
     }
     int name = parts.length - 2;
     Site.Key read =
@@ -94,17 +94,17 @@
           line(text.split("\\s+", 5), text);
           lines++;
         }
-      } catch (TextParseException | IllegalArgumentException | BadInput bad) {
-        throw new BadInput("line " + number + ": " + bad.getMessage());
+      } catch (TextParseException | IllegalArgumentException | InvalidInputException bad) {
+        throw new InvalidInputException("line " + number + ": " + bad.getMessage());
       }
     }
     return lines > 0 ? Math.max(status, send()) : status;
   }
 
-  private static int type(String word) throws BadInput {
+  private static int type(String word) throws InvalidInputException {
     int type = Type.value(word);
     if (type < 0) {
-      throw new BadInput("unknown type " + word);
+      throw new InvalidInputException("unknown type " + word);
     }
     return type;
   }
@@ -118,7 +118,7 @@
   private void line(String[] words, String text) throws IOException {
     String what = (words[0] + " " + (words.length > 1 ? words[1] : "")).toLowerCase(Locale.ROOT);
     if (words.length < 3) {
-      throw new BadInput(HELP);
+      throw new InvalidInputException(HELP);
     }
     Name name = Name.fromString(words[2], zone);
     String type = words.length > 3 ? words[3] : "";
@@ -136,7 +136,7 @@
       }
       case "update add" -> {
         if (words.length < 5 || !type.matches("[0-9]{1,9}")) {
-          throw new BadInput("update add NAME TTL TYPE DATA");
+          throw new InvalidInputException("update add NAME TTL TYPE DATA");
         }
         String[] record = data.split("\\s+", 2);
         update.add(
@@ -157,7 +157,7 @@
           update.delete(name, type(type), data);
         }
       }
-      default -> throw new BadInput(HELP);
+      default -> throw new InvalidInputException(HELP);
     }
   }
 
--- /dev/null
+++ b/src/main/java/mothwing/control/Dependency.java
@@ -0,0 +1,11 @@
+package mothwing.control;
+
+/**
+ * The shared dependency.
+ *
+ * @param share this server's part of the calls it survives, as a mean number in hand; 0 for no
+ *     dependency
+ * @param window span over which calls are averaged
+ * @param linger span for which a given-up call may stay in its hands
+ */
+public record Dependency(double share, long window, long linger) {}
--- a/src/main/java/mothwing/ledger/LedgerLink.java
+++ b/src/main/java/mothwing/dependency/DependencyConnection.java
@@ -1,4 +1,4 @@
-package mothwing.ledger;
+package mothwing.dependency;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
@@ -8,18 +8,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mothwing.OverloadControl.Outcome;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
+import mothwing.control.RunOutcome;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
+import mothwing.net.ProtocolException;
 
 /**
  * One link to the ledger: calls as lines, each with a block of bytes behind it; answers in any
  * order, by the request's id.
  */
-final class LedgerLink extends Connection {
+final class DependencyConnection extends Connection {
   /** Most bytes of a result; the pool is to take it in one line. */
   static final int MOST_RESULT = 32 << 10;
 
@@ -34,7 +34,7 @@
 
   private static final String END = "\r\n";
 
-  private final Ledger ledger;
+  private final DependencyConnectionManager ledger;
   private final int dial;
   private final Map<String, Long> out =
       new LinkedHashMap<>(); // with when each was posted, the oldest first
@@ -42,7 +42,8 @@
   private boolean retired;
   private long waitsSince = NEVER;
 
-  LedgerLink(Ledger ledger, int dial, Log log, Counters counters) {
+  DependencyConnection(
+      DependencyConnectionManager ledger, int dial, EventLog log, Counters counters) {
     super("ledger", MOST_RESULT + MOST_LINE, log, counters);
     this.ledger = ledger;
     this.dial = dial;
@@ -103,7 +104,7 @@
 
   private void closeIfOver() {
     if (retired && out.isEmpty()) {
-      close(Reason.MOVED, "");
+      close(CloseReason.MOVED, "");
     }
   }
 
@@ -119,17 +120,17 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE) {
       return false;
     } else if (length < 0 || length > MOST_LINE) {
-      throw new Malformed(Reason.OVERSIZED, "a line of over " + MOST_LINE + " bytes");
+      throw new ProtocolException(CloseReason.OVERSIZED, "a line of over " + MOST_LINE + " bytes");
     }
     String line = in.toString(in.readerIndex(), length, StandardCharsets.US_ASCII).stripTrailing();
     String[] words = line.split(" ");
     if (words.length < 2) {
-      throw new Malformed(Reason.MALFORMED, "an answer without an outcome");
+      throw new ProtocolException(CloseReason.MALFORMED, "an answer without an outcome");
     }
     byte[] result = null;
     if (words[1].equals("posted")) {
@@ -141,7 +142,8 @@
       result = new byte[size];
       in.readBytes(result);
       if (in.readByte() != '\r' || in.readByte() != '\n') {
-        throw new Malformed(Reason.MALFORMED, "a result that does not end where it should");
+        throw new ProtocolException(
+            CloseReason.MALFORMED, "a result that does not end where it should");
       }
     } else {
       in.skipBytes(length + 1);
@@ -150,7 +152,7 @@
     return true;
   }
 
-  private void answered(String id, Outcome outcome, byte[] result) {
+  private void answered(String id, RunOutcome outcome, byte[] result) {
     waitsSince = out.size() + abandoned.size() > 1 ? ledger.now() : NEVER;
     Long since = out.remove(id);
     if (since != null) {
@@ -161,18 +163,18 @@
     }
   }
 
-  private static Outcome outcome(String word) throws Malformed {
+  private static RunOutcome outcome(String word) throws ProtocolException {
     return switch (word) {
-      case "posted" -> Outcome.GOOD;
-      case "queue_full" -> Outcome.DECLINED;
-      case "error" -> Outcome.FAILED;
-      case "expired" -> Outcome.TIMED_OUT;
-      case "moot" -> Outcome.MOOT;
-      default -> throw new Malformed(Reason.MALFORMED, "a call ended as " + word);
+      case "posted" -> RunOutcome.GOOD;
+      case "queue_full" -> RunOutcome.DECLINED;
+      case "error" -> RunOutcome.FAILED;
+      case "expired" -> RunOutcome.TIMED_OUT;
+      case "moot" -> RunOutcome.MOOT;
+      default -> throw new ProtocolException(CloseReason.MALFORMED, "a call ended as " + word);
     };
   }
 
-  private static int size(String[] words) throws Malformed {
+  private static int size(String[] words) throws ProtocolException {
     try {
       int size = Integer.parseInt(words.length == 3 ? words[2] : "none");
       if (size >= 0 && size <= MOST_RESULT) {
@@ -181,6 +183,7 @@
     } catch (NumberFormatException notOne) {
       // falls through to the complaint
     }
-    throw new Malformed(Reason.MALFORMED, "a result's length is missing or out of range");
+    throw new ProtocolException(
+        CloseReason.MALFORMED, "a result's length is missing or out of range");
   }
 }
--- a/src/main/java/mothwing/ledger/Ledger.java
+++ b/src/main/java/mothwing/dependency/DependencyConnectionManager.java
@@ -1,19 +1,19 @@
-package mothwing.ledger;
+package mothwing.dependency;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import mothwing.OverloadControl.Outcome;
 import mothwing.broker.Broker;
-import mothwing.broker.Calls;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
+import mothwing.broker.DependencyClient;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
+import mothwing.control.RunOutcome;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Dial;
-import mothwing.net.Reason;
+import mothwing.net.Connector;
 
 /**
  * The tier below, over one link that carries all calls. It is opened for the first call, and again
@@ -22,7 +22,7 @@
  * too long behind a call: a call that is never answered would hold up those behind it for good. The
  * old link takes no further calls and is closed once the last of its own is over.
  */
-public final class Ledger implements Calls {
+public final class DependencyConnectionManager implements DependencyClient {
   /** Most links that are left with calls out; over it the newest one takes calls, silent or not. */
   static final int MOST_LEFT = 8;
 
@@ -30,18 +30,18 @@
   private static final double SILENT = 4; // times that, behind a call, after which a link is left
   private static final long SILENT_LEAST = 100_000; // microseconds, for the same
 
-  private record Asked(long limitMs, byte[] content) {}
+  private record PendingCall(long limitMs, byte[] content) {}
 
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
-  private final Map<String, Asked> waiting = new LinkedHashMap<>();
-  private Dial dialer;
+  private final EventLog log;
+  private final Map<String, PendingCall> waiting = new LinkedHashMap<>();
+  private Connector dialer;
   private Broker broker;
-  private LedgerLink link;
+  private DependencyConnection link;
   private boolean dialing;
   private int dials;
-  private final List<LedgerLink> left = new ArrayList<>(); // with calls out
+  private final List<DependencyConnection> left = new ArrayList<>(); // with calls out
   private double took = SILENT_LEAST;
 
   /**
@@ -52,7 +52,8 @@
    * @param counters counts what happens
    * @param log takes lines of the log
    */
-  public Ledger(Dial dialer, Timers timers, Counters counters, Log log) {
+  public DependencyConnectionManager(
+      Connector dialer, Scheduler timers, Counters counters, EventLog log) {
     this.dialer = dialer;
     this.timers = timers;
     this.counters = counters;
@@ -74,7 +75,7 @@
    *
    * @param elsewhere opens links to the new address
    */
-  public void moved(Dial elsewhere) {
+  public void moved(Connector elsewhere) {
     dialer = elsewhere;
     retire();
     if (dialing) {
@@ -96,7 +97,7 @@
       link.post(id, limitMs, content);
       return true;
     }
-    waiting.put(id, new Asked(limitMs, content));
+    waiting.put(id, new PendingCall(limitMs, content));
     if (!dialing) {
       dial();
     }
@@ -116,7 +117,7 @@
 
   private void retire() {
     if (link != null) {
-      LedgerLink former = link;
+      DependencyConnection former = link;
       link = null;
       left.add(former);
       former.retire();
@@ -130,7 +131,7 @@
   private void dial() {
     dialing = true;
     int mine = ++dials;
-    Supplier<Connection> maker = () -> new LedgerLink(this, mine, log, counters);
+    Supplier<Connection> maker = () -> new DependencyConnection(this, mine, log, counters);
     dialer.dial(maker, () -> failed(mine));
   }
 
@@ -141,13 +142,13 @@
     dialing = false;
     List<String> all = new ArrayList<>(waiting.keySet());
     waiting.clear();
-    all.forEach(id -> broker.callOver(id, Outcome.UNREACHED, null));
+    all.forEach(id -> broker.callOver(id, RunOutcome.UNREACHED, null));
   }
 
   /** A link is open; one of a dial that a later one has overtaken is not wanted. */
-  void opened(LedgerLink opened, int dial) {
+  void opened(DependencyConnection opened, int dial) {
     if (dial != dials) {
-      opened.close(Reason.MOVED, "");
+      opened.close(CloseReason.MOVED, "");
       return;
     }
     dialing = false;
@@ -156,17 +157,17 @@
     waiting.clear();
   }
 
-  void over(String id, Outcome outcome, byte[] result, long span) {
+  void over(String id, RunOutcome outcome, byte[] result, long span) {
     took += (span - took) * LEARN;
     broker.callOver(id, outcome, result);
   }
 
   /** A link has ended, with these calls out on it. */
-  void ended(LedgerLink which, List<String> out) {
+  void ended(DependencyConnection which, List<String> out) {
     if (link == which) {
       link = null;
     }
     left.remove(which);
-    out.forEach(id -> broker.callOver(id, Outcome.CUT, null));
+    out.forEach(id -> broker.callOver(id, RunOutcome.CUT, null));
   }
 }
--- a/src/main/java/mothwing/announce/ReportLink.java
+++ b/src/main/java/mothwing/discovery/LoadReportConnection.java
@@ -1,27 +1,28 @@
-package mothwing.announce;
+package mothwing.discovery;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
+import mothwing.net.ProtocolException;
 
 /** One connection to the announce service: reports as HTTP/1.1 calls, one at a time. */
-final class ReportLink extends Connection {
+final class LoadReportConnection extends Connection {
   static final int MOST_ANSWER = 8 << 10;
 
   private static final String END_OF_HEAD = "\r\n\r\n";
   private static final int NO_CONTENT = 204;
 
-  private final Announcer announcer;
+  private final LoadReporter announcer;
   private final int address;
   private final String name;
   private boolean waiting;
 
-  ReportLink(Announcer announcer, int address, String name, Log log, Counters counters) {
+  LoadReportConnection(
+      LoadReporter announcer, int address, String name, EventLog log, Counters counters) {
     super("announce", MOST_ANSWER, log, counters);
     this.announcer = announcer;
     this.address = address;
@@ -61,7 +62,7 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     String text = in.toString(StandardCharsets.ISO_8859_1);
     int end = text.indexOf(END_OF_HEAD);
     if (end < 0) {
@@ -90,20 +91,20 @@
     count("answered-" + (status == NO_CONTENT ? "" + NO_CONTENT : "other"));
     if (closes) {
       announcer.ended(this);
-      close(Reason.ASKED, "");
+      close(CloseReason.ASKED, "");
     }
     return true;
   }
 
-  private static int status(String line) throws Malformed {
+  private static int status(String line) throws ProtocolException {
     String[] words = line.split(" ");
     if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-      throw new Malformed(Reason.MALFORMED, "no status line");
+      throw new ProtocolException(CloseReason.MALFORMED, "no status line");
     }
     return whole(words[1]);
   }
 
-  private static int whole(String text) throws Malformed {
+  private static int whole(String text) throws ProtocolException {
     try {
       int value = Integer.parseInt(text);
       if (value >= 0 && value <= MOST_ANSWER) {
@@ -112,6 +113,6 @@
     } catch (NumberFormatException notOne) {
       // falls through to the complaint
     }
-    throw new Malformed(Reason.MALFORMED, "a number is out of range");
+    throw new ProtocolException(CloseReason.MALFORMED, "a number is out of range");
   }
 }
--- a/src/main/java/mothwing/announce/Announcer.java
+++ b/src/main/java/mothwing/discovery/LoadReporter.java
@@ -1,11 +1,11 @@
-package mothwing.announce;
+package mothwing.discovery;
 
 import java.util.function.BooleanSupplier;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
-import mothwing.net.Dial;
-import mothwing.net.Reason;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
+import mothwing.net.CloseReason;
+import mothwing.net.Connector;
 
 /**
  * Keeps this shop server listed: a report every second, over a connection that is opened again when
@@ -14,7 +14,7 @@
  * waiting for a connection that takes long to open: each second another is begun beside it, and the
  * first that is open carries the reports.
  */
-public final class Announcer {
+public final class LoadReporter {
   static final long PERIOD = 1_000_000;
 
   /** Most connections that are being opened at once. */
@@ -22,11 +22,11 @@
 
   private final String name;
   private final BooleanSupplier accepting;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
-  private Dial dialer;
-  private ReportLink link;
+  private final EventLog log;
+  private Connector dialer;
+  private LoadReportConnection link;
   private int address; // counts the addresses it was given
   private int dialing; // to the newest of them
   private boolean stopped;
@@ -41,13 +41,13 @@
    * @param counters counts what happens
    * @param log takes lines of the log
    */
-  public Announcer(
-      Dial dialer,
+  public LoadReporter(
+      Connector dialer,
       String name,
       BooleanSupplier accepting,
-      Timers timers,
+      Scheduler timers,
       Counters counters,
-      Log log) {
+      EventLog log) {
     this.dialer = dialer;
     this.name = name;
     this.accepting = accepting;
@@ -67,7 +67,7 @@
   private void report() {
     if (link != null && link.waiting()) {
       counters.add("announce-unanswered");
-      leave(Reason.NO_ANSWER);
+      leave(CloseReason.NO_ANSWER);
     }
     if (link != null) {
       link.report(accepting.getAsBoolean());
@@ -76,7 +76,7 @@
     }
   }
 
-  private void leave(Reason why) {
+  private void leave(CloseReason why) {
     if (link != null) {
       link.close(why, "");
       link = null;
@@ -87,7 +87,7 @@
     dialing++;
     int mine = address;
     dialer.dial(
-        () -> new ReportLink(this, mine, name, log, counters),
+        () -> new LoadReportConnection(this, mine, name, log, counters),
         () -> {
           counters.add("announce-unreached");
           if (mine == address) {
@@ -101,11 +101,11 @@
    *
    * @param elsewhere opens connections to the new address
    */
-  public void moved(Dial elsewhere) {
+  public void moved(Connector elsewhere) {
     dialer = elsewhere;
     address++;
     dialing = 0;
-    leave(Reason.MOVED);
+    leave(CloseReason.MOVED);
     if (!stopped) {
       dial();
     }
@@ -114,21 +114,21 @@
   /** Reports no more: this shop server is taken off the list. */
   public void stop() {
     stopped = true;
-    leave(Reason.DRAIN);
+    leave(CloseReason.DRAIN);
   }
 
   /** A connection is open: reports leave on it, unless it comes too late. */
-  void opened(ReportLink opened, int to) {
+  void opened(LoadReportConnection opened, int to) {
     dialing -= to == address ? 1 : 0;
     if (stopped || to != address || link != null) {
-      opened.close(stopped ? Reason.DRAIN : Reason.MOVED, "");
+      opened.close(stopped ? CloseReason.DRAIN : CloseReason.MOVED, "");
       return;
     }
     link = opened;
     link.report(accepting.getAsBoolean());
   }
 
-  void ended(ReportLink ended) {
+  void ended(LoadReportConnection ended) {
     if (link == ended) {
       link = null;
     }
--- a/src/main/java/mothwing/dns/server/DnsDecisions.java
+++ b/src/main/java/mothwing/dns/server/DnsDecisions.java
@@ -1,16 +1,16 @@
 package mothwing.dns.server;
 
 import java.util.List;
-import mothwing.OverloadControl.Dependency;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Goal;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Rules;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
+import mothwing.control.Dependency;
+import mothwing.control.FreeValue;
+import mothwing.control.Goal;
+import mothwing.control.Idempotency;
+import mothwing.control.Machine;
+import mothwing.control.RequestClass;
+import mothwing.control.Rules;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.StopMode;
 
 /**
  * What the controller is told of DNS: queries are safe to repeat and worth little each; an update
@@ -45,8 +45,9 @@
         seed,
         ROUND,
         List.of(
-            new RequestClass(QUERY, 400 * MILLI, 2 * SECOND, 1, 0, Repeats.SAFE, 0, false, 0),
-            new RequestClass(UPDATE, SECOND, 5 * SECOND, 10, 0, Repeats.SINGLE_SHOT, 0, false, 0)),
+            new RequestClass(QUERY, 400 * MILLI, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0),
+            new RequestClass(
+                UPDATE, SECOND, 5 * SECOND, 10, 0, Idempotency.SINGLE_SHOT, 0, false, 0)),
         List.of(),
         1,
         1,
@@ -57,7 +58,7 @@
         new Rules(100 * MILLI, 2 * SECOND, CROWD, 2 * SECOND, 1, 0),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
-            AT_ONCE, Runtime.getRuntime().maxMemory() >> 10, 2, 0, false, GAUGES, Halting.NONE),
+            AT_ONCE, Runtime.getRuntime().maxMemory() >> 10, 2, 0, false, GAUGES, StopMode.NONE),
         new Signals(FreeValue.NONE, 0, false, 0, false, 0));
   }
 }
--- a/src/main/java/mothwing/dns/server/DnsEngine.java
+++ b/src/main/java/mothwing/dns/server/DnsEngine.java
@@ -14,14 +14,14 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import java.util.function.IntSupplier;
-import mothwing.OverloadControl.Outcome;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
+import mothwing.broker.EventLog;
 import mothwing.broker.Exchange;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
-import mothwing.broker.Workers;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.Scheduler;
+import mothwing.broker.WorkerPool;
+import mothwing.control.RunOutcome;
 import mothwing.dns.zone.DomainName;
 import mothwing.dns.zone.History;
 import mothwing.dns.zone.Resolver;
@@ -35,19 +35,19 @@
 import org.xbill.DNS.Type;
 
 /**
- * What answers questions and carries out updates: the {@link Workers} of the DNS broker. What the
- * controller starts is run in order on the event loop, outside of the controller's batch; an update
- * ends when it is forced.
+ * What answers questions and carries out updates: the {@link WorkerPool} of the DNS broker. What
+ * the controller starts is run in order on the event loop, outside of the controller's batch; an
+ * update ends when it is forced.
  */
-final class DnsEngine implements Workers {
+final class DnsEngine implements WorkerPool {
   private static final int MILLIS = 1000;
   private static final double GAUGE_SPAN =
       20_000; // microseconds: the clock of a thread moves in steps
 
   private final Executor loop;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
+  private final EventLog log;
   private final boolean control;
   private final int udpBytes;
   private final int unprovenBytes;
@@ -73,11 +73,11 @@
 
   DnsEngine(
       Executor loop,
-      Timers timers,
+      Scheduler timers,
       Site.DnsLimits limits,
       IntSupplier sockets,
       Counters counters,
-      Log log) {
+      EventLog log) {
     this.loop = loop;
     this.timers = timers;
     this.counters = counters;
@@ -147,7 +147,7 @@
       requests.put(id, request);
       request.exchange(
           broker.read(
-              new Arrival(
+              new InboundRequest(
                   id,
                   timers.wallMs(),
                   "",
@@ -156,7 +156,7 @@
                   0.5,
                   null,
                   null,
-                  Arrival.NOT_TOLD,
+                  InboundRequest.NOT_TOLD,
                   query.bytes()),
               request));
     }
@@ -208,7 +208,7 @@
   private void finish(DnsRequest request, byte[] answer) {
     running--;
     broker.finished(
-        request.id(), Outcome.GOOD, Math.max(1, timers.now() - request.startedAt()), answer);
+        request.id(), RunOutcome.GOOD, Math.max(1, timers.now() - request.startedAt()), answer);
   }
 
   private ZoneKeeper find(DomainName name) {
--- a/src/main/java/mothwing/dns/server/DnsFront.java
+++ b/src/main/java/mothwing/dns/server/DnsFront.java
@@ -20,16 +20,16 @@
 import java.util.Set;
 import java.util.concurrent.Executor;
 import java.util.concurrent.TimeUnit;
-import mothwing.Brain;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
 import mothwing.dns.zone.DomainName;
 import mothwing.dns.zone.Rights;
+import mothwing.net.CloseReason;
 import mothwing.net.Listener;
-import mothwing.net.Reason;
-import mothwing.settings.BadInput;
+import mothwing.overload.OverloadController;
+import mothwing.settings.InvalidInputException;
 import mothwing.settings.Site;
 import mothwing.store.Disk;
 import org.xbill.DNS.Type;
@@ -50,11 +50,11 @@
   private final Site.Dns site;
   private final EventLoop loop;
   private final ByteBufAllocator allocator;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Executor writer;
   private final Executor reader;
   private final Counters counters;
-  private final Log log;
+  private final EventLog log;
   private final DnsEngine engine;
   private final Broker broker;
   private static final long TCP_PATIENCE =
@@ -79,11 +79,11 @@
       Site.Dns site,
       EventLoop loop,
       ByteBufAllocator allocator,
-      Timers timers,
+      Scheduler timers,
       Executor writer,
       Executor reader,
       Counters counters,
-      Log log) {
+      EventLog log) {
     this.site = site;
     this.loop = loop;
     this.allocator = allocator;
@@ -96,7 +96,12 @@
     engine = new DnsEngine(loop, timers, limits, this::connections, counters, log);
     broker =
         new Broker(
-            DnsDecisions.settings(timers.wallMs()), Brain::new, engine, timers, counters, log);
+            DnsDecisions.settings(timers.wallMs()),
+            OverloadController::new,
+            engine,
+            timers,
+            counters,
+            log);
     engine.broker(broker);
     tcp =
         new Listener(
@@ -112,22 +117,22 @@
     return tcp.open();
   }
 
-  private static DomainName name(String text) throws BadInput {
+  private static DomainName name(String text) throws InvalidInputException {
     try {
       return DomainName.parse(text + ".", DomainName.ROOT);
     } catch (DomainName.Bad bad) {
-      throw new BadInput(bad.getMessage());
+      throw new InvalidInputException(bad.getMessage());
     }
   }
 
   /** The rights of a zone, with names and types as numbers. */
-  private static Rights rights(Site.Zone zone) throws BadInput {
+  private static Rights rights(Site.Zone zone) throws InvalidInputException {
     List<Rights.Grant> grants = new ArrayList<>();
     for (Site.Right one : zone.rights()) {
       Set<Integer> types = new HashSet<>();
       for (String type : one.types()) {
         if (Type.value(type) < 0) {
-          throw new BadInput("zone " + zone.name() + ": unknown type " + type);
+          throw new InvalidInputException("zone " + zone.name() + ": unknown type " + type);
         }
         types.add(Type.value(type));
       }
@@ -204,7 +209,7 @@
 
   private void trim() {
     loop.schedule(this::trim, LATER_MS, TimeUnit.MILLISECONDS);
-    loop.execute(() -> tcp.trim(site.limits().idleMs() * MICROS, Reason.IDLE));
+    loop.execute(() -> tcp.trim(site.limits().idleMs() * MICROS, CloseReason.IDLE));
   }
 
   /**
@@ -298,7 +303,7 @@
    * @return true if so
    */
   public boolean drained(boolean last) {
-    tcp.trim(last ? 0 : LATER_MS * MICROS, Reason.DRAIN);
+    tcp.trim(last ? 0 : LATER_MS * MICROS, CloseReason.DRAIN);
     return broker.owed() == 0
         && tcp.open() == 0
         && engine.zones().stream().noneMatch(ZoneKeeper::busy);
--- a/src/main/java/mothwing/dns/server/DnsRequest.java
+++ b/src/main/java/mothwing/dns/server/DnsRequest.java
@@ -1,13 +1,13 @@
 package mothwing.dns.server;
 
-import mothwing.broker.Caller;
 import mothwing.broker.Exchange;
+import mothwing.broker.ResponseSink;
 import org.xbill.DNS.Rcode;
 
 /**
  * A message that is owed one answer, between the front that read it and the engine that answers it.
  */
-final class DnsRequest implements Caller {
+final class DnsRequest implements ResponseSink {
   /** The way back. */
   interface Way {
     /** Sends an answer. */
--- a/src/main/java/mothwing/dns/server/DnsTcp.java
+++ b/src/main/java/mothwing/dns/server/DnsTcp.java
@@ -5,10 +5,10 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
+import mothwing.net.ProtocolException;
 import org.xbill.DNS.Rcode;
 
 /**
@@ -23,14 +23,14 @@
   private final int mostOpen;
   private final Set<DnsRequest> open = new LinkedHashSet<>();
 
-  DnsTcp(DnsEngine engine, int mostOpen, Log log, Counters counters) {
+  DnsTcp(DnsEngine engine, int mostOpen, EventLog log, Counters counters) {
     super("dns-tcp", LENGTH + AnswerWriter.TCP, log, counters);
     this.engine = engine;
     this.mostOpen = mostOpen;
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     if (in.readableBytes() < LENGTH
         || in.readableBytes() < LENGTH + in.getUnsignedShort(in.readerIndex())) {
       return false;
@@ -39,8 +39,8 @@
     in.readBytes(bytes);
     Query query = Query.read(bytes);
     if (query == null) {
-      throw new Malformed(
-          Reason.MALFORMED, "a message of " + bytes.length + " bytes that is no query");
+      throw new ProtocolException(
+          CloseReason.MALFORMED, "a message of " + bytes.length + " bytes that is no query");
     }
     introduce();
     DnsRequest request = new DnsRequest(query, AnswerWriter.TCP, this::answer);
--- a/src/main/java/mothwing/dns/server/DnsUdp.java
+++ b/src/main/java/mothwing/dns/server/DnsUdp.java
@@ -8,8 +8,8 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
 
 /** DNS over UDP: one message a datagram, one answer each, limited by prefix. */
 public final class DnsUdp extends SimpleChannelInboundHandler<DatagramPacket> {
@@ -20,14 +20,14 @@
   private final DnsEngine engine;
   private final RateLimit limit;
   private final Cookies cookies = new Cookies();
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
+  private final EventLog log;
   private ChannelHandlerContext context;
   private int unflushed;
   private boolean flushing;
 
-  DnsUdp(DnsEngine engine, RateLimit limit, Timers timers, Counters counters, Log log) {
+  DnsUdp(DnsEngine engine, RateLimit limit, Scheduler timers, Counters counters, EventLog log) {
     this.engine = engine;
     this.limit = limit;
     this.timers = timers;
--- a/src/main/java/mothwing/dns/server/ZoneKeeper.java
+++ b/src/main/java/mothwing/dns/server/ZoneKeeper.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Executor;
 import java.util.function.Consumer;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
 import mothwing.dns.zone.DomainName;
 import mothwing.dns.zone.Fault;
 import mothwing.dns.zone.History;
@@ -20,9 +20,9 @@
 import mothwing.dns.zone.Zone;
 import mothwing.dns.zone.ZoneFile;
 import mothwing.settings.Site;
-import mothwing.store.Committer;
-import mothwing.store.Corrupt;
+import mothwing.store.CorruptRecordException;
 import mothwing.store.Disk;
+import mothwing.store.GroupCommitter;
 import mothwing.store.Journal;
 import org.xbill.DNS.Rcode;
 
@@ -54,7 +54,7 @@
   private final Executor owner;
   private final Consumer<Runnable> later;
   private final Counters counters;
-  private final Log log;
+  private final EventLog log;
   private Site.Zone settings;
   private Rights rights;
   private Zone base;
@@ -64,7 +64,7 @@
   private int generation;
   private final Map<Signature, Long> repeats = new LinkedHashMap<>();
   private final Map<Signature, Pending> pending = new LinkedHashMap<>();
-  private Committer committer;
+  private GroupCommitter committer;
   private String damage;
   private boolean reading;
   private boolean readAgain;
@@ -81,7 +81,7 @@
       Executor owner,
       Consumer<Runnable> later,
       Counters counters,
-      Log log) {
+      EventLog log) {
     this.origin = origin;
     this.settings = settings;
     this.rights = rights;
@@ -120,7 +120,7 @@
                 }
               },
               log::line);
-    } catch (Corrupt damaged) {
+    } catch (CorruptRecordException damaged) {
       damage = damaged.getMessage();
       counters.add("dns-journals-damaged");
       log.line("journal-damaged zone=" + origin + " what=\"" + damage + "\"");
@@ -157,7 +157,7 @@
     }
     tip = published;
     tipBase = base;
-    committer = journal == null ? null : new Committer(journal, owner, helper, MOST_WAITING);
+    committer = journal == null ? null : new GroupCommitter(journal, owner, helper, MOST_WAITING);
     log.line(
         "zone-open zone="
             + origin
--- a/src/main/java/mothwing/fastcgi/FastCgi.java
+++ b/src/main/java/mothwing/fastcgi/FastCgi.java
@@ -3,8 +3,8 @@
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
 import java.util.function.BiConsumer;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
+import mothwing.net.CloseReason;
+import mothwing.net.ProtocolException;
 
 /**
  * The records of FastCGI 1.0: their numbers, how they are written, and how name-value pairs are
@@ -78,24 +78,25 @@
   }
 
   /** Reads name-value pairs to the end of the bytes. */
-  static void pairs(ByteBuf in, BiConsumer<String, String> taker) throws Malformed {
+  static void pairs(ByteBuf in, BiConsumer<String, String> taker) throws ProtocolException {
     while (in.isReadable()) {
       long name = length(in);
       long value = length(in);
       if (name + value > in.readableBytes()) {
-        throw new Malformed(Reason.MALFORMED, "a name-value pair is cut short");
+        throw new ProtocolException(CloseReason.MALFORMED, "a name-value pair is cut short");
       }
       String key = in.readCharSequence((int) name, StandardCharsets.ISO_8859_1).toString();
       taker.accept(key, in.readCharSequence((int) value, StandardCharsets.ISO_8859_1).toString());
     }
   }
 
-  private static long length(ByteBuf in) throws Malformed {
+  private static long length(ByteBuf in) throws ProtocolException {
     if (in.isReadable() && in.getByte(in.readerIndex()) >= 0) {
       return in.readByte();
     }
     if (in.readableBytes() < Integer.BYTES) {
-      throw new Malformed(Reason.MALFORMED, "the length of a name or value is cut short");
+      throw new ProtocolException(
+          CloseReason.MALFORMED, "the length of a name or value is cut short");
     }
     return in.readInt() & Integer.MAX_VALUE;
   }
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -8,15 +8,15 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
+import mothwing.broker.InboundRequest;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
+import mothwing.net.FrontRequest;
 import mothwing.net.Headers;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
-import mothwing.net.Reply;
+import mothwing.net.ProtocolException;
 
 /**
  * One connection of a gateway that speaks FastCGI: its open requests, by the numbers that the
@@ -46,13 +46,13 @@
    * @param log takes its line
    * @param counters counts what happens
    */
-  public FastCgiConnection(Broker broker, Log log, Counters counters) {
+  public FastCgiConnection(Broker broker, EventLog log, Counters counters) {
     super("fastcgi", MOST_RECORD, log, counters);
     this.broker = broker;
   }
 
   /** A request of this connection, from its begin to its end. */
-  private final class Asked extends Reply {
+  private final class Asked extends FrontRequest {
     private final int id;
     private final boolean keep;
     private final long begunAt = now();
@@ -91,7 +91,7 @@
       count("answered-" + status);
       send(out);
       if (!keep) {
-        close(Reason.ASKED, "");
+        close(CloseReason.ASKED, "");
       }
     }
 
@@ -104,7 +104,7 @@
         reject("params-not-ended");
         return;
       }
-      Arrival.Fields fields = new Arrival.Fields();
+      InboundRequest.Fields fields = new InboundRequest.Fields();
       String[] of = {"", ""};
       try {
         FastCgi.pairs(
@@ -118,7 +118,7 @@
                 fields.set(name.substring("HTTP_".length()).replace('_', '-'), value);
               }
             });
-      } catch (Malformed cut) {
+      } catch (ProtocolException cut) {
         reject("bad-params");
         return;
       }
@@ -156,7 +156,7 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     if (skip > 0) {
       int part = Math.min(skip, in.readableBytes());
       in.skipBytes(part);
@@ -167,7 +167,7 @@
     }
     int at = in.readerIndex();
     if (in.getByte(at) != FastCgi.VERSION) {
-      throw new Malformed(Reason.MALFORMED, "version " + in.getUnsignedByte(at));
+      throw new ProtocolException(CloseReason.MALFORMED, "version " + in.getUnsignedByte(at));
     }
     int type = in.getUnsignedByte(at + 1);
     int id = in.getUnsignedShort(at + 2);
@@ -176,8 +176,8 @@
     if (passOver(type, open.get(id), length)) {
       passedOver += whole;
       if (passedOver > MOST_PASSED_OVER) {
-        throw new Malformed(
-            Reason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes that no request takes");
+        throw new ProtocolException(
+            CloseReason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes that no request takes");
       }
       skip = whole;
       return true;
@@ -207,7 +207,7 @@
     } else if (asked != null
         && !asked.read
         && type == FastCgi.STDIN
-        && asked.body.length + length > Arrival.MOST_BODY) {
+        && asked.body.length + length > InboundRequest.MOST_BODY) {
       asked.oversized("body");
     } else if (asked != null) {
       return false;
@@ -215,7 +215,7 @@
     return true;
   }
 
-  private void record(int type, int id, ByteBuf content) throws Malformed {
+  private void record(int type, int id, ByteBuf content) throws ProtocolException {
     if (id == 0) {
       management(type, content);
       return;
@@ -230,11 +230,11 @@
       }
       case FastCgi.PARAMS -> params(asked, content);
       case FastCgi.STDIN -> body(asked, content);
-      default -> throw new Malformed(Reason.MALFORMED, "record of type " + type);
+      default -> throw new ProtocolException(CloseReason.MALFORMED, "record of type " + type);
     }
   }
 
-  private void management(int type, ByteBuf content) throws Malformed {
+  private void management(int type, ByteBuf content) throws ProtocolException {
     ByteBuf out = room(128);
     if (type == FastCgi.GET_VALUES) {
       introduce();
@@ -259,12 +259,12 @@
     send(out);
   }
 
-  private void begin(int id, ByteBuf content) throws Malformed {
+  private void begin(int id, ByteBuf content) throws ProtocolException {
     if (content.readableBytes() < FastCgi.HEADER || open.containsKey(id)) {
-      throw new Malformed(Reason.MALFORMED, "begin of request " + id);
+      throw new ProtocolException(CloseReason.MALFORMED, "begin of request " + id);
     }
     if (open.size() >= MOST_OPEN) {
-      throw new Malformed(Reason.TOO_MANY_OPEN, "over " + MOST_OPEN + " requests");
+      throw new ProtocolException(CloseReason.TOO_MANY_OPEN, "over " + MOST_OPEN + " requests");
     }
     Asked asked = new Asked(id, (content.getByte(2) & FastCgi.KEEP_CONN) != 0);
     open.put(id, asked);
--- a/src/main/java/mothwing/member/Pace.java
+++ b/src/main/java/mothwing/membership/FailureDetectorSettings.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 /**
  * How fast and how sure a member is. Times are microseconds.
@@ -24,7 +24,7 @@
  * @param doubt most steps by which a slow member trusts itself less: each makes its waits longer by
  *     one
  */
-public record Pace(
+public record FailureDetectorSettings(
     long beat,
     int watched,
     long period,
@@ -47,8 +47,8 @@
   private static final long SECOND = 1000 * MILLI;
 
   /** The usual one, for a room of machines that answer in milliseconds. */
-  public static final Pace USUAL =
-      new Pace(
+  public static final FailureDetectorSettings USUAL =
+      new FailureDetectorSettings(
           400 * MILLI,
           3,
           SECOND,
@@ -69,8 +69,8 @@
           8);
 
   /** The same without the doubt of oneself, to see what it is worth. */
-  public Pace withoutDoubt() {
-    return new Pace(
+  public FailureDetectorSettings withoutDoubt() {
+    return new FailureDetectorSettings(
         beat,
         watched,
         period,
--- a/src/main/java/mothwing/member/Flaps.java
+++ b/src/main/java/mothwing/membership/FlapDetector.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
  * killed and started again, or cut off once, never does. Times are microseconds of the monotonic
  * clock.
  */
-final class Flaps {
+final class FlapDetector {
   private static final double HALF_LIFE = 60e6;
   private static final double FROM = 2.5; // three deaths within some 20 s, or four within a minute
   private static final double UNTIL = 0.75;
--- a/src/main/java/mothwing/member/Rumours.java
+++ b/src/main/java/mothwing/membership/GossipQueue.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -8,17 +8,17 @@
 import java.util.TreeMap;
 
 /** What is still to be told on, the least told first; at most one claim a member. */
-final class Rumours {
+final class GossipQueue {
   private final Map<String, Integer> told = new LinkedHashMap<>();
-  private final TreeMap<Integer, LinkedHashMap<String, Claim>> byTold = new TreeMap<>();
+  private final TreeMap<Integer, LinkedHashMap<String, MemberRecord>> byTold = new TreeMap<>();
 
   /** Takes a claim in place of an older one on the same member. */
-  void add(Claim claim) {
+  void add(MemberRecord claim) {
     drop(claim.name());
     put(claim, 0);
   }
 
-  private void put(Claim claim, int times) {
+  private void put(MemberRecord claim, int times) {
     told.put(claim.name(), times);
     byTold.computeIfAbsent(times, none -> new LinkedHashMap<>()).put(claim.name(), claim);
   }
@@ -26,7 +26,7 @@
   void drop(String name) {
     Integer times = told.remove(name);
     if (times != null) {
-      LinkedHashMap<String, Claim> same = byTold.get(times);
+      LinkedHashMap<String, MemberRecord> same = byTold.get(times);
       same.remove(name);
       if (same.isEmpty()) {
         byTold.remove(times);
@@ -35,19 +35,19 @@
   }
 
   /** Takes claims of so many bytes, and drops those that were told often enough with it. */
-  List<Claim> take(int bytes, int enough) {
-    List<Claim> all = new ArrayList<>();
+  List<MemberRecord> take(int bytes, int enough) {
+    List<MemberRecord> all = new ArrayList<>();
     int left = bytes;
-    for (LinkedHashMap<String, Claim> same : byTold.values()) {
-      for (Iterator<Claim> each = same.values().iterator(); each.hasNext() && left > 0; ) {
-        Claim one = each.next();
+    for (LinkedHashMap<String, MemberRecord> same : byTold.values()) {
+      for (Iterator<MemberRecord> each = same.values().iterator(); each.hasNext() && left > 0; ) {
+        MemberRecord one = each.next();
         left -= one.bytes();
         if (left >= 0) {
           all.add(one);
         }
       }
     }
-    for (Claim one : all) {
+    for (MemberRecord one : all) {
       int times = told.get(one.name()) + 1;
       drop(one.name());
       if (times < enough) {
--- a/src/main/java/mothwing/member/Claim.java
+++ b/src/main/java/mothwing/membership/MemberRecord.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 /**
  * What somebody says of a member. Claims may come late, repeated and in any order: which of two
@@ -12,30 +12,30 @@
  * @param state what is said of it
  * @param by who says so
  */
-public record Claim(
+public record MemberRecord(
     String name,
     long start,
     String address,
     String zone,
     long incarnation,
-    State state,
+    MemberState state,
     String by) {
   private static final int FIXED = 36; // bytes of numbers, keys and lengths on the wire
 
   /** Whether this holds against another claim on the same name. */
-  public boolean beats(Claim other) {
+  public boolean beats(MemberRecord other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
     return state != other.state ? state.ordinal() > other.state.ordinal() : start > other.start;
   }
 
-  Claim with(State now, String who) {
-    return new Claim(name, start, address, zone, incarnation, now, who);
+  MemberRecord with(MemberState now, String who) {
+    return new MemberRecord(name, start, address, zone, incarnation, now, who);
   }
 
-  Claim raised(long to) {
-    return new Claim(name, start, address, zone, to, state, by);
+  MemberRecord raised(long to) {
+    return new MemberRecord(name, start, address, zone, to, state, by);
   }
 
   /** What it takes on the wire, at most. */
--- a/src/main/java/mothwing/member/State.java
+++ b/src/main/java/mothwing/membership/MemberState.java
@@ -1,10 +1,10 @@
-package mothwing.member;
+package mothwing.membership;
 
 /**
  * What is held of a member. Of two claims with the same incarnation the later one in this order
  * holds.
  */
-public enum State {
+public enum MemberState {
   /** It answers. */
   ALIVE,
   /** It did not answer somebody, and has not objected yet. */
--- a/src/main/java/mothwing/member/Membership.java
+++ b/src/main/java/mothwing/membership/Membership.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 import java.util.ArrayList;
 import java.util.Collections;
@@ -11,9 +11,9 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.TreeMap;
-import mothwing.broker.Timers;
-import mothwing.member.Change.What;
-import mothwing.member.Message.Kind;
+import mothwing.broker.Scheduler;
+import mothwing.membership.MembershipEvent.Type;
+import mothwing.membership.MembershipMessage.Kind;
 
 /**
  * One member's part in the membership: it probes others, tells what it knows, objects where it is
@@ -30,14 +30,14 @@
 
   /** What is held of another member. */
   private static final class Entry {
-    Claim claim;
+    MemberRecord claim;
     long place;
     Set<String> accusers = new HashSet<>();
     long suspectedAt;
     long buriedAt;
     Probe probe;
 
-    Entry(Claim claim) {
+    Entry(MemberRecord claim) {
       this.claim = claim;
       place = place(claim.name());
     }
@@ -47,12 +47,12 @@
   private static final class Probe {
     final long seq;
     final Entry target;
-    final Claim asker;
+    final MemberRecord asker;
     final long askerSeq;
     int nacks;
     int asked;
 
-    Probe(long seq, Entry target, Claim asker, long askerSeq) {
+    Probe(long seq, Entry target, MemberRecord asker, long askerSeq) {
       this.seq = seq;
       this.target = target;
       this.asker = asker;
@@ -61,15 +61,15 @@
   }
 
   private final String cluster;
-  private final Pace pace;
+  private final FailureDetectorSettings pace;
   private final List<String> seeds;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Random random;
-  private final Host host;
+  private final MembershipHost host;
   private final TreeMap<String, Entry> others = new TreeMap<>();
   private final Map<Long, Probe> probes = new HashMap<>();
-  private final Rumours rumours = new Rumours();
-  private final Flaps flaps = new Flaps();
+  private final GossipQueue rumours = new GossipQueue();
+  private final FlapDetector flaps = new FlapDetector();
   private final LinkedHashMap<String, Long> heard = new LinkedHashMap<>();
   private final List<Long> deaths = new ArrayList<>();
   private final Set<Long> rivals = new HashSet<>(); // questions to other processes of one's name
@@ -77,7 +77,7 @@
   private List<Entry> ring = List.of();
   private int living; // others that are there
   private List<Entry> round = new ArrayList<>();
-  private Claim me;
+  private MemberRecord me;
   private boolean joined;
   private boolean silent;
   private boolean alone;
@@ -106,12 +106,12 @@
    */
   public Membership(
       String cluster,
-      Claim self,
+      MemberRecord self,
       List<String> seeds,
-      Pace pace,
-      Timers timers,
+      FailureDetectorSettings pace,
+      Scheduler timers,
       Random random,
-      Host host) {
+      MembershipHost host) {
     this.cluster = cluster;
     this.pace = pace;
     this.timers = timers;
@@ -147,13 +147,13 @@
   /** Withdraws: others take it for gone at once. It answers on until its process ends. */
   public void leave() {
     me =
-        new Claim(
+        new MemberRecord(
             me.name(),
             me.start(),
             me.address(),
             me.zone(),
             me.incarnation() + 1,
-            State.LEFT,
+            MemberState.LEFT,
             me.name());
     rumours.add(me);
     List<Entry> some = there();
@@ -164,11 +164,11 @@
   }
 
   /** What is held of all. */
-  public View view() {
-    TreeMap<String, Claim> all = new TreeMap<>();
+  public MembershipView view() {
+    TreeMap<String, MemberRecord> all = new TreeMap<>();
     others.forEach((name, one) -> all.put(name, one.claim));
     all.put(me.name(), me);
-    return new View(version, Collections.unmodifiableSortedMap(all), flaps.all(), alone);
+    return new MembershipView(version, Collections.unmodifiableSortedMap(all), flaps.all(), alone);
   }
 
   // joining
@@ -186,8 +186,8 @@
     timers.at(timers.now() + (long) (retry * random.nextDouble()) + 1, this::join);
   }
 
-  private List<Claim> all() {
-    List<Claim> all = new ArrayList<>();
+  private List<MemberRecord> all() {
+    List<MemberRecord> all = new ArrayList<>();
     others.values().forEach(one -> all.add(one.claim));
     return all;
   }
@@ -286,7 +286,7 @@
   private void meetDead() {
     List<Entry> dead = new ArrayList<>();
     for (Entry one : others.values()) {
-      if (one.claim.state() == State.DEAD) {
+      if (one.claim.state() == MemberState.DEAD) {
         dead.add(one);
       }
     }
@@ -317,8 +317,8 @@
   }
 
   /** Whoever is suspected is told so with each probe, so that it can object. */
-  private static List<Claim> suspicion(Entry one) {
-    return one.claim.state() == State.ALIVE ? List.of() : List.of(one.claim);
+  private static List<MemberRecord> suspicion(Entry one) {
+    return one.claim.state() == MemberState.ALIVE ? List.of() : List.of(one.claim);
   }
 
   private boolean waits(Probe probe) {
@@ -336,7 +336,7 @@
         i < 2 * pace.helpers() && probe.asked < pace.helpers() && !ring.isEmpty();
         i++) {
       Entry helper = ring.get(random.nextInt(ring.size()));
-      if (helper.claim.state() == State.ALIVE && asked.add(helper)) {
+      if (helper.claim.state() == MemberState.ALIVE && asked.add(helper)) {
         probe.asked++;
         send(Kind.ASK, helper.claim.address(), probe.seq, probe.target.claim.name(), List.of());
       }
@@ -369,15 +369,15 @@
   // suspicion and death
 
   private void accuse(Entry one) {
-    boolean first = one.claim.state() == State.ALIVE;
+    boolean first = one.claim.state() == MemberState.ALIVE;
     if (first) {
-      one.claim = one.claim.with(State.SUSPECT, me.name());
+      one.claim = one.claim.with(MemberState.SUSPECT, me.name());
       one.accusers = new HashSet<>();
       one.suspectedAt = timers.now();
-      change(What.SUSPECTED, one.claim);
+      change(Type.SUSPECTED, one.claim);
     }
     if (one.accusers.add(me.name())) {
-      rumours.add(one.claim.with(State.SUSPECT, me.name()));
+      rumours.add(one.claim.with(MemberState.SUSPECT, me.name()));
       send(Kind.PING, one.claim.address(), ++seq, "", List.of(one.claim));
       one.suspectedAt =
           first ? one.suspectedAt : Math.max(one.suspectedAt, timers.now() - pace.least());
@@ -398,13 +398,13 @@
   }
 
   private void awaitDeath(Entry one) {
-    Claim accused = one.claim;
+    MemberRecord accused = one.claim;
     long due = one.suspectedAt + patience(one);
     timers.at(
         due,
         () -> {
           if (silent
-              || one.claim.state() != State.SUSPECT
+              || one.claim.state() != MemberState.SUSPECT
               || one.claim.incarnation() != accused.incarnation()) {
             return;
           }
@@ -414,7 +414,7 @@
           } else if (panics(one, now)) {
             timers.at(now + pace.beat(), () -> awaitDeath(one));
           } else {
-            apply(one.claim.with(State.DEAD, me.name()));
+            apply(one.claim.with(MemberState.DEAD, me.name()));
           }
         });
   }
@@ -427,7 +427,7 @@
     deaths.removeIf(at -> at < now - pace.panicHold());
     int due = 0;
     for (Entry each : others.values()) {
-      due += each.claim.state() == State.SUSPECT ? 1 : 0;
+      due += each.claim.state() == MemberState.SUSPECT ? 1 : 0;
     }
     int all = living + 1 + deaths.size();
     boolean many = due + deaths.size() > Math.max(2, pace.panic() * all);
@@ -442,7 +442,7 @@
     for (String name : flaps.steadied(now)) {
       Entry one = others.get(name);
       if (one != null) {
-        change(What.STEADIED, one.claim);
+        change(Type.STEADIED, one.claim);
       }
     }
     others
@@ -459,21 +459,23 @@
     boolean was = alone;
     alone = now - enoughAt > pace.aloneAfter();
     if (alone != was) {
-      change(alone ? What.ALONE : What.CONNECTED, me);
+      change(alone ? Type.ALONE : Type.CONNECTED, me);
       join();
     }
   }
 
   // messages
 
-  private Message message(Kind kind, long number, String about, List<Claim> claims) {
-    return new Message(cluster, kind, number, about, me, claims);
+  private MembershipMessage message(
+      Kind kind, long number, String about, List<MemberRecord> claims) {
+    return new MembershipMessage(cluster, kind, number, about, me, claims);
   }
 
   /** A datagram, filled up with what is still to be told. */
-  private void send(Kind kind, String address, long number, String about, List<Claim> first) {
-    Message bare = message(kind, number, about, first);
-    List<Claim> claims = new ArrayList<>(first);
+  private void send(
+      Kind kind, String address, long number, String about, List<MemberRecord> first) {
+    MembershipMessage bare = message(kind, number, about, first);
+    List<MemberRecord> claims = new ArrayList<>(first);
     int enough =
         (int) Math.ceil(pace.resend() * (Integer.SIZE - Integer.numberOfLeadingZeros(living + 2)));
     claims.addAll(rumours.take(pace.packet() - bare.bytes(), enough));
@@ -485,8 +487,8 @@
    *
    * @param message what came
    */
-  public void received(Message message) {
-    Claim from = message.self();
+  public void received(MembershipMessage message) {
+    MemberRecord from = message.self();
     if (silent || !message.cluster().equals(cluster)) {
       return;
     }
@@ -504,7 +506,7 @@
     Entry sender = others.get(from.name());
     heard.remove(from.name());
     heard.put(from.name(), timers.now());
-    List<Claim> back = sender == null ? List.of() : suspicion(sender);
+    List<MemberRecord> back = sender == null ? List.of() : suspicion(sender);
     switch (message.kind()) {
       case PING -> send(Kind.ACK, from.address(), message.seq(), "", back);
       case ASK -> help(message);
@@ -535,7 +537,7 @@
     }
   }
 
-  private void help(Message message) {
+  private void help(MembershipMessage message) {
     Entry target = others.get(message.about());
     if (target == null) {
       return;
@@ -554,7 +556,7 @@
 
   // claims
 
-  private void apply(Claim claim) {
+  private void apply(MemberRecord claim) {
     if (claim.name().equals(me.name())) {
       aboutMe(claim);
       return;
@@ -565,11 +567,11 @@
       others.put(claim.name(), one);
       entered(one, null);
     } else if (claim.beats(one.claim)) {
-      Claim before = one.claim;
+      MemberRecord before = one.claim;
       one.claim = claim;
       entered(one, before);
-    } else if (claim.state() == State.SUSPECT
-        && one.claim.state() == State.SUSPECT
+    } else if (claim.state() == MemberState.SUSPECT
+        && one.claim.state() == MemberState.SUSPECT
         && claim.incarnation() == one.claim.incarnation()
         && one.accusers.size() <= pace.enough()
         && one.accusers.add(claim.by())) {
@@ -579,8 +581,8 @@
   }
 
   /** A claim holds from now on: it is told on, and changes the view. */
-  private void entered(Entry one, Claim before) {
-    Claim now = one.claim;
+  private void entered(Entry one, MemberRecord before) {
+    MemberRecord now = one.claim;
     rumours.add(now);
     boolean was = before != null && before.state().there();
     if (was != now.state().there()) {
@@ -592,25 +594,25 @@
       case ALIVE -> {
         one.accusers = new HashSet<>();
         if (!was) {
-          change(What.JOINED, now);
+          change(Type.JOINED, now);
           meet(one, before);
-        } else if (before.state() == State.SUSPECT) {
-          change(What.CLEARED, now);
+        } else if (before.state() == MemberState.SUSPECT) {
+          change(Type.CLEARED, now);
           urge();
         }
       }
       case SUSPECT -> {
         one.accusers = new HashSet<>(Set.of(now.by()));
         one.suspectedAt = timers.now();
-        change(What.SUSPECTED, now);
+        change(Type.SUSPECTED, now);
         awaitDeath(one);
       }
       default -> {
         one.buriedAt = timers.now();
         if (was) {
-          change(now.state() == State.DEAD ? What.DIED : What.LEFT, now);
-          if (now.state() == State.DEAD && flaps.died(now.name(), timers.now())) {
-            change(What.FLAPS, now);
+          change(now.state() == MemberState.DEAD ? Type.DIED : Type.LEFT, now);
+          if (now.state() == MemberState.DEAD && flaps.died(now.name(), timers.now())) {
+            change(Type.FLAPS, now);
           }
           urge();
         }
@@ -647,7 +649,7 @@
    * Who comes back from the dead may bring a whole other side: views are exchanged, at most once a
    * second.
    */
-  private void meet(Entry one, Claim before) {
+  private void meet(Entry one, MemberRecord before) {
     // Of all that see it come back a few do so: each alone would be a storm on whoever is back.
     if (before != null
         && timers.now() >= nextMeeting
@@ -658,10 +660,10 @@
   }
 
   /** Objects to what is said of oneself, or gives way to another process of the same name. */
-  private void aboutMe(Claim claim) {
+  private void aboutMe(MemberRecord claim) {
     if (claim.start() == me.start()) {
-      if (claim.state() != State.ALIVE
-          && me.state() != State.LEFT
+      if (claim.state() != MemberState.ALIVE
+          && me.state() != MemberState.LEFT
           && claim.incarnation() >= me.incarnation()) {
         trust(1);
         raise(claim.incarnation() + 1);
@@ -679,7 +681,7 @@
    * Hearsay of another process of one's name may be of one long gone: it is asked, and holds
    * nothing if it is silent.
    */
-  private void challenge(Claim claim) {
+  private void challenge(MemberRecord claim) {
     long number = ++seq;
     rivals.add(number);
     send(Kind.PING, claim.address(), number, "", List.of());
@@ -697,8 +699,8 @@
    * Another process of one's name speaks: the one with the higher incarnation stays, or of equal
    * ones the higher start.
    */
-  private void rival(Message message) {
-    Claim other = message.self();
+  private void rival(MembershipMessage message) {
+    MemberRecord other = message.self();
     if (message.kind() == Kind.PING) {
       send(Kind.ACK, other.address(), message.seq(), "", List.of());
     }
@@ -709,7 +711,7 @@
     } else if (other.incarnation() > me.incarnation()
         || other.incarnation() == me.incarnation() && other.start() > me.start()) {
       silent = true;
-      change(What.DISPLACED, other);
+      change(Type.DISPLACED, other);
     } else {
       raise(Math.max(me.incarnation(), other.incarnation()) + 1);
     }
@@ -720,7 +722,7 @@
     rumours.add(me);
   }
 
-  private void change(What what, Claim claim) {
-    host.changed(new Change(++version, what, claim));
+  private void change(Type what, MemberRecord claim) {
+    host.changed(new MembershipEvent(++version, what, claim));
   }
 }
--- a/src/main/java/mothwing/member/Change.java
+++ b/src/main/java/mothwing/membership/MembershipEvent.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 /**
  * One change of a member's view; all changes of one member come in one order.
@@ -7,9 +7,9 @@
  * @param what what has changed
  * @param claim the claim that made it, on the member it is about
  */
-public record Change(long version, What what, Claim claim) {
+public record MembershipEvent(long version, Type what, MemberRecord claim) {
   /** What can change. */
-  public enum What {
+  public enum Type {
     /** A member is new, or back. */
     JOINED,
     /** It is suspected. */
--- a/src/main/java/mothwing/member/Host.java
+++ b/src/main/java/mothwing/membership/MembershipHost.java
@@ -1,17 +1,17 @@
-package mothwing.member;
+package mothwing.membership;
 
 /**
  * What a member acts through. None of these calls may come back into the member before it has
  * returned.
  */
-public interface Host {
+public interface MembershipHost {
   /**
    * Sends a datagram: it may be lost, late, repeated.
    *
    * @param address where to
    * @param message what
    */
-  void send(String address, Message message);
+  void send(String address, MembershipMessage message);
 
   /**
    * Sends on a stream of its own, which takes any size; nobody says where it fails.
@@ -19,12 +19,12 @@
    * @param address where to
    * @param message what
    */
-  void stream(String address, Message message);
+  void stream(String address, MembershipMessage message);
 
   /**
    * Something has changed.
    *
    * @param change what
    */
-  void changed(Change change);
+  void changed(MembershipEvent change);
 }
--- a/src/main/java/mothwing/member/Message.java
+++ b/src/main/java/mothwing/membership/MembershipMessage.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 import java.util.List;
 
@@ -13,8 +13,13 @@
  * @param self what the sender says of itself
  * @param claims what it says of others
  */
-public record Message(
-    String cluster, Kind kind, long seq, String about, Claim self, List<Claim> claims) {
+public record MembershipMessage(
+    String cluster,
+    Kind kind,
+    long seq,
+    String about,
+    MemberRecord self,
+    List<MemberRecord> claims) {
   private static final int FIXED = 32; // bytes of frame, version, kind and numbers
 
   /** What a message wants. */
@@ -33,7 +38,7 @@
     SYNCED
   }
 
-  public Message {
+  public MembershipMessage {
     claims = List.copyOf(claims);
   }
 
@@ -43,6 +48,6 @@
         + cluster.length()
         + about.length()
         + self.bytes()
-        + claims.stream().mapToInt(Claim::bytes).sum();
+        + claims.stream().mapToInt(MemberRecord::bytes).sum();
   }
 }
--- a/src/main/java/mothwing/member/View.java
+++ b/src/main/java/mothwing/membership/MembershipView.java
@@ -1,4 +1,4 @@
-package mothwing.member;
+package mothwing.membership;
 
 import java.util.Set;
 import java.util.SortedMap;
@@ -14,5 +14,5 @@
  *     laid on them
  * @param alone whether one hears too few to speak for anybody but oneself
  */
-public record View(
-    long version, SortedMap<String, Claim> members, Set<String> flapping, boolean alone) {}
+public record MembershipView(
+    long version, SortedMap<String, MemberRecord> members, Set<String> flapping, boolean alone) {}
--- a/src/main/java/mothwing/net/Reason.java
+++ b/src/main/java/mothwing/net/CloseReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why a connection ended: the code in its line of the log. */
-public enum Reason {
+public enum CloseReason {
   /** The other side closed it. */
   PEER_CLOSED,
   /** The other side reset it, or the network broke it. */
--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -10,8 +10,8 @@
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
 
 /**
  * One connection, of a front or of the client side: gathers bytes until a decoder can take a whole
@@ -32,11 +32,11 @@
 
   private final String side;
   private final int mostGathered;
-  private final Log log;
+  private final EventLog log;
   private final Counters counters;
   private ChannelHandlerContext context;
   private ByteBuf gathered;
-  private Reason reason = Reason.PEER_CLOSED;
+  private CloseReason reason = CloseReason.PEER_CLOSED;
   private String detail = "";
   private boolean closing;
   private boolean ended;
@@ -46,13 +46,13 @@
   private long bytesIn;
   private long bytesOut;
   private long pieces;
-  private Timers clock;
+  private Scheduler clock;
   private Runnable stirred = () -> {};
   private long openedAt;
   private long pieceSince = NEVER;
   private long deafSince = NEVER;
   private boolean introduced;
-  private FairReads turns;
+  private ReadBudget turns;
   private boolean awaits;
   private boolean flushes;
 
@@ -64,7 +64,7 @@
    * @param log takes its line
    * @param counters counts what happens
    */
-  protected Connection(String side, int mostGathered, Log log, Counters counters) {
+  protected Connection(String side, int mostGathered, EventLog log, Counters counters) {
     this.side = side;
     this.mostGathered = mostGathered;
     this.log = log;
@@ -81,7 +81,7 @@
    * @return false where no whole piece is there, in which case nothing was taken
    * @throws Malformed where the bytes are not the protocol
    */
-  protected abstract boolean take(ByteBuf in) throws Malformed;
+  protected abstract boolean take(ByteBuf in) throws ProtocolException;
 
   /** The connection has ended; called once. */
   protected abstract void ended();
@@ -120,7 +120,7 @@
   }
 
   /** Lets it take pieces in turns. */
-  final void inTurns(FairReads all) {
+  final void inTurns(ReadBudget all) {
     turns = all;
   }
 
@@ -137,7 +137,7 @@
   }
 
   /** Tells the time to a connection, and whom to tell when something came or left on it. */
-  final void watched(Timers time, Runnable watcher) {
+  final void watched(Scheduler time, Runnable watcher) {
     clock = time;
     openedAt = time.now();
     stirred = watcher;
@@ -163,15 +163,15 @@
   }
 
   /** Why it may not stay as it is, or null where it may. */
-  final Reason overstays(long now, long patience) {
+  final CloseReason overstays(long now, long patience) {
     if (now <= overstaysAt(patience)) {
       return null;
     } else if (deafSince < now - patience) {
-      return Reason.NOT_READ;
+      return CloseReason.NOT_READ;
     }
     return Math.min(pieceSince, halfReadSince()) < now - patience
-        ? Reason.HALF_SENT
-        : Reason.SILENT;
+        ? CloseReason.HALF_SENT
+        : CloseReason.SILENT;
   }
 
   /** Until when it may stay as it is, or {@link #NEVER} where nothing is missing. */
@@ -239,7 +239,7 @@
    * @param why the reason
    * @param what more on it, or an empty text
    */
-  public final void close(Reason why, String what) {
+  public final void close(CloseReason why, String what) {
     if (closing || ended) {
       return;
     }
@@ -354,9 +354,10 @@
         }
       }
       if (!closed() && !awaits && gathered.readableBytes() > mostGathered) {
-        throw new Malformed(Reason.OVERSIZED, "over " + mostGathered + " bytes without an end");
+        throw new ProtocolException(
+            CloseReason.OVERSIZED, "over " + mostGathered + " bytes without an end");
       }
-    } catch (Malformed bad) {
+    } catch (ProtocolException bad) {
       count("malformed");
       close(bad.reason(), bad.getMessage());
     } catch (RuntimeException broken) {
@@ -399,7 +400,7 @@
   }
 
   /** Closes it without waiting for what was sent to leave. */
-  final void cut(Reason why) {
+  final void cut(CloseReason why) {
     if (!closing) {
       closing = true;
       reason = why;
@@ -417,13 +418,13 @@
             + broken
             + "\""
             + (stack.length > 0 ? " at=" + stack[0] : ""));
-    close(Reason.FAULT, "");
+    close(CloseReason.FAULT, "");
   }
 
   @Override
   public final void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
     if (cause instanceof IOException) {
-      reason = closing ? reason : Reason.PEER_RESET;
+      reason = closing ? reason : CloseReason.PEER_RESET;
       closing = true;
       ctx.close();
     } else {
--- a/src/main/java/mothwing/net/ConnectionTable.java
+++ b/src/main/java/mothwing/net/ConnectionTable.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * The connections of one listener and how long each may stay: the idle ones for a span, who says
@@ -30,14 +30,14 @@
   static final int MOST_LINGERING = 16;
 
   private final long patience;
-  private final Timers timers;
+  private final Scheduler timers;
   private final TimingWheel wheel;
   private final Map<Connection, Place> all = new LinkedHashMap<>();
   private final Map<Connection, Place> strangers =
       new LinkedHashMap<>(); // the longest silent first
   private final Set<Connection> lingering = new LinkedHashSet<>(); // the longest first
   private long span;
-  private Reason why = Reason.IDLE;
+  private CloseReason why = CloseReason.IDLE;
   private long lookedAt;
   private boolean unread;
 
@@ -60,7 +60,7 @@
       }
       long now = timers.now();
       quietSince = connection.quiet() ? now : Connection.NEVER;
-      if (why == Reason.DRAIN
+      if (why == CloseReason.DRAIN
           && connection.quiet()
           && !connection.stranger()
           && !unread
@@ -112,8 +112,8 @@
     }
 
     void judge(long now) {
-      Reason bad = connection.overstays(now, patience);
-      if (bad == Reason.NOT_READ) {
+      CloseReason bad = connection.overstays(now, patience);
+      if (bad == CloseReason.NOT_READ) {
         connection.cut(bad);
       } else if (bad != null) {
         connection.close(bad, "");
@@ -137,7 +137,7 @@
    *     does not read is closed
    * @param timers the clocks
    */
-  ConnectionTable(long patience, Timers timers) {
+  ConnectionTable(long patience, Scheduler timers) {
     this.patience = patience;
     span = patience;
     this.timers = timers;
@@ -206,7 +206,7 @@
       least.connection.readNow();
       if (least == least()) { // nothing lay in its socket that asks
         strangers.remove(least.connection);
-        least.connection.close(Reason.EVICTED, "");
+        least.connection.close(CloseReason.EVICTED, "");
         return;
       }
     }
@@ -237,7 +237,7 @@
    * @param reason why it is closed after that; where the process leaves, it is closed right behind
    *     its last answer
    */
-  void trim(long quiet, Reason reason) {
+  void trim(long quiet, CloseReason reason) {
     long now = timers.now();
     unread = late(now);
     lookedAt = now;
--- a/src/main/java/mothwing/net/Dial.java
+++ b/src/main/java/mothwing/net/Connector.java
@@ -4,7 +4,7 @@
 
 /** A way to open connections to one party. */
 @FunctionalInterface
-public interface Dial {
+public interface Connector {
   /**
    * Opens a connection.
    *
--- a/src/main/java/mothwing/net/Reply.java
+++ b/src/main/java/mothwing/net/FrontRequest.java
@@ -3,17 +3,17 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
-import mothwing.broker.Caller;
 import mothwing.broker.Exchange;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.ResponseSink;
 
 /**
  * A request of a front from its first byte to its answer: what both fronts do alike with a request
  * that was read whole. Answers are a status, fields and content; how they are written is the
  * front's own.
  */
-public abstract class Reply implements Caller {
+public abstract class FrontRequest implements ResponseSink {
   private static final byte[] NOTHING = new byte[0];
 
   private final Broker broker;
@@ -24,7 +24,7 @@
    *
    * @param broker takes it
    */
-  protected Reply(Broker broker) {
+  protected FrontRequest(Broker broker) {
     this.broker = broker;
   }
 
@@ -52,7 +52,7 @@
    * @param fields its fields
    * @param body its body
    */
-  protected final void whole(String path, String query, Arrival.Fields fields, byte[] body) {
+  protected final void whole(String path, String query, InboundRequest.Fields fields, byte[] body) {
     if (path.equals("/ping")) {
       broker.check(Headers.probes(query), good -> answer(good ? 200 : 503, List.of(), NOTHING));
       return;
@@ -68,7 +68,7 @@
     }
     try {
       exchange = broker.read(fields.at(path, body), this);
-    } catch (Arrival.Bad bad) {
+    } catch (InboundRequest.InvalidRequestException bad) {
       reject(bad.getMessage());
     }
   }
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -26,7 +26,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import mothwing.broker.Counters;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * Accepts the connections of one front: no more than a bound, the idle ones closed after a span,
@@ -53,13 +53,13 @@
   private final int most;
   private final Counters counters;
   private final String side;
-  private final Timers timers;
+  private final Scheduler timers;
   private final ConnectionTable table;
   private Entrance channel;
   private boolean shared;
   private SharedPortQuota quota;
   private boolean looking;
-  private FairReads turns;
+  private ReadBudget turns;
 
   /** A listening socket that can be closed without losing who waits at it. */
   private final class Entrance extends NioServerSocketChannel {
@@ -170,7 +170,7 @@
       Supplier<? extends Connection> maker,
       int most,
       long patience,
-      Timers timers,
+      Scheduler timers,
       Counters counters) {
     this.side = side;
     this.maker = maker;
@@ -190,7 +190,7 @@
    *
    * @param all the turns, one for all listeners of a loop
    */
-  public void inTurns(FairReads all) {
+  public void inTurns(ReadBudget all) {
     turns = all;
   }
 
@@ -361,7 +361,7 @@
    * @param span microseconds; 0 closes all that has nothing open
    * @param why the reason
    */
-  public void trim(long span, Reason why) {
+  public void trim(long span, CloseReason why) {
     table.trim(span, why);
   }
 
--- a/src/main/java/mothwing/net/Malformed.java
+++ b/src/main/java/mothwing/net/ProtocolException.java
@@ -1,10 +1,10 @@
 package mothwing.net;
 
 /** Bytes that break the protocol of their connection: it is closed with the reason. */
-public final class Malformed extends Exception {
+public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  private final Reason reason;
+  private final CloseReason reason;
 
   /**
    * Makes one.
@@ -12,7 +12,7 @@
    * @param reason the code for the log
    * @param message what is wrong
    */
-  public Malformed(Reason reason, String message) {
+  public ProtocolException(CloseReason reason, String message) {
     super(message, null, false, false);
     this.reason = reason;
   }
@@ -22,7 +22,7 @@
    *
    * @return the reason
    */
-  public Reason reason() {
+  public CloseReason reason() {
     return reason;
   }
 }
--- a/src/main/java/mothwing/net/FairReads.java
+++ b/src/main/java/mothwing/net/ReadBudget.java
@@ -1,7 +1,7 @@
 package mothwing.net;
 
 import java.util.ArrayDeque;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * How much of what clients send is taken in one go, and which share is refused undecided since this
@@ -12,7 +12,7 @@
  * between. Where some wait for longer, reading and deciding alone wants more than there is: then a
  * growing share is refused at the least cost. On its loop's thread only.
  */
-public final class FairReads {
+public final class ReadBudget {
   /** Microseconds for which clients' requests are taken in one go: some tens of requests. */
   static final long SPAN = 4_000;
 
@@ -28,7 +28,7 @@
   private static final double DOWN = 1_000_000; // the same when none waits
   private static final long LONGEST =
       100_000; // microseconds of one step up: a process that stood still knows nothing
-  private final Timers timers;
+  private final Scheduler timers;
   private final ArrayDeque<Connection> waiting = new ArrayDeque<>();
   private long until = Long.MIN_VALUE;
   private boolean asked;
@@ -43,7 +43,7 @@
    *
    * @param timers the clocks
    */
-  public FairReads(Timers timers) {
+  public ReadBudget(Scheduler timers) {
     this.timers = timers;
     seenAt = timers.now();
   }
--- a/src/main/java/mothwing/net/Dialer.java
+++ b/src/main/java/mothwing/net/TcpConnector.java
@@ -12,7 +12,7 @@
 import java.util.function.Supplier;
 
 /** Opens connections to one address. */
-public final class Dialer implements Dial {
+public final class TcpConnector implements Connector {
   private static final int MOST_WAIT_MS = 2000;
 
   private final EventLoop loop;
@@ -26,7 +26,7 @@
    * @param allocator gives buffers
    * @param address where to connect
    */
-  public Dialer(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
+  public TcpConnector(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
     this.loop = loop;
     this.allocator = allocator;
     this.address = address;
--- a/src/main/java/mothwing/CallerSignals.java
+++ b/src/main/java/mothwing/overload/BackpressureSignal.java
@@ -1,15 +1,15 @@
-package mothwing;
+package mothwing.overload;
 
 import java.util.function.Supplier;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.ControllerHost;
+import mothwing.control.FreeValue;
+import mothwing.control.Settings;
 
 /**
  * What the controller tells its callers of itself: the free value, and how long idle connections
  * may stay.
  */
-final class CallerSignals {
+final class BackpressureSignal {
   private static final double LEAST_SHARE =
       0.1; // of traffic still asked for, so that a recovery shows
   private static final double SHARE_STEPS = 20; // count: the free value is said in twentieths
@@ -27,7 +27,7 @@
   private static final double SECOND = 1e6; // microseconds
 
   private final Supplier<Settings> settings;
-  private final Host host;
+  private final ControllerHost host;
   private double readWork;
   private double refusedWork;
   private double said = -1;
@@ -36,7 +36,7 @@
   private boolean leaving;
   private int reads;
 
-  CallerSignals(Supplier<Settings> settings, Host host) {
+  BackpressureSignal(Supplier<Settings> settings, ControllerHost host) {
     this.settings = settings;
     this.host = host;
   }
--- a/src/main/java/mothwing/overload/RunningLimit.java
+++ b/src/main/java/mothwing/overload/ConcurrencyLimit.java
@@ -5,7 +5,7 @@
  * though work waits, and never more on old news. Without gauges it does not grow, and the longer
  * they are missing the closer it comes to the cores.
  */
-public final class RunningLimit {
+public final class ConcurrencyLimit {
   private static final double IDLE_CORES = 0.9; // busy share under which it may grow
   private static final int IGNORANCE =
       5; // samples without gauges that it outlives: one lost answer and a relink
@@ -18,7 +18,7 @@
    *
    * @param cores the number of cores
    */
-  public RunningLimit(int cores) {
+  public ConcurrencyLimit(int cores) {
     limit = cores;
   }
 
--- a/src/main/java/mothwing/Brain.java
+++ b/src/main/java/mothwing/overload/OverloadController.java
@@ -1,4 +1,4 @@
-package mothwing;
+package mothwing.overload;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,18 +10,15 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
-import mothwing.overload.FilterLadder;
-import mothwing.overload.LoadIndex;
-import mothwing.overload.RunningLimit;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.GaugeSample;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.StopMode;
 
 /**
  * All decisions of the overload controller of one server, after QGuard. Interface:
@@ -34,7 +31,7 @@
  * time for is refused. What is admitted is held, and run in order of worth while the running limit
  * allows. Every sample moves the gauges, the index and, through it, the filter.
  */
-public final class Brain implements Controller {
+public final class OverloadController implements Controller {
   // Constants: unit, then reason.
   private static final long SAMPLE =
       30_000; // microseconds, rounded up to rounds: the paper's 33 Hz
@@ -108,7 +105,7 @@
   private record Expiry(long at, String id) {}
 
   /** A request that is unanswered, or whose run still holds core or memory. */
-  private static final class Job {
+  private static final class TrackedRequest {
     final Request request;
     final RequestClass kind;
     final long arrived;
@@ -128,25 +125,25 @@
     int calls;
     int stood;
 
-    Job(Request request, RequestClass kind, long arrived) {
+    TrackedRequest(Request request, RequestClass kind, long arrived) {
       this.request = request;
       this.kind = kind;
       this.arrived = arrived;
     }
 
     boolean guarded() {
-      return kind.repeats() == Repeats.GUARDED;
+      return kind.repeats() == Idempotency.GUARDED;
     }
   }
 
   private Settings settings;
-  private final Host host;
-  private final CallerSignals callers;
+  private final ControllerHost host;
+  private final BackpressureSignal callers;
   private int cores;
   private double planned;
   private long margin;
   private long sample;
-  private final Map<String, Job> open = new LinkedHashMap<>();
+  private final Map<String, TrackedRequest> open = new LinkedHashMap<>();
   private final Set<String> keys = new HashSet<>();
   private final PriorityQueue<Expiry> expiry =
       new PriorityQueue<>(Comparator.comparingLong(Expiry::at));
@@ -192,7 +189,7 @@
   private double[] offered = {};
   private double[] coming = {};
   private double[] quotaTokens = {};
-  private final RunningLimit running;
+  private final ConcurrencyLimit running;
   private double busy;
   private double usualBusy = 1;
 
@@ -202,14 +199,14 @@
    * @param settings its settings
    * @param host carries out its actions
    */
-  public Brain(Settings settings, Host host) {
+  public OverloadController(Settings settings, ControllerHost host) {
     this.host = host;
     this.settings = settings;
-    callers = new CallerSignals(() -> this.settings, host);
+    callers = new BackpressureSignal(() -> this.settings, host);
     take(settings);
     callTime = callTimeMost;
     callRoom = callFlow * VOLUME * SECOND;
-    running = new RunningLimit(cores);
+    running = new ConcurrencyLimit(cores);
     ladder = new FilterLadder(cores);
   }
 
@@ -283,7 +280,7 @@
   public void read(long at, Request request) {
     advance(at);
     RequestClass kind = settings.classes().get(request.requestClass());
-    Job job = new Job(request, kind, at - request.unread());
+    TrackedRequest job = new TrackedRequest(request, kind, at - request.unread());
     long due = request.waitsUntil() > 0 ? request.waitsUntil() : job.arrived + kind.deadline();
     job.due = draining ? Math.min(due, stopAt) : due;
     job.unit = request.cost() > 0 ? request.cost() : kind.aim() * PRIOR_WORK;
@@ -299,7 +296,7 @@
   }
 
   /** The ordinary path of a request just read. */
-  private void decide(Job job) {
+  private void decide(TrackedRequest job) {
     if (followsForerunner(job)) {
       return;
     }
@@ -323,7 +320,7 @@
   }
 
   /** A repeat whose forerunner is held or ran follows it; it is never run or turned away. */
-  private boolean followsForerunner(Job job) {
+  private boolean followsForerunner(TrackedRequest job) {
     String before = job.request.forerunner();
     if (before == null || refusedNow.contains(before)) {
       return false;
@@ -343,16 +340,16 @@
   /**
    * Every read must leave room for its run, for the runs planned and for a batch of further reads.
    */
-  private boolean roomFor(Job job) {
+  private boolean roomFor(TrackedRequest job) {
     double entry = job.guarded() ? settings.machine().entryMemory() : 0;
     return memory + entry + Math.max(0, running.limit() - onCores) * extra(job) <= planned;
   }
 
-  private double extra(Job job) {
+  private double extra(TrackedRequest job) {
     return job.request.memory() * (settings.machine().runFactor() - 1);
   }
 
-  private boolean takeTokens(Job job) {
+  private boolean takeTokens(TrackedRequest job) {
     int filter = ladder.filter();
     if (filter == 0) {
       return true;
@@ -368,7 +365,7 @@
   /**
    * A failing server looks quick and idle, a failing dependency wastes core time: little is tried.
    */
-  private boolean faulty(Job job) {
+  private boolean faulty(TrackedRequest job) {
     boolean dear = job.kind.worth() >= dearestCaller;
     return faults[RUNS] > FAULTS
         || job.kind.calls() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2);
@@ -382,12 +379,12 @@
    * A burst outruns the ladder: refuses what better work leaves no time for. What runs shares its
    * core.
    */
-  private boolean reachable(Job job) {
+  private boolean reachable(TrackedRequest job) {
     double ahead = 0;
     double calls = -callRoom;
     double spare = usefulUntil(job) - now - callsLeft(job) - stretched(job) - margin;
     double most = spare * Math.max(LEAST_CORES, cores - betterToCome(job)) / SPREAD;
-    for (Job other : open.values()) {
+    for (TrackedRequest other : open.values()) {
       boolean first =
           other.worth == job.worth ? other.arrived <= job.arrived : other.worth > job.worth;
       if (other != job && !other.answered && (first || other.state != State.HELD)) {
@@ -405,7 +402,7 @@
   /**
    * Cores that work of much better worth takes while a request waits: what came of late goes on.
    */
-  private double betterToCome(Job job) {
+  private double betterToCome(TrackedRequest job) {
     double work = 0;
     for (int i = 0; i < coming.length; i++) {
       RequestClass kind = settings.classes().get(i / 2);
@@ -419,7 +416,7 @@
   }
 
   /** Call time that a request is still expected to take from the dependency. */
-  private double callsLeft(Job job) {
+  private double callsLeft(TrackedRequest job) {
     int waiting = job.state == State.AT_CALL || job.state == State.CALLING ? 1 : 0;
     double left = callsPer[job.request.requestClass()] - job.stood + waiting;
     return job.state == State.REPLAYING ? 0 : callPace * Math.max(waiting, left);
@@ -429,48 +426,49 @@
    * The time held for a run: on cores idle now or of late no better use waits, and chances are
    * taken.
    */
-  private double stretched(Job job) {
+  private double stretched(TrackedRequest job) {
     double full =
         ladder.filter() > 0 ? 1 : Math.min(1, Math.min(busy, usualBusy) / LoadIndex.idleCores());
     return expected(job) * (CHANCE + (SPREAD - CHANCE) * full);
   }
 
   /** Until when an answer is sought: on busy cores a late one takes the place of one in time. */
-  private long usefulUntil(Job job) {
+  private long usefulUntil(TrackedRequest job) {
     boolean room = ladder.filter() == 0 && Math.min(busy, usualBusy) < LoadIndex.idleCores();
     return room ? worthUntil(job) : Math.min(job.aimBy, job.due);
   }
 
   /** Until when an answer has any worth. */
-  private long worthUntil(Job job) {
+  private long worthUntil(TrackedRequest job) {
     return job.kind.lateWorth() > 0 ? job.due : Math.min(job.aimBy, job.due);
   }
 
   /** Worth for expected core time, then arrival. */
-  private static final Comparator<Job> ORDER =
-      Comparator.comparingDouble((Job job) -> -job.worth).thenComparingLong(job -> job.arrived);
+  private static final Comparator<TrackedRequest> ORDER =
+      Comparator.comparingDouble((TrackedRequest job) -> -job.worth)
+          .thenComparingLong(job -> job.arrived);
 
   // what a request is worth and costs
 
-  private double worth(Job job) {
+  private double worth(TrackedRequest job) {
     double value = job.kind.worth() * (job.overShare ? settings.overShareWorth() : 1);
     return settings.worthByWork() ? value : value / expected(job);
   }
 
-  private double expected(Job job) {
+  private double expected(TrackedRequest job) {
     return usual(job) * strain;
   }
 
-  private double usual(Job job) {
+  private double usual(TrackedRequest job) {
     return job.unit * pace[job.request.requestClass()];
   }
 
-  private double left(Job job) {
+  private double left(TrackedRequest job) {
     double guess = job.state == State.REPLAYING ? 0 : expected(job);
     return Math.max(guess - used(job), guess * LEFT_AT_LEAST);
   }
 
-  private double used(Job job) {
+  private double used(TrackedRequest job) {
     return job.used + (job.state == State.RUNNING ? coreClock - job.mark : 0);
   }
 
@@ -478,7 +476,7 @@
     return settings.tenants().get(tenant).quota() / Math.max(1, settings.replicas()) * QUOTA_LEEWAY;
   }
 
-  private int bucket(Job job) {
+  private int bucket(TrackedRequest job) {
     return 2 * job.request.requestClass() + (job.overShare ? 1 : 0);
   }
 
@@ -488,7 +486,7 @@
    * Ends a request that never ran; callers go on and stay away where the trouble is this server's
    * own.
    */
-  private void turnAway(Job job) {
+  private void turnAway(TrackedRequest job) {
     boolean cold = settings.machine().cold() && now < startedAt + settings.rules().warmAfter();
     boolean own = draining || faults[RUNS] > FAULTS || cold || stuck();
     long longest = settings.signals().mayAdvise() ? settings.signals().longestAdvice() : 0;
@@ -512,7 +510,7 @@
   }
 
   /** Answers with a failure; running work is stopped in the same reply where that is possible. */
-  private void answerFailed(Job job) {
+  private void answerFailed(TrackedRequest job) {
     host.fail(job.request.id());
     job.answered = true;
     stop(job);
@@ -525,14 +523,14 @@
     }
   }
 
-  private void stop(Job job) {
-    if (job.state == State.RUNNING && settings.machine().halting() != Halting.NONE) {
+  private void stop(TrackedRequest job) {
+    if (job.state == State.RUNNING && settings.machine().halting() != StopMode.NONE) {
       host.halt(job.request.id());
     }
   }
 
   /** Forgets a request that holds nothing any longer. */
-  private void close(Job job) {
+  private void close(TrackedRequest job) {
     if (open.remove(job.request.id()) == null) {
       return;
     }
@@ -544,20 +542,20 @@
     memory -= job.request.memory() + (job.ran ? extra(job) : 0);
   }
 
-  private void leaveCore(Job job) {
+  private void leaveCore(TrackedRequest job) {
     if (job.state == State.RUNNING) {
       job.used += coreClock - job.mark;
       onCores--;
     }
   }
 
-  private void enterCore(Job job) {
+  private void enterCore(TrackedRequest job) {
     job.state = State.RUNNING;
     job.mark = coreClock;
     onCores++;
   }
 
-  private void remember(Job job) {
+  private void remember(TrackedRequest job) {
     long until = Math.max(now + sample, job.arrived + job.kind.window() + sample);
     host.remember(job.request.id(), until - now);
     keys.add(job.request.id());
@@ -576,7 +574,7 @@
   @Override
   public void gone(long at, String id) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null) {
       return;
     }
@@ -590,7 +588,7 @@
   @Override
   public void atCall(long at, String id) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null) {
       return;
     }
@@ -605,27 +603,27 @@
   }
 
   @Override
-  public void callEnded(long at, String id, Outcome outcome, long took) {
+  public void callEnded(long at, String id, RunOutcome outcome, long took) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null || job.state != State.CALLING) {
       return;
     }
     calling--;
     callPace += (now - job.calledAt - callPace) * CALL_LEARN;
-    account(CALLS, outcome == Outcome.GOOD);
-    if (outcome == Outcome.GOOD) {
+    account(CALLS, outcome == RunOutcome.GOOD);
+    if (outcome == RunOutcome.GOOD) {
       enterCore(job);
       return;
     }
     // given up, or cut off with its link
-    boolean mayRunOn = !outcome.neverRan() && outcome != Outcome.FAILED;
+    boolean mayRunOn = !outcome.neverRan() && outcome != RunOutcome.FAILED;
     if (mayRunOn) {
       lingering.add(now + settings.dependency().linger());
     }
     job.state = State.AT_CALL;
     job.callAgain = now + (sample << Math.min(job.calls, 2 * CALL_TRIES));
-    boolean again = outcome.neverRan() || job.kind.repeats() == Repeats.SAFE;
+    boolean again = outcome.neverRan() || job.kind.repeats() == Idempotency.SAFE;
     boolean over = (!again || job.calls >= CALL_TRIES) && !job.answered;
     if (over && job.kind.skipWorth() > 0) {
       job.calls = CALL_TRIES; // the poorer answer is left
@@ -635,31 +633,31 @@
   }
 
   @Override
-  public void finished(long at, String id, Outcome outcome, long took) {
+  public void finished(long at, String id, RunOutcome outcome, long took) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null) {
       return;
     }
     boolean replayed = job.state == State.REPLAYING;
-    if (outcome == Outcome.STOPPED && !job.answered) {
+    if (outcome == RunOutcome.STOPPED && !job.answered) {
       leaveCore(job);
-      job.state = settings.machine().halting() == Halting.SUSPEND ? State.PAUSED : State.HELD;
+      job.state = settings.machine().halting() == StopMode.SUSPEND ? State.PAUSED : State.HELD;
       return;
     }
     close(job);
     job.used =
         took > 0 && job.used - took > sample ? took : job.used; // the rest: we heard of it late
-    if (!replayed && outcome == Outcome.GOOD) {
+    if (!replayed && outcome == RunOutcome.GOOD) {
       account(RUNS, true);
       learn(job);
-    } else if (!replayed && outcome == Outcome.FAILED) {
+    } else if (!replayed && outcome == RunOutcome.FAILED) {
       account(RUNS, false);
     }
   }
 
   /** Learns core time for a unit of expected work, by class; the first runs count in full. */
-  private void learn(Job job) {
+  private void learn(TrackedRequest job) {
     int place = job.request.requestClass();
     weigh(job, job.used);
     done += usual(job);
@@ -692,7 +690,7 @@
     double kept = Math.max(0, 1 - span / STRAIN_SECONDS);
     spent *= kept;
     done *= kept;
-    for (Job job : open.values()) {
+    for (TrackedRequest job : open.values()) {
       if (job.state == State.RUNNING) {
         weigh(job, Math.min(used(job), STUCK * usual(job)));
       }
@@ -702,7 +700,7 @@
     strain = ratio > STRAINED && Arrays.stream(runs).sum() > KNOWN ? ratio : 1;
   }
 
-  private void weigh(Job job, double used) {
+  private void weigh(TrackedRequest job, double used) {
     spent += Math.max(0, used - job.weighed);
     job.weighed = Math.max(used, job.weighed);
   }
@@ -713,7 +711,7 @@
     draining = true;
     noticeAt = at;
     stopAt = stop - KILL_MARGIN * sample;
-    for (Job job : open.values()) {
+    for (TrackedRequest job : open.values()) {
       job.due = Math.min(job.due, stopAt);
     }
     host.health(true, false);
@@ -731,7 +729,7 @@
 
   /** No request may be lost, and nothing that can no longer be useful is run. */
   private void sweep() {
-    for (Job job : new ArrayList<>(open.values())) {
+    for (TrackedRequest job : new ArrayList<>(open.values())) {
       if (job.answered) {
         continue;
       }
@@ -746,15 +744,15 @@
   }
 
   private void startWork() {
-    List<Job> waiting = new ArrayList<>();
-    for (Job job : open.values()) {
+    List<TrackedRequest> waiting = new ArrayList<>();
+    for (TrackedRequest job : open.values()) {
       if (!job.answered && (job.state == State.HELD || job.state == State.PAUSED)) {
         job.worth = worth(job) * (now + expected(job) <= job.aimBy ? 1 : job.kind.lateWorth());
         waiting.add(job);
       }
     }
     waiting.sort(ORDER);
-    for (Job job : waiting) {
+    for (TrackedRequest job : waiting) {
       if (onCores + callsInHand() / 2 >= runningBound()) {
         return;
       }
@@ -764,7 +762,7 @@
     }
   }
 
-  private void start(Job job) {
+  private void start(TrackedRequest job) {
     host.start(job.request.id());
     if (!job.ran) {
       job.ran = true;
@@ -798,14 +796,14 @@
    * call that failed for good or would come too late is left out where the poorer answer has worth.
    */
   private void makeCalls() {
-    List<Job> waiting = new ArrayList<>();
-    for (Job job : open.values()) {
+    List<TrackedRequest> waiting = new ArrayList<>();
+    for (TrackedRequest job : open.values()) {
       if (job.state == State.AT_CALL && !job.answered && now >= job.callAgain) {
         waiting.add(job);
       }
     }
     waiting.sort(ORDER);
-    for (Job job : waiting) {
+    for (TrackedRequest job : waiting) {
       boolean mine = callsInHand() < callsMost && callTime >= callTimeMost * CALLS_LEAST;
       boolean late =
           job.calls >= CALL_TRIES || now + callPace + left(job) + margin > worthUntil(job);
@@ -856,7 +854,7 @@
   }
 
   @Override
-  public void timer(long at, String tag, Sample sampled) {
+  public void timer(long at, String tag, GaugeSample sampled) {
     advance(at);
     host.timer(at + sample, TICK);
     boolean stalled = at - lastSample > STALL * sample && !late;
@@ -948,7 +946,7 @@
   // monitor, load controller, policy manager
 
   /** One sample: the gauges, the index, and the damped step through the ladder. */
-  private void observe(Sample sampled, double span) {
+  private void observe(GaugeSample sampled, double span) {
     int index =
         loadIndex.take(
             busy,
@@ -967,7 +965,7 @@
   /**
    * A gauge of this moment; where it is not known, what this server's own book of runs makes of it.
    */
-  private double gauge(Sample sampled, String name, double byOwnBook) {
+  private double gauge(GaugeSample sampled, String name, double byOwnBook) {
     int place = settings.machine().gauges().indexOf(name);
     return place >= 0 && place < sampled.gauges().size() ? sampled.gauges().get(place) : byOwnBook;
   }
@@ -977,7 +975,7 @@
    */
   private double holdWait() {
     double work = 0;
-    for (Job job : open.values()) {
+    for (TrackedRequest job : open.values()) {
       work += job.answered ? 0 : left(job) / job.kind.deadline();
     }
     return work / cores;
--- a/src/main/java/mothwing/override/Sharing.java
+++ b/src/main/java/mothwing/override/AntiEntropy.java
@@ -12,11 +12,11 @@
 
 /**
  * One server's part in the sharing of overrides: what is new is told at once, what differs is found
- * by digests, what is wanted is asked for. Pure: messages and the clock go in, {@link Host} carries
- * out. Messages may be lost, late, repeated, reordered or of a former start; all of them are hints
- * but an answer to a question that is open here.
+ * by digests, what is wanted is asked for. Pure: messages and the clock go in, {@link OverrideHost}
+ * carries out. Messages may be lost, late, repeated, reordered or of a former start; all of them
+ * are hints but an answer to a question that is open here.
  */
-public final class Sharing {
+public final class AntiEntropy {
   private static final long PERIOD = 1_000_000; // microseconds between digests to one other server
   private static final int MOST_QUESTIONS =
       256; // open at once; the oldest gives way, and is asked again by the next digest
@@ -32,8 +32,8 @@
   }
 
   private final String self;
-  private final Book book;
-  private final Host host;
+  private final OverrideTable book;
+  private final OverrideHost host;
   private final Random random;
   private final long start;
   private final long startedAt;
@@ -55,14 +55,14 @@
    * @param random its random numbers
    * @param host carries out
    */
-  public Sharing(
+  public AntiEntropy(
       String self,
       long start,
-      Book book,
+      OverrideTable book,
       long startedAt,
       boolean recovering,
       Random random,
-      Host host) {
+      OverrideHost host) {
     this.self = self;
     this.start = start;
     this.book = book;
@@ -82,8 +82,8 @@
    *
    * @return it; each is given once
    */
-  public Stamp stamp() {
-    return new Stamp(start, self, ++made);
+  public Version stamp() {
+    return new Version(start, self, ++made);
   }
 
   /**
@@ -93,9 +93,9 @@
    * @param value it, with a stamp of {@link #stamp}
    * @return how it was taken
    */
-  public Book.Taken make(long now, TrafficOverride value) {
-    Book.Taken taken = book.make(now, value);
-    if (taken == Book.Taken.NEW) {
+  public OverrideTable.UpdateResult make(long now, TrafficOverride value) {
+    OverrideTable.UpdateResult taken = book.make(now, value);
+    if (taken == OverrideTable.UpdateResult.NEW) {
       tell(now, value.id());
     }
     return taken;
@@ -108,9 +108,9 @@
    * @param id its id
    * @return how it was taken
    */
-  public Book.Taken revoke(long now, String id) {
-    Book.Taken taken = book.revoke(now, id);
-    if (taken == Book.Taken.NEW) {
+  public OverrideTable.UpdateResult revoke(long now, String id) {
+    OverrideTable.UpdateResult taken = book.revoke(now, id);
+    if (taken == OverrideTable.UpdateResult.NEW) {
       tell(now, id);
     }
     return taken;
@@ -119,7 +119,7 @@
   private void tell(long now, String id) {
     disks.put(id, new Wanted());
     changed(now, id);
-    Message.Known known = new Message.Known(List.of(has(book.told(now, id))), true);
+    OverrideMessage.Known known = new OverrideMessage.Known(List.of(has(book.told(now, id))), true);
     host.others().forEach(one -> host.send(one, known));
   }
 
@@ -133,10 +133,10 @@
    * What was to be kept is forced.
    *
    * @param now the clock
-   * @param told what was given to {@link Host#force}
+   * @param told what was given to {@link OverrideHost#force}
    */
-  public void forced(long now, Told told) {
-    Told known = book.told(now, told.id());
+  public void forced(long now, ReplicaState told) {
+    ReplicaState known = book.told(now, told.id());
     if (known == null
         || known.standing() != told.standing()
         || !Objects.equals(known.stamp(), told.stamp())) {
@@ -149,7 +149,9 @@
     }
     host.others()
         .forEach(
-            one -> host.send(one, new Message.Stored(told.id(), told.stamp(), told.standing())));
+            one ->
+                host.send(
+                    one, new OverrideMessage.Stored(told.id(), told.stamp(), told.standing())));
   }
 
   /**
@@ -163,8 +165,8 @@
     return here == null ? Set.of() : Set.copyOf(here.disks);
   }
 
-  private static Message.Has has(Told told) {
-    return new Message.Has(told.id(), told.stamp(), told.standing());
+  private static OverrideMessage.Has has(ReplicaState told) {
+    return new OverrideMessage.Has(told.id(), told.stamp(), told.standing());
   }
 
   /**
@@ -187,27 +189,28 @@
       return;
     }
     String one = others.get(random.nextInt(others.size()));
-    host.send(one, new Message.Digest(hash(now)));
+    host.send(one, new OverrideMessage.Digest(hash(now)));
     List<String> unsure =
         book.told(now).stream()
-            .filter(told -> told.standing() == Standing.UNSURE)
-            .map(Told::id)
+            .filter(told -> told.standing() == OverrideStatus.UNSURE)
+            .map(ReplicaState::id)
             .limit(MOST_IDS)
             .toList();
     if (!unsure.isEmpty()) {
       ask(now, one, unsure);
     }
     if (recovering) {
-      host.send(one, new Message.Known(all(now, true), false));
+      host.send(one, new OverrideMessage.Known(all(now, true), false));
     }
     disks.values().removeIf(wanted -> ++wanted.rounds > TOLD_ROUNDS);
     disks.forEach(
         (id, wanted) -> {
-          Told told = book.told(now, id);
+          ReplicaState told = book.told(now, id);
           if (told != null) {
             others.stream()
                 .filter(other -> !wanted.disks.contains(other))
-                .forEach(other -> host.send(other, new Message.Known(List.of(has(told)), true)));
+                .forEach(
+                    other -> host.send(other, new OverrideMessage.Known(List.of(has(told)), true)));
           }
         });
   }
@@ -215,9 +218,10 @@
   /** A hash of what is known surely, alike wherever the same is known. */
   private long hash(long now) {
     long hash = 1;
-    for (Told one : book.told(now)) {
-      if (one.standing() != Standing.UNSURE) {
-        Stamp stamp = one.standing() == Standing.REVOKED ? new Stamp(0, "", 0) : one.stamp();
+    for (ReplicaState one : book.told(now)) {
+      if (one.standing() != OverrideStatus.UNSURE) {
+        Version stamp =
+            one.standing() == OverrideStatus.REVOKED ? new Version(0, "", 0) : one.stamp();
         hash =
             31 * hash
                 + Objects.hash(
@@ -231,10 +235,10 @@
     return hash;
   }
 
-  private List<Message.Has> all(long now, boolean unsure) {
-    List<Message.Has> all = new ArrayList<>();
-    for (Told one : book.told(now)) {
-      if (unsure || one.standing() != Standing.UNSURE) {
+  private List<OverrideMessage.Has> all(long now, boolean unsure) {
+    List<OverrideMessage.Has> all = new ArrayList<>();
+    for (ReplicaState one : book.told(now)) {
+      if (unsure || one.standing() != OverrideStatus.UNSURE) {
         all.add(has(one));
       }
     }
@@ -248,21 +252,21 @@
    * @param from the server that its sender says to be
    * @param message it
    */
-  public void came(long now, String from, Message message) {
-    if (message instanceof Message.Digest digest) {
+  public void came(long now, String from, OverrideMessage message) {
+    if (message instanceof OverrideMessage.Digest digest) {
       if (digest.hash() != hash(now)) {
-        host.send(from, new Message.Known(all(now, false), false));
+        host.send(from, new OverrideMessage.Known(all(now, false), false));
       }
-    } else if (message instanceof Message.Known known) {
+    } else if (message instanceof OverrideMessage.Known known) {
       known(now, from, known);
-    } else if (message instanceof Message.Ask question) {
-      List<Told> all =
+    } else if (message instanceof OverrideMessage.Ask question) {
+      List<ReplicaState> all =
           question.ids().stream().map(id -> book.told(now, id)).filter(Objects::nonNull).toList();
-      host.send(from, new Message.Answer(question.number(), all));
-    } else if (message instanceof Message.Answer answer) {
+      host.send(from, new OverrideMessage.Answer(question.number(), all));
+    } else if (message instanceof OverrideMessage.Answer answer) {
       answered(now, from, answer);
-    } else if (message instanceof Message.Stored stored) {
-      Told here = book.told(now, stored.id());
+    } else if (message instanceof OverrideMessage.Stored stored) {
+      ReplicaState here = book.told(now, stored.id());
       Wanted wanted = disks.get(stored.id());
       if (wanted != null
           && here != null
@@ -273,27 +277,27 @@
     }
   }
 
-  private void known(long now, String from, Message.Known known) {
+  private void known(long now, String from, OverrideMessage.Known known) {
     List<String> wanted = new ArrayList<>();
     Set<String> named = new LinkedHashSet<>();
-    for (Message.Has one : known.all()) {
+    for (OverrideMessage.Has one : known.all()) {
       named.add(one.id());
-      boolean takes = one.standing() != Standing.UNSURE || recovering;
+      boolean takes = one.standing() != OverrideStatus.UNSURE || recovering;
       if (takes && book.wants(one.id(), one.stamp(), one.standing())) {
         wanted.add(one.id());
       } else if (onDisk.contains(one.id()) && book.told(now, one.id()) != null) {
-        Told here = book.told(now, one.id());
-        host.send(from, new Message.Stored(here.id(), here.stamp(), here.standing()));
+        ReplicaState here = book.told(now, one.id());
+        host.send(from, new OverrideMessage.Stored(here.id(), here.stamp(), here.standing()));
       }
     }
     for (int at = 0; at < wanted.size(); at += MOST_IDS) {
       ask(now, from, wanted.subList(at, Math.min(wanted.size(), at + MOST_IDS)));
     }
     if (!known.part()) { // its sender lacks what it does not name
-      List<Message.Has> more =
+      List<OverrideMessage.Has> more =
           all(now, false).stream().filter(one -> !named.contains(one.id())).toList();
       if (!more.isEmpty()) {
-        host.send(from, new Message.Known(more, true));
+        host.send(from, new OverrideMessage.Known(more, true));
       }
     }
   }
@@ -304,18 +308,18 @@
     if (questions.size() > MOST_QUESTIONS) {
       questions.remove(questions.keySet().iterator().next());
     }
-    host.send(to, new Message.Ask(number, List.copyOf(ids)));
+    host.send(to, new OverrideMessage.Ask(number, List.copyOf(ids)));
   }
 
-  private void answered(long now, String from, Message.Answer answer) {
+  private void answered(long now, String from, OverrideMessage.Answer answer) {
     Question question = questions.get(answer.number());
     if (question == null || !question.to().equals(from)) {
       return;
     }
     questions.remove(answer.number());
-    for (Told one : answer.all()) {
+    for (ReplicaState one : answer.all()) {
       if (book.merge(now, one, question.at(), recovering ? now - startedAt : Long.MAX_VALUE)
-          == Book.Taken.NEW) {
+          == OverrideTable.UpdateResult.NEW) {
         changed(now, one.id());
       }
     }
--- a/src/main/java/mothwing/override/Effect.java
+++ b/src/main/java/mothwing/override/EffectiveOverrides.java
@@ -12,9 +12,10 @@
  * anew whenever that changes, so that a decision costs the same with one as with a thousand. It
  * holds until a time; who stood still makes a new one first.
  */
-public final class Effect {
+public final class EffectiveOverrides {
   /** Nothing is overridden, whenever. */
-  public static final Effect NONE = new Effect(List.of(), "", "", "", Long.MAX_VALUE);
+  public static final EffectiveOverrides NONE =
+      new EffectiveOverrides(List.of(), "", "", "", Long.MAX_VALUE);
 
   private record About(String kind, String tenant) {}
 
@@ -27,13 +28,13 @@
   /**
    * Makes it.
    *
-   * @param acting what acts, the one that wins first, as {@link Book#acting} gives it
+   * @param acting what acts, the one that wins first, as {@link OverrideTable#acting} gives it
    * @param server this server's name
    * @param zone its zone
    * @param hardware its hardware class
-   * @param until until when it holds, by {@link Book#actingUntil}
+   * @param until until when it holds, by {@link OverrideTable#actingUntil}
    */
-  public Effect(
+  public EffectiveOverrides(
       List<TrafficOverride> acting, String server, String zone, String hardware, long until) {
     this.until = until;
     TrafficOverride away = null;
--- a/src/main/java/mothwing/override/Host.java
+++ b/src/main/java/mothwing/override/OverrideHost.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /** What the sharing of overrides acts through. */
-public interface Host {
+public interface OverrideHost {
   /**
    * Sends to a server; it may not come through.
    *
    * @param to the server's name
    * @param message what
    */
-  void send(String to, Message message);
+  void send(String to, OverrideMessage message);
 
   /**
    * The servers that are thought to be there, without this one. A hint: nothing that holds rests on
@@ -21,12 +21,12 @@
   List<String> others();
 
   /**
-   * Writes to the disk; {@link Sharing#forced} follows once that is forced, or never where it
+   * Writes to the disk; {@link AntiEntropy#forced} follows once that is forced, or never where it
    * failed.
    *
    * @param told what is to be kept
    */
-  void force(Told told);
+  void force(ReplicaState told);
 
   /** What acts may have changed: it is to be looked at before the next decision. */
   void changed();
--- a/src/main/java/mothwing/override/Limits.java
+++ b/src/main/java/mothwing/override/OverrideLimits.java
@@ -9,7 +9,8 @@
  * @param seconds the longest lifetime
  * @param drift parts by which clocks may run fast or slow
  */
-public record Limits(int live, int remembered, int text, int seconds, double drift) {
+public record OverrideLimits(int live, int remembered, int text, int seconds, double drift) {
   /** 1,000 of each, 64 KB, a day, 500 parts in a million. */
-  public static final Limits USUAL = new Limits(1000, 1000, 64 << 10, 86_400, 500e-6);
+  public static final OverrideLimits USUAL =
+      new OverrideLimits(1000, 1000, 64 << 10, 86_400, 500e-6);
 }
--- a/src/main/java/mothwing/override/Standing.java
+++ b/src/main/java/mothwing/override/OverrideStatus.java
@@ -1,7 +1,7 @@
 package mothwing.override;
 
 /** How an override stands with one holder. */
-public enum Standing {
+public enum OverrideStatus {
   /** It came off a disk, and its age is not known. */
   UNSURE,
   /** It acts until its lifetime is over. */
--- a/src/main/java/mothwing/override/Book.java
+++ b/src/main/java/mothwing/override/OverrideTable.java
@@ -12,11 +12,11 @@
  * that nothing acts past its end; what is merged from others may come in any order, any number of
  * times.
  */
-public final class Book {
+public final class OverrideTable {
   private static final class Entry {
     final String id;
-    Stamp stamp;
-    Standing standing;
+    Version stamp;
+    OverrideStatus standing;
     TrafficOverride value;
     long age; // at the mark
     long mark;
@@ -28,12 +28,12 @@
     }
 
     boolean live() {
-      return standing == Standing.UNSURE || standing == Standing.IN_FORCE;
+      return standing == OverrideStatus.UNSURE || standing == OverrideStatus.IN_FORCE;
     }
   }
 
   /** How a change was taken. */
-  public enum Taken {
+  public enum UpdateResult {
     /** It changed what is known. */
     NEW,
     /** It was known, or is overtaken by what is known. */
@@ -42,7 +42,7 @@
     FULL
   }
 
-  private final Limits limits;
+  private final OverrideLimits limits;
   private final Map<String, Entry> entries = new TreeMap<>();
   private long version;
 
@@ -51,7 +51,7 @@
    *
    * @param limits its bounds
    */
-  public Book(Limits limits) {
+  public OverrideTable(OverrideLimits limits) {
     this.limits = limits;
   }
 
@@ -71,12 +71,16 @@
    * @param value it
    * @return {@code KNOWN} where its id is in use or remembered
    */
-  public Taken make(long now, TrafficOverride value) {
+  public UpdateResult make(long now, TrafficOverride value) {
     pass(now);
     if (entries.containsKey(value.id())) {
-      return Taken.KNOWN;
+      return UpdateResult.KNOWN;
     }
-    return join(now, new Told(value.id(), value.stamp(), Standing.IN_FORCE, 0, value), now, 0);
+    return join(
+        now,
+        new ReplicaState(value.id(), value.stamp(), OverrideStatus.IN_FORCE, 0, value),
+        now,
+        0);
   }
 
   /**
@@ -86,11 +90,14 @@
    * @param id its id
    * @return how it was taken
    */
-  public Taken revoke(long now, String id) {
+  public UpdateResult revoke(long now, String id) {
     pass(now);
     Entry known = entries.get(id);
     return join(
-        now, new Told(id, known == null ? null : known.stamp, Standing.REVOKED, 0, null), now, 0);
+        now,
+        new ReplicaState(id, known == null ? null : known.stamp, OverrideStatus.REVOKED, 0, null),
+        now,
+        0);
   }
 
   /**
@@ -104,11 +111,11 @@
    *     that may last
    * @return how it was taken
    */
-  public Taken merge(long now, Told told, long askedAt, long upFor) {
+  public UpdateResult merge(long now, ReplicaState told, long askedAt, long upFor) {
     pass(now);
-    if (told.standing() == Standing.UNSURE
+    if (told.standing() == OverrideStatus.UNSURE
         && (told.value() == null || upFor >= told.value().life())) {
-      return Taken.KNOWN; // it ran through what the other one slept through
+      return UpdateResult.KNOWN; // it ran through what the other one slept through
     }
     return join(now, told, askedAt, upFor);
   }
@@ -119,41 +126,46 @@
    * @param now the clock
    * @param saved what was saved
    */
-  public void load(long now, Collection<Told> saved) {
-    for (Told one : saved) {
+  public void load(long now, Collection<ReplicaState> saved) {
+    for (ReplicaState one : saved) {
       boolean live = one.value() != null;
       join(
           now,
-          live ? new Told(one.id(), one.stamp(), Standing.UNSURE, one.age(), one.value()) : one,
+          live
+              ? new ReplicaState(
+                  one.id(), one.stamp(), OverrideStatus.UNSURE, one.age(), one.value())
+              : one,
           now,
           0);
     }
   }
 
-  private Taken join(long now, Told told, long askedAt, long upFor) {
-    boolean live = told.standing() == Standing.IN_FORCE || told.standing() == Standing.UNSURE;
+  private UpdateResult join(long now, ReplicaState told, long askedAt, long upFor) {
+    boolean live =
+        told.standing() == OverrideStatus.IN_FORCE || told.standing() == OverrideStatus.UNSURE;
     if (live && told.value() == null
-        || told.stamp() == null && told.standing() != Standing.REVOKED) {
-      return Taken.KNOWN; // it says too little to be taken
+        || told.stamp() == null && told.standing() != OverrideStatus.REVOKED) {
+      return UpdateResult.KNOWN; // it says too little to be taken
     }
     long age = told.age() + stretched(now - askedAt);
-    Standing standing = live && age >= told.value().life() ? Standing.ENDED : told.standing();
+    OverrideStatus standing =
+        live && age >= told.value().life() ? OverrideStatus.ENDED : told.standing();
     Entry known = entries.get(told.id());
     if (known != null && !over(told.stamp(), standing, known)) {
       if (live && known.live() && known.standing == standing && told.stamp().equals(known.stamp)) {
         known.age =
-            standing == Standing.IN_FORCE
+            standing == OverrideStatus.IN_FORCE
                 ? Math.min(age, age(known, now)) // upper bounds of one age
                 : Math.max(
                     age,
                     age(known, now)); // off disks it is older than that, nobody knows by how much
         known.mark = now;
       }
-      return Taken.KNOWN;
+      return UpdateResult.KNOWN;
     }
-    boolean grows = standing == Standing.IN_FORCE || standing == Standing.UNSURE;
+    boolean grows = standing == OverrideStatus.IN_FORCE || standing == OverrideStatus.UNSURE;
     if (full(known, grows ? told.value() : null)) {
-      return Taken.FULL;
+      return UpdateResult.FULL;
     }
     Entry entry = known == null ? new Entry(told.id()) : known;
     long life =
@@ -166,22 +178,22 @@
     entry.value = grows ? told.value() : null;
     entry.age = age;
     entry.mark = now;
-    entry.keptUntil = standing == Standing.UNSURE ? now + life - Math.max(age, upFor) : 0;
+    entry.keptUntil = standing == OverrideStatus.UNSURE ? now + life - Math.max(age, upFor) : 0;
     entry.forgottenAt = grows ? Long.MAX_VALUE : now + life + 2 * (stretched(life) - life);
     version++;
-    return Taken.NEW;
+    return UpdateResult.NEW;
   }
 
   /**
    * Whether something told is above what is known: revoked over all, sure over unsure, the higher
    * stamp, ended.
    */
-  private static boolean over(Stamp stamp, Standing standing, Entry known) {
-    if (known.standing == Standing.REVOKED || standing == Standing.REVOKED) {
-      return known.standing != Standing.REVOKED;
+  private static boolean over(Version stamp, OverrideStatus standing, Entry known) {
+    if (known.standing == OverrideStatus.REVOKED || standing == OverrideStatus.REVOKED) {
+      return known.standing != OverrideStatus.REVOKED;
     }
-    if (standing == Standing.UNSURE != (known.standing == Standing.UNSURE)) {
-      return known.standing == Standing.UNSURE;
+    if (standing == OverrideStatus.UNSURE != (known.standing == OverrideStatus.UNSURE)) {
+      return known.standing == OverrideStatus.UNSURE;
     }
     int order = stamp.compareTo(known.stamp);
     return order > 0 || order == 0 && standing.compareTo(known.standing) > 0;
@@ -214,7 +226,7 @@
       if (one.live() && age(one, now) >= one.value.life()) {
         one.forgottenAt =
             now + one.value.life() + 2 * (stretched(one.value.life()) - one.value.life());
-        one.standing = Standing.ENDED;
+        one.standing = OverrideStatus.ENDED;
         one.value = null;
         version++;
       } else if (!one.live() && now >= one.forgottenAt) {
@@ -230,7 +242,7 @@
    * @param id its id
    * @return its standing, or null where it is not known
    */
-  public Standing standing(long now, String id) {
+  public OverrideStatus standing(long now, String id) {
     pass(now);
     Entry one = entries.get(id);
     return one == null ? null : one.standing;
@@ -246,8 +258,10 @@
     pass(now);
     List<TrafficOverride> all = new ArrayList<>();
     for (Entry one : entries.values()) {
-      if (one.standing == Standing.IN_FORCE
-          || one.standing == Standing.UNSURE && one.value.keepUnsure() && now < one.keptUntil) {
+      if (one.standing == OverrideStatus.IN_FORCE
+          || one.standing == OverrideStatus.UNSURE
+              && one.value.keepUnsure()
+              && now < one.keptUntil) {
         all.add(one.value);
       }
     }
@@ -266,7 +280,7 @@
         .filter(Entry::live)
         .mapToLong(
             one ->
-                one.standing == Standing.UNSURE && now < one.keptUntil
+                one.standing == OverrideStatus.UNSURE && now < one.keptUntil
                     ? one.keptUntil
                     : one.mark + (long) ((one.value.life() - one.age) / (1 + limits.drift())))
         .min()
@@ -279,12 +293,12 @@
    * @param now the clock
    * @return in the order of ids
    */
-  public List<Told> told(long now) {
+  public List<ReplicaState> told(long now) {
     pass(now);
     return entries.values().stream()
         .map(
             one ->
-                new Told(
+                new ReplicaState(
                     one.id, one.stamp, one.standing, one.live() ? age(one, now) : 0, one.value))
         .toList();
   }
@@ -296,12 +310,13 @@
    * @param id it
    * @return what is told of it, or null
    */
-  public Told told(long now, String id) {
+  public ReplicaState told(long now, String id) {
     pass(now);
     Entry one = entries.get(id);
     return one == null
         ? null
-        : new Told(one.id, one.stamp, one.standing, one.live() ? age(one, now) : 0, one.value);
+        : new ReplicaState(
+            one.id, one.stamp, one.standing, one.live() ? age(one, now) : 0, one.value);
   }
 
   /**
@@ -313,7 +328,7 @@
    * @param standing how it stands there
    * @return true if so
    */
-  public boolean wants(String id, Stamp stamp, Standing standing) {
+  public boolean wants(String id, Version stamp, OverrideStatus standing) {
     Entry known = entries.get(id);
     return known == null || over(stamp, standing, known);
   }
--- a/src/main/java/mothwing/override/Told.java
+++ b/src/main/java/mothwing/override/ReplicaState.java
@@ -9,4 +9,5 @@
  * @param age microseconds that it has lasted at the most, where it is in force or unsure
  * @param value the override itself, or null where it is over
  */
-public record Told(String id, Stamp stamp, Standing standing, long age, TrafficOverride value) {}
+public record ReplicaState(
+    String id, Version stamp, OverrideStatus standing, long age, TrafficOverride value) {}
--- a/src/main/java/mothwing/override/TrafficOverride.java
+++ b/src/main/java/mothwing/override/TrafficOverride.java
@@ -25,7 +25,7 @@
  */
 public record TrafficOverride(
     String id,
-    Stamp stamp,
+    Version stamp,
     What what,
     String kind,
     String tenant,
--- a/src/main/java/mothwing/override/Stamp.java
+++ b/src/main/java/mothwing/override/Version.java
@@ -10,14 +10,14 @@
  * @param origin the origin's name
  * @param count the number of the override in that start
  */
-public record Stamp(long start, String origin, long count) implements Comparable<Stamp> {
-  private static final Comparator<Stamp> ORDER =
-      Comparator.comparingLong(Stamp::start)
-          .thenComparing(Stamp::origin)
-          .thenComparingLong(Stamp::count);
+public record Version(long start, String origin, long count) implements Comparable<Version> {
+  private static final Comparator<Version> ORDER =
+      Comparator.comparingLong(Version::start)
+          .thenComparing(Version::origin)
+          .thenComparingLong(Version::count);
 
   @Override
-  public int compareTo(Stamp other) {
+  public int compareTo(Version other) {
     return ORDER.compare(this, other);
   }
 }
--- a/src/main/java/mothwing/peer/Codec.java
+++ b/src/main/java/mothwing/peer/MembershipMessageCodec.java
@@ -6,9 +6,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.zip.CRC32C;
-import mothwing.member.Claim;
-import mothwing.member.Message;
-import mothwing.member.State;
+import mothwing.membership.MemberRecord;
+import mothwing.membership.MemberState;
+import mothwing.membership.MembershipMessage;
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 import org.msgpack.core.MessagePackException;
@@ -20,7 +20,7 @@
  * not know skips its value, so that servers of different versions understand each other; a higher
  * version says that they would not.
  */
-final class Codec {
+final class MembershipMessageCodec {
   /** Bytes before the map. */
   static final int HEAD = 7;
 
@@ -38,7 +38,7 @@
     }
   }
 
-  private Codec() {}
+  private MembershipMessageCodec() {}
 
   private static final class Keys {
     static final int CLUSTER = 1;
@@ -56,7 +56,7 @@
     static final int BY = 7;
   }
 
-  static byte[] bytes(Message message) {
+  static byte[] bytes(MembershipMessage message) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packMapHeader(6);
       out.packInt(Keys.CLUSTER).packString(message.cluster());
@@ -66,7 +66,7 @@
       out.packInt(Keys.SELF);
       claim(out, message.self());
       out.packInt(Keys.CLAIMS).packArrayHeader(message.claims().size());
-      for (Claim one : message.claims()) {
+      for (MemberRecord one : message.claims()) {
         claim(out, one);
       }
       byte[] map = out.toByteArray();
@@ -85,7 +85,7 @@
     return (int) crc.getValue();
   }
 
-  private static void claim(MessageBufferPacker out, Claim one) throws IOException {
+  private static void claim(MessageBufferPacker out, MemberRecord one) throws IOException {
     out.packMapHeader(7);
     out.packInt(Keys.NAME).packString(one.name());
     out.packInt(Keys.START).packLong(one.start());
@@ -103,7 +103,7 @@
    * @return the message
    * @throws Bad where they are none
    */
-  static Message message(byte[] all) throws Bad {
+  static MembershipMessage message(byte[] all) throws Bad {
     ByteBuffer bytes = ByteBuffer.wrap(all);
     if (all.length < HEAD || bytes.getShort() != MAGIC) {
       throw new Bad("not-ours");
@@ -119,17 +119,17 @@
     }
   }
 
-  private static Message message(MessageUnpacker in) throws IOException {
+  private static MembershipMessage message(MessageUnpacker in) throws IOException {
     String cluster = null;
-    Message.Kind kind = null;
+    MembershipMessage.Kind kind = null;
     long seq = 0;
     String about = "";
-    Claim self = null;
-    List<Claim> claims = new ArrayList<>();
+    MemberRecord self = null;
+    List<MemberRecord> claims = new ArrayList<>();
     for (int left = in.unpackMapHeader(); left > 0; left--) {
       switch (in.unpackInt()) {
         case Keys.CLUSTER -> cluster = text(in);
-        case Keys.KIND -> kind = one(Message.Kind.values(), in.unpackInt());
+        case Keys.KIND -> kind = one(MembershipMessage.Kind.values(), in.unpackInt());
         case Keys.SEQ -> seq = in.unpackLong();
         case Keys.ABOUT -> about = text(in);
         case Keys.SELF -> self = claim(in);
@@ -144,16 +144,16 @@
     if (cluster == null || kind == null || self == null || in.hasNext()) {
       throw new Bad("malformed");
     }
-    return new Message(cluster, kind, seq, about, self, claims);
+    return new MembershipMessage(cluster, kind, seq, about, self, claims);
   }
 
-  private static Claim claim(MessageUnpacker in) throws IOException {
+  private static MemberRecord claim(MessageUnpacker in) throws IOException {
     String name = "";
     long start = 0;
     String address = "";
     String zone = "";
     long incarnation = -1;
-    State state = null;
+    MemberState state = null;
     String by = "";
     for (int left = in.unpackMapHeader(); left > 0; left--) {
       switch (in.unpackInt()) {
@@ -162,7 +162,7 @@
         case Keys.ADDRESS -> address = text(in);
         case Keys.ZONE -> zone = text(in);
         case Keys.INCARNATION -> incarnation = in.unpackLong();
-        case Keys.STATE -> state = one(State.values(), in.unpackInt());
+        case Keys.STATE -> state = one(MemberState.values(), in.unpackInt());
         case Keys.BY -> by = text(in);
         default -> in.skipValue();
       }
@@ -170,7 +170,7 @@
     if (name.isEmpty() || address.isEmpty() || incarnation < 0 || state == null) {
       throw new Bad("malformed");
     }
-    return new Claim(name, start, address, zone, incarnation, state, by);
+    return new MemberRecord(name, start, address, zone, incarnation, state, by);
   }
 
   private static String text(MessageUnpacker in) throws IOException {
--- a/src/main/java/mothwing/peer/Peer.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -25,19 +25,19 @@
 import java.util.Random;
 import java.util.Set;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
-import mothwing.member.Change;
-import mothwing.member.Claim;
-import mothwing.member.Host;
-import mothwing.member.Membership;
-import mothwing.member.Message;
-import mothwing.member.Pace;
-import mothwing.member.State;
-import mothwing.member.View;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
+import mothwing.membership.FailureDetectorSettings;
+import mothwing.membership.MemberRecord;
+import mothwing.membership.MemberState;
+import mothwing.membership.Membership;
+import mothwing.membership.MembershipEvent;
+import mothwing.membership.MembershipHost;
+import mothwing.membership.MembershipMessage;
+import mothwing.membership.MembershipView;
 import mothwing.net.RetryingSocketChannel;
 import mothwing.settings.Addresses;
-import mothwing.settings.BadInput;
+import mothwing.settings.InvalidInputException;
 import mothwing.settings.Site;
 
 /**
@@ -46,7 +46,7 @@
  * it listens; answers go to where the asker says that it wants them. It trusts its network. All of
  * it happens on one event loop.
  */
-public final class Peer implements Host {
+public final class PeerTransport implements MembershipHost {
   /** Most bytes of a message on a stream. */
   static final int MOST_STREAM = 8 << 20;
 
@@ -63,9 +63,9 @@
   private final Site.Fleet fleet;
   private final String name;
   private final EventLoop loop;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
+  private final EventLog log;
   private final Membership membership;
   private final Set<Channel> streams = new LinkedHashSet<>();
   private Channel datagrams;
@@ -84,35 +84,35 @@
    * @param counters counts what happens
    * @param log takes lines of the log
    */
-  public Peer(
+  public PeerTransport(
       Site.Fleet fleet,
       String name,
       EventLoop loop,
-      Timers timers,
+      Scheduler timers,
       Random random,
       Counters counters,
-      Log log) {
+      EventLog log) {
     this.fleet = fleet;
     this.name = name;
     this.loop = loop;
     this.timers = timers;
     this.counters = counters;
     this.log = log;
-    Claim self =
-        new Claim(
+    MemberRecord self =
+        new MemberRecord(
             name,
             random.nextLong() >>> 1,
             Addresses.text(fleet.advertise()),
             fleet.zone(),
             0,
-            State.ALIVE,
+            MemberState.ALIVE,
             name);
     membership =
         new Membership(
             fleet.name(),
             self,
             fleet.seeds().stream().map(Addresses::text).toList(),
-            Pace.USUAL,
+            FailureDetectorSettings.USUAL,
             timers,
             random,
             this);
@@ -217,7 +217,7 @@
    *
    * @return the view, with the latest changes
    */
-  public View view() {
+  public MembershipView view() {
     return membership.view();
   }
 
@@ -227,7 +227,7 @@
    * @return names with values, for JSON
    */
   public Map<String, Object> told() {
-    View view = view();
+    MembershipView view = view();
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("fleet", fleet.name());
     all.put("self", name);
@@ -241,7 +241,7 @@
     return all;
   }
 
-  private static Map<String, Object> told(Claim one, boolean flaps) {
+  private static Map<String, Object> told(MemberRecord one, boolean flaps) {
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("name", one.name());
     all.put("state", one.state().name().toLowerCase(Locale.ROOT));
@@ -257,8 +257,8 @@
   // what the core asks for
 
   @Override
-  public void send(String address, Message message) {
-    byte[] bytes = Codec.bytes(message);
+  public void send(String address, MembershipMessage message) {
+    byte[] bytes = MembershipMessageCodec.bytes(message);
     InetSocketAddress to = address(address);
     if (to != null) {
       counters.add("peer-datagrams-out");
@@ -269,8 +269,8 @@
   }
 
   @Override
-  public void stream(String address, Message message) {
-    byte[] bytes = Codec.bytes(message);
+  public void stream(String address, MembershipMessage message) {
+    byte[] bytes = MembershipMessageCodec.bytes(message);
     InetSocketAddress to = address(address);
     if (to == null) {
       return;
@@ -313,15 +313,15 @@
   private InetSocketAddress address(String text) {
     try {
       return Addresses.read(text, "address");
-    } catch (BadInput bad) {
+    } catch (InvalidInputException bad) {
       counters.add("peer-bad-address");
       return null;
     }
   }
 
   @Override
-  public void changed(Change change) {
-    Claim of = change.claim();
+  public void changed(MembershipEvent change) {
+    MemberRecord of = change.claim();
     counters.add("member-" + change.what().name().toLowerCase(Locale.ROOT));
     log.line(
         "member what="
@@ -346,10 +346,10 @@
 
   private void received(byte[] bytes) {
     counters.add("peer-bytes-in", bytes.length);
-    Message message;
+    MembershipMessage message;
     try {
-      message = Codec.message(bytes);
-    } catch (Codec.Bad bad) {
+      message = MembershipMessageCodec.message(bytes);
+    } catch (MembershipMessageCodec.Bad bad) {
       counters.add("peer-dropped-" + bad.getMessage());
       return;
     }
@@ -407,7 +407,7 @@
         return;
       }
       int length = gathered.getInt(gathered.readerIndex());
-      if (length < Codec.HEAD || length > MOST_STREAM) {
+      if (length < MembershipMessageCodec.HEAD || length > MOST_STREAM) {
         counters.add("peer-dropped-malformed");
         context.close();
       } else if (gathered.readableBytes() >= LENGTH + length) {
