--- a/src/main/java/mothwing/pool/Pool.java
+++ b/src/main/java/mothwing/pool/WorkerPoolClient.java
@@ -4,20 +4,20 @@
 import java.util.function.Supplier;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
+import mothwing.broker.EventLog;
 import mothwing.broker.Exchange;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
-import mothwing.broker.Workers;
+import mothwing.broker.Scheduler;
+import mothwing.broker.WorkerPool;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Dial;
-import mothwing.net.Reason;
+import mothwing.net.Connector;
 
 /**
  * The worker pool over its links: a link that breaks is opened again and goes on after the last
  * notice read, and so does the link to a new address. The old link is heard until the pool has
  * taken the new one, so that what was sent on it last is read.
  */
-public final class Pool implements Workers {
+public final class WorkerPoolClient implements WorkerPool {
   static final Set<String> NOTICES =
       Set.of("bound", "finished", "blocked", "polled", "verified", "unknown", "chatter");
 
@@ -48,13 +48,13 @@
   private static final long MOST_GAP =
       1 << 20; // numbers that a notice may be ahead: the pool keeps 4,000
 
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
-  private Dial dialer;
+  private final EventLog log;
+  private Connector dialer;
   private Broker broker;
-  private PoolLink link;
-  private PoolLink former;
+  private WorkerPoolConnection link;
+  private WorkerPoolConnection former;
   private long last;
   private long wait;
   private int dials;
@@ -72,7 +72,7 @@
    * @param counters counts what happens
    * @param log takes lines of the log
    */
-  public Pool(Dial dialer, Timers timers, Counters counters, Log log) {
+  public WorkerPoolClient(Connector dialer, Scheduler timers, Counters counters, EventLog log) {
     this.dialer = dialer;
     this.timers = timers;
     this.counters = counters;
@@ -122,7 +122,7 @@
    *
    * @param elsewhere opens links to the new address
    */
-  public void moved(Dial elsewhere) {
+  public void moved(Connector elsewhere) {
     dialer = elsewhere;
     wait = 0;
     if (broker != null) {
@@ -136,7 +136,7 @@
     }
     dialing = true;
     int mine = ++dials;
-    Supplier<Connection> maker = () -> new PoolLink(this, mine, broker, log, counters);
+    Supplier<Connection> maker = () -> new WorkerPoolConnection(this, mine, broker, log, counters);
     dialer.dial(maker, () -> again(mine));
   }
 
@@ -163,7 +163,7 @@
   /**
    * A link is open: it takes the place of the one before it, unless a later dial has overtaken it.
    */
-  boolean opened(PoolLink opened, int dial) {
+  boolean opened(WorkerPoolConnection opened, int dial) {
     if (dial != dials) {
       return false;
     }
@@ -179,7 +179,7 @@
 
   private void leaveFormer() {
     if (former != null) {
-      former.close(Reason.MOVED, "");
+      former.close(CloseReason.MOVED, "");
       former = null;
     }
   }
@@ -198,7 +198,7 @@
    * number that no pool reaches. Behind a gap the link is opened again, once, for what is missing;
    * the pool gives all notices after the last.
    */
-  boolean isNext(PoolLink on, long place) {
+  boolean isNext(WorkerPoolConnection on, long place) {
     if (place <= last) {
       counters.add("pool-notices-repeated");
       return false;
@@ -211,7 +211,7 @@
       log.line("pool-gap after=" + last + " next=" + place);
       if (gapAfter != last) {
         gapAfter = last;
-        on.close(Reason.MISSED, "");
+        on.close(CloseReason.MISSED, "");
         return false;
       }
       counters.add("pool-notices-missed", place - last - 1);
@@ -233,7 +233,7 @@
     return timers.now();
   }
 
-  void ended(PoolLink which) {
+  void ended(WorkerPoolConnection which) {
     if (link == which) {
       link = null;
       if (which.caughtUp()) {
--- a/src/main/java/mothwing/pool/PoolLink.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -8,19 +8,19 @@
 import java.io.StringReader;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
-import mothwing.OverloadControl.Outcome;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
+import mothwing.broker.EventLog;
 import mothwing.broker.Exchange;
-import mothwing.broker.Log;
-import mothwing.broker.Workers;
+import mothwing.broker.WorkerPool;
+import mothwing.control.RunOutcome;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
-import mothwing.settings.Fields;
+import mothwing.net.ProtocolException;
+import mothwing.settings.JsonFields;
 
 /** One link to the worker pool: commands and notices as JSON objects, one a line. */
-final class PoolLink extends Connection implements Workers {
+final class WorkerPoolConnection extends Connection implements WorkerPool {
   /** Most bytes of one line: a result of 4 KiB in base64, with much to spare. */
   static final int MOST_LINE = 64 << 10;
 
@@ -31,17 +31,18 @@
   private static final String CAUGHT_UP = "bind";
   private static final Gson GSON = new Gson();
 
-  private final Pool pool;
+  private final WorkerPoolClient pool;
   private final int dial;
   private final Broker broker;
-  private final Log log;
+  private final EventLog log;
   private final long openedAt;
   private boolean bound;
   private boolean caughtUp;
   private int passedOver;
   private long waitsSince = NEVER;
 
-  PoolLink(Pool pool, int dial, Broker broker, Log log, Counters counters) {
+  WorkerPoolConnection(
+      WorkerPoolClient pool, int dial, Broker broker, EventLog log, Counters counters) {
     super("pool", MOST_LINE, log, counters);
     this.pool = pool;
     this.dial = dial;
@@ -72,7 +73,7 @@
     if (pool.opened(this, dial)) {
       ask("{\"action\":\"bind\",\"pos\":" + pool.lastNotice() + "}");
     } else {
-      close(Reason.MOVED, "");
+      close(CloseReason.MOVED, "");
     }
   }
 
@@ -87,7 +88,7 @@
    * link, for ever.
    */
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean take(ByteBuf in) throws ProtocolException {
     waitsSince = NEVER;
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE && passedOver == 0) {
@@ -99,19 +100,20 @@
     String line = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
     in.skipBytes(length + 1);
     try (JsonReader reader = new JsonReader(new StringReader(line))) {
-      notice(Fields.read(reader));
-    } catch (IOException | IllegalStateException | JsonParseException | Malformed bad) {
+      notice(JsonFields.read(reader));
+    } catch (IOException | IllegalStateException | JsonParseException | ProtocolException bad) {
       bad(bad.getMessage());
     }
     return true;
   }
 
-  private void passOver(ByteBuf in, int length) throws Malformed {
+  private void passOver(ByteBuf in, int length) throws ProtocolException {
     int part = length < 0 ? in.readableBytes() : length + 1;
     in.skipBytes(part);
     passedOver += part;
     if (passedOver > MOST_PASSED_OVER) {
-      throw new Malformed(Reason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
+      throw new ProtocolException(
+          CloseReason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
     } else if (length >= 0) {
       bad("a line of " + passedOver + " bytes");
       passedOver = 0;
@@ -128,9 +130,9 @@
     return waitsSince == NEVER ? 0 : now - waitsSince;
   }
 
-  private void notice(Fields notice) throws IOException, Malformed {
+  private void notice(JsonFields notice) throws IOException, ProtocolException {
     String action = notice.text("action");
-    count("notice-" + (Pool.NOTICES.contains(action) ? action : "other"));
+    count("notice-" + (WorkerPoolClient.NOTICES.contains(action) ? action : "other"));
     long place = notice.whole("pos", 0);
     if (place > 0 && !pool.isNext(this, place)) {
       return;
@@ -159,38 +161,38 @@
       case "unknown" -> {
         log.line("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
         if (notice.text("code", "").equals("spawn")) {
-          broker.finished(notice.text("uid", ""), Outcome.MOOT, 0, null);
+          broker.finished(notice.text("uid", ""), RunOutcome.MOOT, 0, null);
         }
       }
       default -> {}
     }
   }
 
-  private void finished(Fields notice) throws IOException, Malformed {
+  private void finished(JsonFields notice) throws IOException, ProtocolException {
     String id = notice.text("uid");
     try {
       String code = notice.text("code");
-      Outcome outcome =
+      RunOutcome outcome =
           switch (code) {
-            case "done" -> Outcome.GOOD;
-            case "crashed" -> Outcome.FAILED;
-            case "aborted" -> Outcome.STOPPED;
-            case "stale" -> Outcome.MOOT;
-            default -> throw new Malformed(Reason.MALFORMED, "finished as " + code);
+            case "done" -> RunOutcome.GOOD;
+            case "crashed" -> RunOutcome.FAILED;
+            case "aborted" -> RunOutcome.STOPPED;
+            case "stale" -> RunOutcome.MOOT;
+            default -> throw new ProtocolException(CloseReason.MALFORMED, "finished as " + code);
           };
-      byte[] result = outcome == Outcome.GOOD ? decoded(notice.text("content", "")) : null;
+      byte[] result = outcome == RunOutcome.GOOD ? decoded(notice.text("content", "")) : null;
       broker.finished(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
-    } catch (IOException | Malformed unreadable) { // it is over, and its result is lost
-      broker.finished(id, Outcome.FAILED, 0, null);
+    } catch (IOException | ProtocolException unreadable) { // it is over, and its result is lost
+      broker.finished(id, RunOutcome.FAILED, 0, null);
       throw unreadable;
     }
   }
 
-  private static byte[] decoded(String content) throws Malformed {
+  private static byte[] decoded(String content) throws ProtocolException {
     try {
       return Base64.getDecoder().decode(content);
     } catch (IllegalArgumentException notBase64) {
-      throw new Malformed(Reason.MALFORMED, "content is not base64");
+      throw new ProtocolException(CloseReason.MALFORMED, "content is not base64");
     }
   }
 
--- a/src/main/java/mothwing/server/LineLog.java
+++ b/src/main/java/mothwing/server/AsyncLogWriter.java
@@ -5,14 +5,14 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
 
 /**
  * Writes the log on a thread of its own, each line with its time: whoever reads it slowly does not
  * hold up the event loop. Lines beyond a bound are dropped, and their number is written in their
  * place.
  */
-public final class LineLog implements Log {
+public final class AsyncLogWriter implements EventLog {
   private static final int MOST_WAITING = 4096;
   private static final String END = "";
 
@@ -26,7 +26,7 @@
    *
    * @param out where its lines go
    */
-  public LineLog(PrintStream out) {
+  public AsyncLogWriter(PrintStream out) {
     this.out = out;
     writer.setDaemon(true);
     writer.start();
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -10,10 +10,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Objects;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.Settings;
 import mothwing.settings.Addresses;
-import mothwing.settings.BadInput;
-import mothwing.settings.Fields;
+import mothwing.settings.InvalidInputException;
+import mothwing.settings.JsonFields;
 import mothwing.settings.SettingsCodec;
 import mothwing.settings.Site;
 import mothwing.settings.SiteScript;
@@ -42,7 +42,7 @@
     long stopMs,
     int sockets,
     Settings settings,
-    Fields told) {
+    JsonFields told) {
   private static final int HEXADECIMAL = 16;
 
   /**
@@ -53,10 +53,10 @@
    * @throws IOException where it cannot be understood; the message names the field
    */
   public static Config read(Reader json) throws IOException {
-    Fields all = object(json);
+    JsonFields all = object(json);
     Settings settings = SettingsCodec.read(seed(all.text("seed")), all.requiredInner("settings"));
     if (settings.classes().isEmpty()) {
-      throw new BadInput("field settings.Classes: required");
+      throw new InvalidInputException("field settings.Classes: required");
     }
     return new Config(
         all.text("name"),
@@ -156,38 +156,39 @@
     }
   }
 
-  private static Fields object(Reader json) throws IOException {
+  private static JsonFields object(Reader json) throws IOException {
     try (JsonReader reader = new JsonReader(json)) {
-      Fields all = Fields.read(reader);
+      JsonFields all = JsonFields.read(reader);
       if (reader.peek() != JsonToken.END_DOCUMENT) {
-        throw new BadInput("something follows the JSON object");
+        throw new InvalidInputException("something follows the JSON object");
       }
       return all;
     } catch (IllegalStateException notObject) {
-      throw new BadInput("not a JSON object");
+      throw new InvalidInputException("not a JSON object");
     }
   }
 
-  private static long seed(String text) throws BadInput {
+  private static long seed(String text) throws InvalidInputException {
     try {
       return Long.parseUnsignedLong(text, HEXADECIMAL);
     } catch (NumberFormatException notOne) {
-      throw new BadInput("field seed: not a hexadecimal number");
+      throw new InvalidInputException("field seed: not a hexadecimal number");
     }
   }
 
   /** Where operators call: what the configuration says, else what the environment does. */
-  private static InetSocketAddress management(String told) throws BadInput {
+  private static InetSocketAddress management(String told) throws InvalidInputException {
     String address =
         told.isEmpty() ? Objects.requireNonNullElse(System.getenv("EDGE_MANAGEMENT"), "") : told;
     return address.isEmpty() ? null : Addresses.read(address, "management");
   }
 
-  private static InetSocketAddress ledger(String told) throws BadInput {
+  private static InetSocketAddress ledger(String told) throws InvalidInputException {
     return told.isEmpty() ? null : Addresses.read(told, "ledger");
   }
 
-  private static InetSocketAddress address(Fields all, String name) throws BadInput {
+  private static InetSocketAddress address(JsonFields all, String name)
+      throws InvalidInputException {
     return Addresses.read(all.text(name), name);
   }
 }
--- a/src/main/java/mothwing/server/Reload.java
+++ b/src/main/java/mothwing/server/ConfigReloader.java
@@ -3,14 +3,14 @@
 import java.io.IOException;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import mothwing.settings.BadInput;
+import mothwing.settings.InvalidInputException;
 
 /**
  * Reads the configuration again and gives it to the running server. The file is read on a thread of
  * its own, one reading after the other: the event loop never waits for a disk, and the last reading
  * is the one that holds.
  */
-public final class Reload {
+public final class ConfigReloader {
   private final String path;
   private final Server server;
   private Config last;
@@ -29,7 +29,7 @@
    * @param first the configuration in force
    * @param server takes what was read
    */
-  public Reload(String path, Config first, Server server) {
+  public ConfigReloader(String path, Config first, Server server) {
     this.path = path;
     this.last = first;
     this.server = server;
@@ -47,7 +47,8 @@
             server.reload(now);
             last = now;
           } catch (IOException | RuntimeException bad) {
-            server.reloadFailed(bad instanceof BadInput ? bad.getMessage() : bad.toString());
+            server.reloadFailed(
+                bad instanceof InvalidInputException ? bad.getMessage() : bad.toString());
           }
         });
   }
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
 import mothwing.dns.server.DnsFront;
-import mothwing.settings.BadInput;
+import mothwing.settings.InvalidInputException;
 import mothwing.settings.Site;
 import mothwing.settings.SiteScript;
 
@@ -25,10 +25,10 @@
   private static final int LEAVE_PERIOD_MS = 20;
 
   private final Path settings;
-  private final Log log;
+  private final EventLog log;
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
-  private final LoopTimers timers = new LoopTimers(loop);
+  private final EventLoopScheduler timers = new EventLoopScheduler(loop);
   private final ExecutorService writer = helper("dns-write");
   private final ExecutorService reader = helper("dns-read");
   private final CountDownLatch ended = new CountDownLatch(1);
@@ -43,7 +43,7 @@
    * @param log takes lines of the log
    * @throws IOException where the script cannot be read or asks for no DNS
    */
-  public DnsService(Path settings, Log log) throws IOException {
+  public DnsService(Path settings, EventLog log) throws IOException {
     this.settings = settings;
     this.log = log;
     front =
@@ -61,7 +61,7 @@
   private static Site.Dns dns(Path settings) throws IOException {
     Site.Dns dns = SiteScript.read(settings).dns();
     if (dns == null) {
-      throw new BadInput(settings + ": no dns(listen = ...)");
+      throw new InvalidInputException(settings + ": no dns(listen = ...)");
     }
     return dns;
   }
--- a/src/main/java/mothwing/server/LoopTimers.java
+++ b/src/main/java/mothwing/server/EventLoopScheduler.java
@@ -2,16 +2,16 @@
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /** The clocks of the system, and timers on the event loop. */
-final class LoopTimers implements Timers {
+final class EventLoopScheduler implements Scheduler {
   private static final long NANOS = 1000;
 
   private final EventLoop loop;
   private final long start = System.nanoTime();
 
-  LoopTimers(EventLoop loop) {
+  EventLoopScheduler(EventLoop loop) {
     this.loop = loop;
   }
 
--- a/src/main/java/mothwing/server/Descriptors.java
+++ b/src/main/java/mothwing/server/FileDescriptorBudget.java
@@ -7,7 +7,7 @@
 import java.util.List;
 
 /** How many descriptors this process may hold, and how many of them no client gets. */
-final class Descriptors {
+final class FileDescriptorBudget {
   private static final Path LIMITS = Path.of("/proc/self/limits");
   private static final String OPEN_FILES = "Max open files";
   private static final int MOST_SPARE = 64;
@@ -16,7 +16,7 @@
   private static final int USUALLY_HELD = 16;
   private static final Path OPEN = Path.of("/proc/self/fd");
 
-  private Descriptors() {}
+  private FileDescriptorBudget() {}
 
   /**
    * The lower of what the configuration says and what the kernel does.
--- a/src/main/java/mothwing/server/Drain.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -10,12 +10,12 @@
 import java.net.SocketAddress;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
-import mothwing.OverloadControl.RequestClass;
 import mothwing.broker.Broker;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
+import mothwing.broker.EventLog;
+import mothwing.broker.Scheduler;
+import mothwing.control.RequestClass;
+import mothwing.net.CloseReason;
 import mothwing.net.Listener;
-import mothwing.net.Reason;
 import mothwing.net.RetryingSocketChannel;
 
 /**
@@ -23,7 +23,7 @@
  * clients at its address, lets the core answer what was read, closes connections once nothing is
  * open on them, and says when all is done.
  */
-final class Drain {
+final class GracefulShutdown {
   private static final long MILLI = 1000;
   private static final long PERIOD = 20 * MILLI;
   private static final long LAST_MOMENT =
@@ -43,9 +43,9 @@
   private static final int MOST_PROBES = 8;
 
   private final EventLoop loop;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Broker broker;
-  private final Log log;
+  private final EventLog log;
   private final Runnable done;
   private List<Listener> listeners;
   private long stopAt;
@@ -63,7 +63,7 @@
    * @param log takes lines of the log
    * @param done called once, when the process may end
    */
-  Drain(EventLoop loop, Timers timers, Broker broker, Log log, Runnable done) {
+  GracefulShutdown(EventLoop loop, Scheduler timers, Broker broker, EventLog log, Runnable done) {
     this.loop = loop;
     this.timers = timers;
     this.broker = broker;
@@ -159,7 +159,7 @@
       lastUntil = now + TO_CLOSE;
       broker.failOwed();
     }
-    listeners.forEach(one -> one.trim(last ? 0 : PERIOD, Reason.DRAIN));
+    listeners.forEach(one -> one.trim(last ? 0 : PERIOD, CloseReason.DRAIN));
     if (now >= lastUntil
         || broker.owed() == 0 && listeners.stream().allMatch(one -> one.open() == 0)) {
       log.line("leave owed=" + broker.owed());
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -21,25 +21,25 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import mothwing.Brain;
-import mothwing.OverloadControl.RequestClass;
+import mothwing.admin.AdminConnection;
+import mothwing.admin.AdminOperations;
 import mothwing.ajp.AjpConnection;
-import mothwing.announce.Announcer;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
 import mothwing.broker.RunClaims;
+import mothwing.control.RequestClass;
+import mothwing.dependency.DependencyConnectionManager;
+import mothwing.discovery.LoadReporter;
 import mothwing.fastcgi.FastCgiConnection;
-import mothwing.ledger.Ledger;
-import mothwing.management.DoorConnection;
-import mothwing.management.Operations;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Dialer;
-import mothwing.net.FairReads;
 import mothwing.net.Listener;
-import mothwing.net.Reason;
-import mothwing.peer.Peer;
-import mothwing.pool.Pool;
+import mothwing.net.ReadBudget;
+import mothwing.net.TcpConnector;
+import mothwing.overload.OverloadController;
+import mothwing.peer.PeerTransport;
+import mothwing.pool.WorkerPoolClient;
 import mothwing.settings.Site;
 import mothwing.store.ClaimTable;
 
@@ -57,26 +57,26 @@
   private static final int CHUNK_ORDER = 5; // chunks of 256 KiB
 
   private final InetSocketAddress ajp;
-  private final Log log;
+  private final EventLog log;
   private final Counters counters = new Counters();
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final PooledByteBufAllocator allocator =
       new PooledByteBufAllocator(true, 1, 1, PAGE, CHUNK_ORDER, 0, 0, false);
-  private final LoopTimers timers = new LoopTimers(loop);
+  private final EventLoopScheduler timers = new EventLoopScheduler(loop);
   private final List<Front> fronts = new ArrayList<>();
   private final List<Listener> listeners = new CopyOnWriteArrayList<>(); // those that listen
   private final CountDownLatch ended = new CountDownLatch(1);
-  private final Pool pool;
+  private final WorkerPoolClient pool;
   private final Broker broker;
-  private final Announcer announcer;
+  private final LoadReporter announcer;
   private volatile boolean failed;
   private boolean leaving;
   private int binding = 1; // binds under way, and the start itself
   private Config config;
   private Listener door;
-  private Peer peer;
-  private Ledger ledger;
+  private PeerTransport peer;
+  private DependencyConnectionManager ledger;
   private long reloads;
   private long reloadErrors;
   private long idleSpan;
@@ -90,14 +90,14 @@
    * @param ajp where to listen for AJP, or null for nowhere
    * @param log takes lines of the log
    */
-  public Server(Config config, InetSocketAddress ajp, Log log) {
+  public Server(Config config, InetSocketAddress ajp, EventLog log) {
     this.config = config;
     this.ajp = ajp;
     this.log = log;
-    pool = new Pool(dialer(config.pool()), timers, counters, log);
-    broker = new Broker(config.settings(), Brain::new, pool, timers, counters, log);
+    pool = new WorkerPoolClient(dialer(config.pool()), timers, counters, log);
+    broker = new Broker(config.settings(), OverloadController::new, pool, timers, counters, log);
     announcer =
-        new Announcer(
+        new LoadReporter(
             dialer(config.announce()),
             config.name(),
             () -> !broker.draining() && !broker.away(),
@@ -127,16 +127,16 @@
               + Site.Fleet.NAMED
               + ", as a member of a fleet is called");
     }
-    peer = new Peer(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
+    peer = new PeerTransport(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
   }
 
   private void callBelow() {
-    ledger = new Ledger(dialer(config.ledger()), timers, counters, log);
+    ledger = new DependencyConnectionManager(dialer(config.ledger()), timers, counters, log);
     ledger.serve(broker);
   }
 
-  private Dialer dialer(InetSocketAddress to) {
-    return new Dialer(loop, allocator, to);
+  private TcpConnector dialer(InetSocketAddress to) {
+    return new TcpConnector(loop, allocator, to);
   }
 
   /**
@@ -147,11 +147,11 @@
    * @throws IOException where it cannot listen
    */
   public void start() throws IOException {
-    int descriptors = Descriptors.most(config.sockets());
+    int descriptors = FileDescriptorBudget.most(config.sockets());
     int most =
         Math.max(
             1,
-            (descriptors - Descriptors.spare(descriptors, Descriptors.held()))
+            (descriptors - FileDescriptorBudget.spare(descriptors, FileDescriptorBudget.held()))
                 / (ajp == null ? 1 : 2));
     fronts.add(
         new Front(
@@ -163,18 +163,18 @@
               listener("ajp", () -> new AjpConnection(broker, log, counters), most, PATIENCE),
               ajp));
     }
-    FairReads turns = new FairReads(timers);
+    ReadBudget turns = new ReadBudget(timers);
     broker.shedWith(turns::sheds);
     fronts.forEach(one -> one.listener().inTurns(turns));
     if (config.management() == null) {
       listenNow(fronts);
     } else {
       fronts.forEach(one -> one.listener().share());
-      Operations operations = new Operators();
+      AdminOperations operations = new Operators();
       door =
           listener(
               "management",
-              () -> new DoorConnection(operations, log, counters),
+              () -> new AdminConnection(operations, log, counters),
               MOST_OPERATORS,
               DOOR_PATIENCE);
       shareClaims();
@@ -279,7 +279,7 @@
   }
 
   /** What operators may ask. */
-  private final class Operators implements Operations {
+  private final class Operators implements AdminOperations {
     private final Gson json = new Gson();
 
     @Override
@@ -367,13 +367,13 @@
   private void trim() {
     timers.at(timers.now() + TRIM_PERIOD, this::trim);
     if (door != null) {
-      door.trim(DOOR_PATIENCE, Reason.IDLE);
+      door.trim(DOOR_PATIENCE, CloseReason.IDLE);
     }
     if (!leaving) {
       listeners.forEach(Listener::look);
     }
     if (idleSpan > 0 && !leaving) { // on the way out Drain says how long connections may stay
-      listeners.forEach(one -> one.trim(idleSpan, Reason.IDLE));
+      listeners.forEach(one -> one.trim(idleSpan, CloseReason.IDLE));
     }
   }
 
@@ -406,7 +406,7 @@
   }
 
   private void leave() {
-    new Drain(
+    new GracefulShutdown(
             loop,
             timers,
             broker,
--- a/src/main/java/mothwing/settings/Addresses.java
+++ b/src/main/java/mothwing/settings/Addresses.java
@@ -24,7 +24,7 @@
    * @return the address
    * @throws BadInput where it is none
    */
-  public static InetSocketAddress read(String text, String name) throws BadInput {
+  public static InetSocketAddress read(String text, String name) throws InvalidInputException {
     int colon = text.lastIndexOf(':');
     try {
       String host = text.substring(0, Math.max(0, colon)).replace("[", "").replace("]", "");
@@ -34,6 +34,6 @@
     } catch (IllegalArgumentException notOne) {
       // falls through to the complaint
     }
-    throw new BadInput("field " + name + ": not an address with a port");
+    throw new InvalidInputException("field " + name + ": not an address with a port");
   }
 }
--- a/src/main/java/mothwing/settings/BadInput.java
+++ b/src/main/java/mothwing/settings/InvalidInputException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** JSON that cannot be understood; the message names the field. */
-public final class BadInput extends IOException {
+public final class InvalidInputException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /**
@@ -11,7 +11,7 @@
    *
    * @param message what is wrong, naming the field
    */
-  public BadInput(String message) {
+  public InvalidInputException(String message) {
     super(message);
   }
 }
--- a/src/main/java/mothwing/settings/Fields.java
+++ b/src/main/java/mothwing/settings/JsonFields.java
@@ -11,11 +11,11 @@
  * The fields of one JSON object, read by name with a plain complaint where one is missing or of a
  * wrong type.
  */
-public final class Fields {
+public final class JsonFields {
   private final Map<String, Object> values;
   private final String path;
 
-  private Fields(Map<String, Object> values, String path) {
+  private JsonFields(Map<String, Object> values, String path) {
     this.values = values;
     this.path = path;
   }
@@ -27,8 +27,8 @@
    * @return its fields
    * @throws IOException where it is no object, or broken
    */
-  public static Fields read(JsonReader parser) throws IOException {
-    return new Fields(object(parser), "");
+  public static JsonFields read(JsonReader parser) throws IOException {
+    return new JsonFields(object(parser), "");
   }
 
   private static Map<String, Object> object(JsonReader parser) throws IOException {
@@ -63,7 +63,7 @@
     };
   }
 
-  private static Number number(String path, String text) throws BadInput {
+  private static Number number(String path, String text) throws InvalidInputException {
     try {
       boolean whole = text.indexOf('.') < 0 && text.indexOf('e') < 0 && text.indexOf('E') < 0;
       Number value = whole ? (Number) Long.valueOf(text) : (Number) Double.valueOf(text);
@@ -72,7 +72,7 @@
       }
       throw new NumberFormatException();
     } catch (NumberFormatException tooLarge) {
-      throw new BadInput(
+      throw new InvalidInputException(
           "field " + path.replace("$.", "") + ": number " + text + " is out of range");
     }
   }
@@ -84,16 +84,18 @@
    * @param other the other fields
    * @throws BadInput where a key is missing; the message names it
    */
-  public void requireKeysIn(Fields other) throws BadInput {
+  public void requireKeysIn(JsonFields other) throws InvalidInputException {
     requireKeys(values, other.values, "");
   }
 
-  private static void requireKeys(Map<?, ?> here, Map<?, ?> there, String path) throws BadInput {
+  private static void requireKeys(Map<?, ?> here, Map<?, ?> there, String path)
+      throws InvalidInputException {
     for (Map.Entry<?, ?> one : here.entrySet()) {
       Object value = there.get(one.getKey());
       String name = path + one.getKey();
       if (one.getValue() != null && value == null) {
-        throw new BadInput("field " + name + ": required, as the configuration in force names it");
+        throw new InvalidInputException(
+            "field " + name + ": required, as the configuration in force names it");
       }
       if (one.getValue() instanceof Map<?, ?> inner && value instanceof Map<?, ?> others) {
         requireKeys(inner, others, name + ".");
@@ -129,22 +131,23 @@
    * @return its value, rounded down
    * @throws BadInput where it is missing, no number or not above 0
    */
-  public long positive(String name) throws BadInput {
+  public long positive(String name) throws InvalidInputException {
     long value = whole(name);
     if (value <= 0) {
-      throw new BadInput("field " + path + name + ": not above 0");
+      throw new InvalidInputException("field " + path + name + ": not above 0");
     }
     return value;
   }
 
-  private BadInput missing(String name) {
-    return new BadInput("field " + path + name + ": required");
+  private InvalidInputException missing(String name) {
+    return new InvalidInputException("field " + path + name + ": required");
   }
 
-  private <T> T typed(String name, Class<T> type) throws BadInput {
+  private <T> T typed(String name, Class<T> type) throws InvalidInputException {
     Object value = values.get(name);
     if (value != null && !type.isInstance(value)) {
-      throw new BadInput("field " + path + name + ": not a " + type.getSimpleName().toLowerCase());
+      throw new InvalidInputException(
+          "field " + path + name + ": not a " + type.getSimpleName().toLowerCase());
     }
     return type.cast(value);
   }
@@ -156,7 +159,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public String text(String name) throws BadInput {
+  public String text(String name) throws InvalidInputException {
     String value = typed(name, String.class);
     if (value == null) {
       throw missing(name);
@@ -172,7 +175,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public String text(String name, String absent) throws BadInput {
+  public String text(String name, String absent) throws InvalidInputException {
     String value = typed(name, String.class);
     return value == null ? absent : value;
   }
@@ -184,7 +187,7 @@
    * @return its value or null
    * @throws BadInput where it is of a wrong type
    */
-  public String reference(String name) throws BadInput {
+  public String reference(String name) throws InvalidInputException {
     return values.get(name) instanceof Number ? null : text(name, null);
   }
 
@@ -195,7 +198,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public long whole(String name) throws BadInput {
+  public long whole(String name) throws InvalidInputException {
     Number value = typed(name, Number.class);
     if (value == null) {
       throw missing(name);
@@ -211,7 +214,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public long whole(String name, long absent) throws BadInput {
+  public long whole(String name, long absent) throws InvalidInputException {
     Number value = typed(name, Number.class);
     return value == null ? absent : value.longValue();
   }
@@ -224,7 +227,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public double number(String name, double absent) throws BadInput {
+  public double number(String name, double absent) throws InvalidInputException {
     Number value = typed(name, Number.class);
     return value == null ? absent : value.doubleValue();
   }
@@ -236,7 +239,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public boolean mark(String name) throws BadInput {
+  public boolean mark(String name) throws InvalidInputException {
     return Boolean.TRUE.equals(typed(name, Boolean.class));
   }
 
@@ -247,10 +250,10 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public Fields inner(String name) throws BadInput {
+  public JsonFields inner(String name) throws InvalidInputException {
     @SuppressWarnings("unchecked")
     Map<String, Object> value = typed(name, Map.class);
-    return new Fields(value == null ? Map.of() : value, path + name + ".");
+    return new JsonFields(value == null ? Map.of() : value, path + name + ".");
   }
 
   /**
@@ -260,14 +263,14 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public Fields requiredInner(String name) throws BadInput {
+  public JsonFields requiredInner(String name) throws InvalidInputException {
     if (values.get(name) == null) {
       throw missing(name);
     }
     return inner(name);
   }
 
-  private List<?> items(String name) throws BadInput {
+  private List<?> items(String name) throws InvalidInputException {
     List<?> value = typed(name, List.class);
     return value == null ? List.of() : value;
   }
@@ -279,15 +282,15 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public List<Fields> inners(String name) throws BadInput {
-    List<Fields> all = new ArrayList<>();
+  public List<JsonFields> inners(String name) throws InvalidInputException {
+    List<JsonFields> all = new ArrayList<>();
     for (Object item : items(name)) {
       if (!(item instanceof Map)) {
-        throw new BadInput("field " + path + name + ": not a list of objects");
+        throw new InvalidInputException("field " + path + name + ": not a list of objects");
       }
       @SuppressWarnings("unchecked")
       Map<String, Object> map = (Map<String, Object>) item;
-      all.add(new Fields(map, path + name + "[]."));
+      all.add(new JsonFields(map, path + name + "[]."));
     }
     return all;
   }
@@ -299,7 +302,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public List<Fields> requiredInners(String name) throws BadInput {
+  public List<JsonFields> requiredInners(String name) throws InvalidInputException {
     if (values.get(name) == null) {
       throw missing(name);
     }
@@ -313,12 +316,12 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public double[] numbers(String name) throws BadInput {
+  public double[] numbers(String name) throws InvalidInputException {
     List<?> items = items(name);
     double[] all = new double[items.size()];
     for (int i = 0; i < all.length; i++) {
       if (!(items.get(i) instanceof Number number)) {
-        throw new BadInput("field " + path + name + ": not a list of numbers");
+        throw new InvalidInputException("field " + path + name + ": not a list of numbers");
       }
       all[i] = number.doubleValue();
     }
@@ -332,7 +335,7 @@
    * @return its value
    * @throws BadInput where it is missing or of a wrong type
    */
-  public List<String> texts(String name) throws BadInput {
+  public List<String> texts(String name) throws InvalidInputException {
     List<String> all = new ArrayList<>();
     for (Object item : items(name)) {
       all.add(String.valueOf(item));
@@ -341,13 +344,13 @@
   }
 
   /** The mark at a place of a list, false where the list is shorter. */
-  boolean markAt(String name, int place) throws BadInput {
+  boolean markAt(String name, int place) throws InvalidInputException {
     List<?> items = items(name);
     return place < items.size() && Boolean.TRUE.equals(items.get(place));
   }
 
   /** The number at a place of a list, 0 where the list is shorter. */
-  double numberAt(String name, int place) throws BadInput {
+  double numberAt(String name, int place) throws InvalidInputException {
     List<?> items = items(name);
     return place < items.size() && items.get(place) instanceof Number number
         ? number.doubleValue()
--- a/src/main/java/mothwing/settings/Secret.java
+++ b/src/main/java/mothwing/settings/Secret.java
@@ -31,7 +31,7 @@
       byte[] secret =
           Base64.getDecoder().decode(new String(text, StandardCharsets.ISO_8859_1).strip());
       if (text.length > MOST_BYTES || secret.length < LEAST_SECRET) {
-        throw new BadInput(
+        throw new InvalidInputException(
             where
                 + " has a secret of "
                 + secret.length
@@ -42,7 +42,7 @@
       }
       return secret;
     } catch (IllegalArgumentException not) {
-      throw new BadInput(where + " is not base64");
+      throw new InvalidInputException(where + " is not base64");
     }
   }
 }
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -4,17 +4,17 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import mothwing.OverloadControl.Dependency;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Goal;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Rules;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
-import mothwing.OverloadControl.Tenant;
+import mothwing.control.Dependency;
+import mothwing.control.FreeValue;
+import mothwing.control.Goal;
+import mothwing.control.Idempotency;
+import mothwing.control.Machine;
+import mothwing.control.RequestClass;
+import mothwing.control.Rules;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.StopMode;
+import mothwing.control.Tenant;
 
 /**
  * Turns the JSON object of the settings, in the names of the simulator's wire, into {@link
@@ -31,9 +31,9 @@
    * @return the settings
    * @throws BadInput where a field is missing or of a wrong type
    */
-  public static Settings read(long seed, Fields options) throws BadInput {
-    Fields extra = options.inner("Extra");
-    Fields goal = options.inner("ScoreParts");
+  public static Settings read(long seed, JsonFields options) throws InvalidInputException {
+    JsonFields extra = options.inner("Extra");
+    JsonFields goal = options.inner("ScoreParts");
     return new Settings(
         seed,
         options.whole("Round", 0),
@@ -55,19 +55,21 @@
         signals(extra, options.inner("Limits")));
   }
 
-  private static List<RequestClass> classes(Fields options, Fields extra) throws BadInput {
+  private static List<RequestClass> classes(JsonFields options, JsonFields extra)
+      throws InvalidInputException {
     List<RequestClass> all = new ArrayList<>();
     Set<String> names = new HashSet<>();
-    for (Fields one : options.inners("Classes")) {
+    for (JsonFields one : options.inners("Classes")) {
       if (!names.add(one.text("Name"))) {
-        throw new BadInput("field Classes[].Name: " + one.text("Name") + " stands twice");
+        throw new InvalidInputException(
+            "field Classes[].Name: " + one.text("Name") + " stands twice");
       }
       int place = all.size();
-      Repeats repeats =
+      Idempotency repeats =
           switch (one.text("Idempotency", "free")) {
-            case "free" -> Repeats.SAFE;
-            case "guarded" -> Repeats.GUARDED;
-            default -> Repeats.SINGLE_SHOT;
+            case "free" -> Idempotency.SAFE;
+            case "guarded" -> Idempotency.GUARDED;
+            default -> Idempotency.SINGLE_SHOT;
           };
       all.add(
           new RequestClass(
@@ -84,15 +86,15 @@
     return all;
   }
 
-  private static List<Tenant> tenants(Fields options) throws BadInput {
+  private static List<Tenant> tenants(JsonFields options) throws InvalidInputException {
     List<Tenant> all = new ArrayList<>();
-    for (Fields one : options.inners("Tenants")) {
+    for (JsonFields one : options.inners("Tenants")) {
       all.add(new Tenant(one.text("Name"), one.number("QuotaPerS", 0)));
     }
     return all;
   }
 
-  private static Rules rules(Fields contract) throws BadInput {
+  private static Rules rules(JsonFields contract) throws InvalidInputException {
     return new Rules(
         contract.whole("AnswerSlack", 0),
         contract.whole("DrainGrace", 0),
@@ -102,17 +104,17 @@
         contract.whole("WarmAfter", 0));
   }
 
-  private static Dependency dependency(Fields extra) throws BadInput {
+  private static Dependency dependency(JsonFields extra) throws InvalidInputException {
     return new Dependency(
         extra.number("CallsOut", 0), extra.whole("DepWindow", 0), extra.whole("Linger", 0));
   }
 
-  private static Machine machine(Fields extra) throws BadInput {
-    Halting halting =
+  private static Machine machine(JsonFields extra) throws InvalidInputException {
+    StopMode halting =
         switch (extra.text("Halt", "silent")) {
-          case "abort" -> Halting.ABORT;
-          case "suspend" -> Halting.SUSPEND;
-          default -> Halting.NONE;
+          case "abort" -> StopMode.ABORT;
+          case "suspend" -> StopMode.SUSPEND;
+          default -> StopMode.NONE;
         };
     return new Machine(
         (int) extra.whole("Cores", 1),
@@ -124,7 +126,7 @@
         halting);
   }
 
-  private static Signals signals(Fields extra, Fields limits) throws BadInput {
+  private static Signals signals(JsonFields extra, JsonFields limits) throws InvalidInputException {
     FreeValue value =
         switch (extra.text("Say", "silent")) {
           case "threshold" -> FreeValue.LEVEL;
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -94,7 +94,7 @@
       throws ScriptError {
     try {
       return Addresses.read(text, name);
-    } catch (BadInput bad) {
+    } catch (InvalidInputException bad) {
       throw call.wrong(bad.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
     }
   }
--- a/src/main/java/mothwing/store/Corrupt.java
+++ b/src/main/java/mothwing/store/CorruptRecordException.java
@@ -6,7 +6,7 @@
  * A file of the store that is damaged where it cannot be by a crash alone: what it had is not
  * passed over silently.
  */
-public final class Corrupt extends IOException {
+public final class CorruptRecordException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /**
@@ -16,7 +16,7 @@
    * @param offset where the damage begins
    * @param what what is wrong
    */
-  public Corrupt(String file, long offset, String what) {
+  public CorruptRecordException(String file, long offset, String what) {
     super(file + " at byte " + offset + ": " + what);
   }
 }
--- a/src/main/java/mothwing/store/Disk.java
+++ b/src/main/java/mothwing/store/Disk.java
@@ -61,10 +61,10 @@
    */
   static Disk of(Path folder) throws IOException {
     Files.createDirectories(folder);
-    String control = System.getProperty(TroubledDisk.PROPERTY);
+    String control = System.getProperty(FaultInjectingDisk.PROPERTY);
     return control == null
         ? new Folder(folder)
-        : new TroubledDisk(new Folder(folder), Path.of(control));
+        : new FaultInjectingDisk(new Folder(folder), Path.of(control));
   }
 
   /** A real folder. */
--- a/src/main/java/mothwing/store/TroubledDisk.java
+++ b/src/main/java/mothwing/store/FaultInjectingDisk.java
@@ -18,7 +18,7 @@
  * @param disk the real one
  * @param control the control file; where it is missing there is no trouble
  */
-record TroubledDisk(Disk disk, Path control) implements Disk {
+record FaultInjectingDisk(Disk disk, Path control) implements Disk {
   /** The system property that names the control file. */
   static final String PROPERTY = "mothwing.disk.control";
 
@@ -101,7 +101,7 @@
 
     @Override
     public void force() throws IOException {
-      TroubledDisk.this.force();
+      FaultInjectingDisk.this.force();
       opened.force();
     }
 
--- a/src/main/java/mothwing/store/Committer.java
+++ b/src/main/java/mothwing/store/GroupCommitter.java
@@ -16,7 +16,7 @@
  * fails, all records that are on their way fail with it, in order: each may rest on the one before.
  * Those that the owner appends after it has heard of the failure are tried afresh.
  */
-public final class Committer {
+public final class GroupCommitter {
   private static final int MOST_FRAME = 8 << 20;
 
   /** Something to be done by the helper, in order; {@code record} is null for a snapshot. */
@@ -51,7 +51,7 @@
    * @param helper runs work on the one helper thread
    * @param mostWaiting most records that may wait
    */
-  public Committer(Journal journal, Executor owner, Executor helper, int mostWaiting) {
+  public GroupCommitter(Journal journal, Executor owner, Executor helper, int mostWaiting) {
     this.journal = journal;
     this.owner = owner;
     this.helper = helper;
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -109,17 +109,20 @@
 
   private void readSnapshot(String snapshot, Replay replay) throws IOException {
     try (Disk.Opened opened = disk.open(snapshot)) {
-      long at = Frames.first(opened, snapshot) == sequence(snapshot, SNAPSHOT) ? Frames.HEAD : -1;
+      long at =
+          RecordFraming.first(opened, snapshot) == sequence(snapshot, SNAPSHOT)
+              ? RecordFraming.HEAD
+              : -1;
       long pieces = 0;
       while (at >= 0 && at < opened.size()) {
-        Frames.Frame frame = Frames.read(opened, at);
+        RecordFraming.Frame frame = RecordFraming.read(opened, at);
         if (frame == null || frame.first() != pieces && frame.first() != -1) {
-          throw new Corrupt(snapshot, at, "a damaged piece of the snapshot");
+          throw new CorruptRecordException(snapshot, at, "a damaged piece of the snapshot");
         }
         if (frame.first() == -1) { // the last: says how many there were
           if (frame.records().size() != 1
               || java.nio.ByteBuffer.wrap(frame.records().get(0)).getLong() != pieces) {
-            throw new Corrupt(snapshot, at, "pieces of the snapshot are missing");
+            throw new CorruptRecordException(snapshot, at, "pieces of the snapshot are missing");
           }
           return;
         }
@@ -129,7 +132,7 @@
         pieces++;
         at = frame.end();
       }
-      throw new Corrupt(snapshot, Math.max(0, at), "the snapshot is cut short");
+      throw new CorruptRecordException(snapshot, Math.max(0, at), "the snapshot is cut short");
     }
   }
 
@@ -137,25 +140,25 @@
     Disk.Opened opened = disk.open(log);
     boolean kept = false;
     try {
-      long first = Frames.first(opened, log);
-      if (first < 0 && last && Frames.findAfter(opened, 0, next) < 0) {
+      long first = RecordFraming.first(opened, log);
+      if (first < 0 && last && RecordFraming.findAfter(opened, 0, next) < 0) {
         this.log.accept("journal-cut file=" + log + " at=0 bytes=" + opened.size());
         disk.delete(log); // it was being made; nothing in it was acknowledged
         return;
       } else if (first < 0 || first != sequence(log, LOG) || first > next) {
-        throw new Corrupt(
+        throw new CorruptRecordException(
             log,
             0,
             first > next
                 ? "records " + next + " to " + (first - 1) + " are missing"
                 : "the head is damaged");
       }
-      long at = Frames.HEAD;
+      long at = RecordFraming.HEAD;
       long expected = first;
       while (at < opened.size()) {
-        Frames.Frame frame = Frames.read(opened, at);
+        RecordFraming.Frame frame = RecordFraming.read(opened, at);
         if (frame != null && frame.first() != expected) {
-          throw new Corrupt(
+          throw new CorruptRecordException(
               log, at, "a frame with record " + frame.first() + ", expected " + expected);
         } else if (frame == null) {
           cut(opened, log, at, last, expected);
@@ -189,9 +192,9 @@
 
   private void cut(Disk.Opened opened, String log, long at, boolean last, long expected)
       throws IOException {
-    long later = Frames.findAfter(opened, at + 1, expected);
+    long later = RecordFraming.findAfter(opened, at + 1, expected);
     if (!last || later >= 0) {
-      throw new Corrupt(
+      throw new CorruptRecordException(
           log,
           at,
           "a damaged frame, followed by whole ones"
@@ -208,7 +211,7 @@
     Disk.Opened opened = disk.open(fresh);
     try {
       opened.truncate(0);
-      opened.append(Frames.head(next));
+      opened.append(RecordFraming.head(next));
       opened.force();
       disk.forceNames();
     } catch (IOException failed) {
@@ -223,7 +226,7 @@
     }
     file = opened;
     name = fresh;
-    good = Frames.HEAD;
+    good = RecordFraming.HEAD;
   }
 
   /**
@@ -234,11 +237,11 @@
    * @throws IOException where they could not be written: none of them is in the journal
    */
   public void append(List<byte[]> records) throws IOException {
-    if (records.stream().mapToLong(one -> one.length + 4L).sum() > Frames.MOST_FRAME) {
-      throw new IOException("records of more than " + Frames.MOST_FRAME + " bytes at once");
+    if (records.stream().mapToLong(one -> one.length + 4L).sum() > RecordFraming.MOST_FRAME) {
+      throw new IOException("records of more than " + RecordFraming.MOST_FRAME + " bytes at once");
     }
     repair();
-    java.nio.ByteBuffer frame = Frames.frame(next, records);
+    java.nio.ByteBuffer frame = RecordFraming.frame(next, records);
     int length = frame.remaining();
     broken = true; // until it is known to be whole
     try {
@@ -308,12 +311,12 @@
       this.covers = next - 1;
       this.pieces = pieces;
       repair();
-      if (good > Frames.HEAD || !name.equals(named(LOG, next))) {
+      if (good > RecordFraming.HEAD || !name.equals(named(LOG, next))) {
         begin(); // what comes from now on is in a file of its own
       }
       aside = disk.open(ASIDE);
       aside.truncate(0);
-      aside.append(Frames.head(covers));
+      aside.append(RecordFraming.head(covers));
     }
 
     /**
@@ -332,11 +335,11 @@
           bytes += one.length;
         }
         if (!some.isEmpty()) {
-          aside.append(Frames.frame(frames++, some));
+          aside.append(RecordFraming.frame(frames++, some));
           return true;
         }
         byte[] count = java.nio.ByteBuffer.allocate(8).putLong(frames).array();
-        aside.append(Frames.frame(-1, List.of(count)));
+        aside.append(RecordFraming.frame(-1, List.of(count)));
         aside.force();
       } catch (IOException failed) {
         giveUp();
--- a/src/main/java/mothwing/store/Frames.java
+++ b/src/main/java/mothwing/store/RecordFraming.java
@@ -13,7 +13,7 @@
  * appendix B.4 has the polynomial) and its records, each behind its length. All numbers are
  * big-endian.
  */
-final class Frames {
+final class RecordFraming {
   /** Bytes of a file's head. */
   static final int HEAD = 24;
 
@@ -29,7 +29,7 @@
   /** What a frame says: its first sequence number, its records, and where it ends. */
   record Frame(long first, List<byte[]> records, long end) {}
 
-  private Frames() {}
+  private RecordFraming() {}
 
   static ByteBuffer head(long first) {
     ByteBuffer head = ByteBuffer.allocate(HEAD);
@@ -53,7 +53,7 @@
     long first = head.getLong();
     boolean whole = (int) crc.getValue() == head.getInt();
     if (whole && magic == FILE_MAGIC && version > VERSION) {
-      throw new Corrupt(name, 0, "written by a newer version of this program");
+      throw new CorruptRecordException(name, 0, "written by a newer version of this program");
     }
     return whole && magic == FILE_MAGIC && version == VERSION ? first : -1;
   }
--- a/src/main/java/mothwing/lab/Stand.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -9,35 +9,35 @@
 import java.util.Map;
 import java.util.function.BiFunction;
 import java.util.function.Function;
-import mothwing.Brain;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Dependency;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Goal;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Rules;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
-import mothwing.OverloadControl.Tenant;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
-import mothwing.broker.Caller;
 import mothwing.broker.Counters;
 import mothwing.broker.Exchange;
-import mothwing.broker.Timers;
-import mothwing.broker.Workers;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.ResponseSink;
+import mothwing.broker.Scheduler;
+import mothwing.broker.WorkerPool;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.Dependency;
+import mothwing.control.FreeValue;
+import mothwing.control.Goal;
+import mothwing.control.Idempotency;
+import mothwing.control.Machine;
+import mothwing.control.RequestClass;
+import mothwing.control.Rules;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.StopMode;
+import mothwing.control.Tenant;
 import mothwing.net.Connection;
+import mothwing.overload.OverloadController;
 
 /**
  * What the tests of connections share: a broker with the real decisions, a clock by hand and a pool
  * by hand.
  */
-public final class Stand implements Timers, Workers {
+public final class BrokerFixture implements Scheduler, WorkerPool {
   /** The wall clock at the start. */
   public static final long WALL_MS = 1_764_576_000_000L;
 
@@ -73,24 +73,27 @@
   private final VirtualTime time = new VirtualTime();
 
   /** Makes a broker that the pool, which is this stand, has not bound yet. */
-  public Stand() {
-    broker = new Broker(settings(4.5, 2), Brain::new, this, this, counters, lines::add);
+  public BrokerFixture() {
+    broker =
+        new Broker(settings(4.5, 2), OverloadController::new, this, this, counters, lines::add);
   }
 
   /** Makes a broker with other decisions. */
-  public Stand(Controller decisions) {
+  public BrokerFixture(Controller decisions) {
     broker =
         new Broker(
             settings(4.5, 2), (settings, host) -> decisions, this, this, counters, lines::add);
   }
 
   /** Makes a broker with another way to the pool. */
-  public Stand(Function<Stand, Workers> pool) {
-    this(Brain::new, pool);
+  public BrokerFixture(Function<BrokerFixture, WorkerPool> pool) {
+    this(OverloadController::new, pool);
   }
 
   /** Makes a broker with other decisions and another way to the pool. */
-  public Stand(BiFunction<Settings, Host, Controller> decisions, Function<Stand, Workers> pool) {
+  public BrokerFixture(
+      BiFunction<Settings, ControllerHost, Controller> decisions,
+      Function<BrokerFixture, WorkerPool> pool) {
     broker = new Broker(settings(4.5, 2), decisions, pool.apply(this), this, counters, lines::add);
   }
 
@@ -102,8 +105,8 @@
         7,
         2_000,
         List.of(
-            new RequestClass(LOOK, aim, deadline, 1, 0, Repeats.SAFE, 0, false, 0),
-            new RequestClass(ORDER, aim, deadline, 10, 0, Repeats.SINGLE_SHOT, 0, false, 0)),
+            new RequestClass(LOOK, aim, deadline, 1, 0, Idempotency.SAFE, 0, false, 0),
+            new RequestClass(ORDER, aim, deadline, 10, 0, Idempotency.SINGLE_SHOT, 0, false, 0)),
         List.of(new Tenant("one", 1e6)),
         10,
         3,
@@ -120,7 +123,7 @@
             0,
             false,
             List.of("cpu_busy", "runnable", "mem_used", "sockets"),
-            Halting.SUSPEND),
+            StopMode.SUSPEND),
         new Signals(FreeValue.LEVEL, SECOND, true, SECOND, true, 30 * SECOND));
   }
 
@@ -130,18 +133,18 @@
   }
 
   /** The pool takes the link. */
-  public Stand bound() {
+  public BrokerFixture bound() {
     broker.bound(false, 3600 * SECOND);
     return this;
   }
 
   /** A request is read, as a front would bring it; its answer goes to the caller. */
-  public Exchange ask(String id, String kind, byte[] body, Caller caller) {
-    Arrival.Fields fields = new Arrival.Fields();
+  public Exchange ask(String id, String kind, byte[] body, ResponseSink caller) {
+    InboundRequest.Fields fields = new InboundRequest.Fields();
     Gateway.fields(id, wallMs()).forEach(fields::set);
     try {
       return broker.read(fields.at("/call/" + kind, body), caller);
-    } catch (Arrival.Bad bad) {
+    } catch (InboundRequest.InvalidRequestException bad) {
       throw new IllegalArgumentException(bad.getMessage(), bad);
     }
   }
@@ -177,9 +180,9 @@
   }
 
   /** Ends a run of the pool. */
-  public void finish(String id, Outcome outcome) {
+  public void finish(String id, RunOutcome outcome) {
     byte[] result = running.remove(id);
-    broker.finished(id, outcome, 1000, outcome == Outcome.GOOD ? result : null);
+    broker.finished(id, outcome, 1000, outcome == RunOutcome.GOOD ? result : null);
   }
 
   /** The name of some run, or null where there is none. */
@@ -226,7 +229,7 @@
   @Override
   public void suspend(String id) {
     if (running.remove(id) != null) {
-      at(now(), () -> broker.finished(id, Outcome.STOPPED, 1000, null));
+      at(now(), () -> broker.finished(id, RunOutcome.STOPPED, 1000, null));
     }
   }
 
--- a/src/main/java/mothwing/lab/Callers.java
+++ b/src/main/java/mothwing/trial/Callers.java
@@ -1,10 +1,10 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Random;
-import mothwing.broker.Timers;
-import mothwing.lab.History.End;
+import mothwing.broker.Scheduler;
+import mothwing.trial.History.End;
 
 /**
  * Callers come at random times, whatever becomes of those before them, and try again where they
@@ -15,16 +15,16 @@
   private static final double SECOND = 1e6;
 
   private final Trial trial;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Random random; // of arrivals alone: a seed's callers come alike in every play
   private final Random pauses;
-  private final List<Shopfront> gateways;
+  private final List<SimulatedGateway> gateways;
   private long until;
   private long nextAt;
   private int orders;
   private int waiting;
 
-  Callers(Trial trial, Timers timers, Random random, List<Shopfront> gateways) {
+  Callers(Trial trial, Scheduler timers, Random random, List<SimulatedGateway> gateways) {
     this.trial = trial;
     this.timers = timers;
     this.random = random;
@@ -61,7 +61,7 @@
     once(
         order,
         0,
-        write ? Stand.ORDER : Stand.LOOK,
+        write ? BrokerFixture.ORDER : BrokerFixture.LOOK,
         random.nextDouble(),
         random.nextInt(gateways.size()));
   }
--- a/src/main/java/mothwing/lab/Deployment.java
+++ b/src/main/java/mothwing/trial/Deployment.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -6,17 +6,17 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
-import mothwing.OverloadControl.Dependency;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Goal;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Rules;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
-import mothwing.OverloadControl.Tenant;
+import mothwing.control.Dependency;
+import mothwing.control.FreeValue;
+import mothwing.control.Goal;
+import mothwing.control.Idempotency;
+import mothwing.control.Machine;
+import mothwing.control.RequestClass;
+import mothwing.control.Rules;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.StopMode;
+import mothwing.control.Tenant;
 
 /**
  * A deployment that nobody has: settings within what the platform may say, and the truth that they
@@ -92,7 +92,7 @@
               (long) (deadline * 1000),
               1 + random.nextInt(10),
               random.nextInt(3) == 0 ? 0.3 : 0,
-              Repeats.values()[random.nextInt(3)],
+              Idempotency.values()[random.nextInt(3)],
               10 * SECOND,
               many > 0,
               many > 0 && random.nextInt(3) == 0 ? 0.5 : 0));
@@ -147,7 +147,7 @@
                 100,
                 false,
                 List.copyOf(gauges),
-                Halting.values()[random.nextInt(3)]),
+                StopMode.values()[random.nextInt(3)]),
             new Signals(
                 FreeValue.values()[random.nextInt(4)],
                 SECOND,
--- a/src/main/java/mothwing/lab/DeploymentPlay.java
+++ b/src/main/java/mothwing/trial/DeploymentSimulation.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -6,27 +6,27 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Settings;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
-import mothwing.broker.Caller;
-import mothwing.broker.Calls;
 import mothwing.broker.Counters;
+import mothwing.broker.DependencyClient;
 import mothwing.broker.Exchange;
-import mothwing.broker.Workers;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.ResponseSink;
+import mothwing.broker.WorkerPool;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.Idempotency;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.StopMode;
 
 /**
  * A drawn deployment on virtual time: servers with the real core, pools whose runs leave their
  * cores for calls, one tier below that all share, and callers that ask once. What it says of rules
  * and service it takes from what callers were told and from the cores, never from the servers.
  */
-final class DeploymentPlay {
+final class DeploymentSimulation {
   private static final long MILLI = 1000;
   private static final long SECOND = 1_000_000;
   private static final long WIRE = 200; // microseconds from a server to its pool, or back
@@ -40,7 +40,7 @@
   /** Makes the decisions of one server. */
   interface Maker {
     /** Makes them; the speed is the truth about its cores. */
-    Controller make(Settings settings, Host host, double speed);
+    Controller make(Settings settings, ControllerHost host, double speed);
   }
 
   /**
@@ -67,7 +67,7 @@
   private long failed;
   private int number;
 
-  private DeploymentPlay(Deployment of, Maker maker) {
+  private DeploymentSimulation(Deployment of, Maker maker) {
     this.of = of;
     random = new Random(of.seed());
     tier = new TierBelow();
@@ -78,7 +78,7 @@
 
   /** Plays it. */
   static Result play(Deployment of, Maker maker) {
-    return new DeploymentPlay(of, maker).run();
+    return new DeploymentSimulation(of, maker).run();
   }
 
   private Result run() {
@@ -137,7 +137,7 @@
     asked.put(one.id, one);
     offered += worth(kind);
     server.broker.read(
-        new Arrival(
+        new InboundRequest(
             one.id,
             time.wallMs(),
             tenants == 0 ? "" : of.settings().tenants().get(random.nextInt(tenants)).name(),
@@ -146,13 +146,13 @@
             random.nextDouble(),
             null,
             null,
-            Arrival.NOT_TOLD,
+            InboundRequest.NOT_TOLD,
             new byte[0]),
         one);
   }
 
   /** One request, and the way back of it. */
-  private final class Asked implements Caller {
+  private final class Asked implements ResponseSink {
     final String id;
     final int kind;
     final Server server;
@@ -194,7 +194,7 @@
 
     @Override
     public void refused(boolean last, long holdOffMs) {
-      if (runs > 0 && told().repeats() != Repeats.SAFE) {
+      if (runs > 0 && told().repeats() != Idempotency.SAFE) {
         breach("ran and was refused " + id);
       }
       refused++;
@@ -209,7 +209,7 @@
   }
 
   /** A server in front of its own cores. */
-  private final class Server implements Workers {
+  private final class Server implements WorkerPool {
     final Counters counters = new Counters();
     final PoolCores cores;
     final Broker broker;
@@ -223,7 +223,7 @@
       for (int i = 0; i < classes.size(); i++) {
         kinds.put(classes.get(i).name(), of.kinds().get(i));
       }
-      boolean keeps = of.settings().machine().halting() == Halting.SUSPEND;
+      boolean keeps = of.settings().machine().halting() == StopMode.SUSPEND;
       cores =
           new PoolCores(
               new PoolCores.Work(of.settings().machine().cores(), kinds::get, keeps),
@@ -298,7 +298,7 @@
       if (one.running || one.paused) {
         return true;
       }
-      if (++one.runs > 1 && one.told().repeats() != Repeats.SAFE) {
+      if (++one.runs > 1 && one.told().repeats() != Idempotency.SAFE) {
         breach("ran twice " + one.id);
       }
       one.running = true;
@@ -318,13 +318,13 @@
                       one.paused =
                           stopped
                               && one.answers == 0
-                              && of.settings().machine().halting() == Halting.SUSPEND;
+                              && of.settings().machine().halting() == StopMode.SUSPEND;
                       time.at(
                           time.now() + WIRE,
                           () ->
                               broker.finished(
                                   id,
-                                  stopped ? Outcome.STOPPED : Outcome.GOOD,
+                                  stopped ? RunOutcome.STOPPED : RunOutcome.GOOD,
                                   took,
                                   stopped ? null : body));
                     }
@@ -426,9 +426,9 @@
       }
     }
 
-    Calls of(Broker broker) {
+    DependencyClient of(Broker broker) {
       Map<String, String> names = new LinkedHashMap<>();
-      return new Calls() {
+      return new DependencyClient() {
         @Override
         public boolean make(String id, long limitMs, byte[] content) {
           String call = id + "-" + ++calls;
@@ -440,10 +440,10 @@
                   return;
                 }
                 if (gone) {
-                  tell(id, call, Outcome.UNREACHED);
+                  tell(id, call, RunOutcome.UNREACHED);
                   return;
                 }
-                cut.put(call, () -> tell(id, call, Outcome.CUT));
+                cut.put(call, () -> tell(id, call, RunOutcome.CUT));
                 cores.spawn(
                     call,
                     "call",
@@ -451,19 +451,19 @@
                     1,
                     (which, code, took, body) -> {
                       if (cut.remove(call) != null && code.equals("done")) {
-                        tell(id, call, Outcome.GOOD);
+                        tell(id, call, RunOutcome.GOOD);
                       }
                     });
               });
           return true;
         }
 
-        private void tell(String id, String call, Outcome how) {
+        private void tell(String id, String call, RunOutcome how) {
           time.at(
               time.now() + TO_TIER,
               () -> {
                 if (names.remove(id, call)) {
-                  broker.callOver(id, how, how == Outcome.GOOD ? new byte[0] : null);
+                  broker.callOver(id, how, how == RunOutcome.GOOD ? new byte[0] : null);
                 }
               });
         }
--- a/src/main/java/mothwing/lab/Register.java
+++ b/src/main/java/mothwing/trial/EndpointList.java
@@ -1,25 +1,25 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /** The announce service: who reported in the last 3 s, told to gateways a while late. Pure. */
-final class Register {
+final class EndpointList {
   private static final long MILLI = 1000;
   private static final long LAPSE = 3000 * MILLI;
   private static final long LAG = 1000 * MILLI;
   private static final long EVERY = 250 * MILLI;
 
-  private final Timers timers;
+  private final Scheduler timers;
   private final Links links;
-  private final Map<String, Shopfront> gateways;
+  private final Map<String, SimulatedGateway> gateways;
   private final Map<String, Long> heard = new LinkedHashMap<>();
   private boolean over;
 
-  Register(Timers timers, Links links, Map<String, Shopfront> gateways) {
+  EndpointList(Scheduler timers, Links links, Map<String, SimulatedGateway> gateways) {
     this.timers = timers;
     this.links = links;
     this.gateways = gateways;
--- a/src/main/java/mothwing/lab/Fault.java
+++ b/src/main/java/mothwing/trial/Fault.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
--- a/src/main/java/mothwing/lab/Drawn.java
+++ b/src/main/java/mothwing/trial/FaultBounds.java
@@ -1,11 +1,11 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.EnumSet;
 import java.util.List;
 import java.util.Random;
 import java.util.Set;
-import mothwing.lab.Fault.Kind;
+import mothwing.trial.Fault.Kind;
 
 /**
  * The bounds within which faults are drawn from a seed.
@@ -14,7 +14,7 @@
  * @param longest seconds that one lasts, at most
  * @param kinds of which
  */
-record Drawn(int faults, double longest, Set<Kind> kinds) {
+record FaultBounds(int faults, double longest, Set<Kind> kinds) {
   /** The kinds that both stages play. */
   static final Set<Kind> BOTH = both();
 
@@ -22,7 +22,7 @@
   private static final double MOST_DELAY_MS = 400;
   private static final double LEAST_BYTES = 2000;
 
-  Drawn {
+  FaultBounds {
     kinds = Set.copyOf(kinds);
   }
 
--- a/src/main/java/mothwing/lab/FleetStage.java
+++ b/src/main/java/mothwing/trial/FleetStage.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -41,7 +41,7 @@
     final SocketChannel clients;
     final SocketChannel door;
     final StandInPool pool = new StandInPool(1);
-    Served now;
+    ServerProcess now;
 
     private Machine(String name, int place, int inZone) throws IOException {
       this.name = name;
@@ -54,8 +54,8 @@
       }
       advertise = relay.open(name, "nobody", ProcessStage.address(RELAY_NET, place), listen);
       relay.openDatagrams(name, advertise, listen);
-      clients = Served.port(own);
-      door = Served.port(own);
+      clients = ServerProcess.port(own);
+      door = ServerProcess.port(own);
     }
 
     /** Starts its server, with the given machines as seeds. */
@@ -83,14 +83,15 @@
                   + "], zone = \""
                   + zone
                   + "\")\n");
-      Served.Place place =
-          new Served.Place(
+      ServerProcess.Place place =
+          new ServerProcess.Place(
               as,
               (InetSocketAddress) clients.getLocalAddress(),
               (InetSocketAddress) door.getLocalAddress(),
               pool.address(),
               new InetSocketAddress("127.0.0.1", 1));
-      now = new Served(folder, place, Trial.Fleet.single(), "mothwing.Main", site, line -> {});
+      now =
+          new ServerProcess(folder, place, Trial.Fleet.single(), "mothwing.Main", site, line -> {});
     }
 
     /** What it holds of each: names with states; empty where it does not answer. */
--- a/src/main/java/mothwing/lab/LateSeeing.java
+++ b/src/main/java/mothwing/trial/FullKnowledgePolicy.java
@@ -1,25 +1,25 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.GaugeSample;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
 
 /**
  * A policy that is told the truth: what runs of each class take in the mean, how fast the cores
  * are, what a call takes. It sees what its cores have left to do a fifth of a second late. A
  * yardstick for decisions that have to find all that out.
  */
-final class LateSeeing implements Controller {
+final class FullKnowledgePolicy implements Controller {
   private static final long LATE = 200_000;
   private static final long MARGIN = 60_000; // before a due time, for a batch and a timer
 
@@ -50,7 +50,7 @@
   }
 
   private final Settings settings;
-  private final Host host;
+  private final ControllerHost host;
   private final Deployment of;
   private final double speed;
   private final int crowd;
@@ -61,7 +61,8 @@
   private long noticeAt = Long.MAX_VALUE;
 
   /** At most so many runs share a core. */
-  LateSeeing(Settings settings, Host host, Deployment of, double speed, int crowd) {
+  FullKnowledgePolicy(
+      Settings settings, ControllerHost host, Deployment of, double speed, int crowd) {
     this.crowd = crowd;
     this.settings = settings;
     this.host = host;
@@ -152,10 +153,10 @@
   }
 
   @Override
-  public void callEnded(long at, String id, Outcome outcome, long took) {
+  public void callEnded(long at, String id, RunOutcome outcome, long took) {
     Job job = open.get(id);
-    boolean again = outcome.neverRan() || job != null && job.kind.repeats() == Repeats.SAFE;
-    if (job != null && outcome == Outcome.GOOD) {
+    boolean again = outcome.neverRan() || job != null && job.kind.repeats() == Idempotency.SAFE;
+    if (job != null && outcome == RunOutcome.GOOD) {
       job.stand = Stand.RUNNING;
     } else if (job != null && again && at + MARGIN < until(job)) {
       atCall(at, id);
@@ -166,12 +167,12 @@
   }
 
   @Override
-  public void finished(long at, String id, Outcome outcome, long took) {
+  public void finished(long at, String id, RunOutcome outcome, long took) {
     open.remove(id);
   }
 
   @Override
-  public void timer(long at, String tag, Sample sample) {
+  public void timer(long at, String tag, GaugeSample sample) {
     host.timer(at + LATE, "see");
     seen =
         open.values().stream()
--- a/src/main/java/mothwing/lab/Till.java
+++ b/src/main/java/mothwing/trial/GatewayConnection.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,7 +6,7 @@
 import java.util.Arrays;
 
 /** A stand-in gateway's connection on loopback. */
-public final class Till implements AutoCloseable {
+public final class GatewayConnection implements AutoCloseable {
   private static final int PATIENCE_MS =
       60_000; // far beyond any due time: a test that waits so long has failed
 
@@ -16,7 +16,7 @@
   private final Socket socket = new Socket();
 
   /** Connects. */
-  public Till(Gateway gateway, InetSocketAddress to) throws IOException {
+  public GatewayConnection(Gateway gateway, InetSocketAddress to) throws IOException {
     this.gateway = gateway;
     socket.setSoTimeout(PATIENCE_MS);
     socket.setTcpNoDelay(true);
--- a/src/main/java/mothwing/lab/GatewaySockets.java
+++ b/src/main/java/mothwing/trial/GatewaySockets.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -18,8 +18,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import mothwing.broker.Timers;
-import mothwing.lab.History.End;
+import mothwing.broker.Scheduler;
+import mothwing.trial.History.End;
 
 /**
  * Carries what gateways send over FastCGI, each gateway from an address of its own, through the
@@ -36,7 +36,7 @@
   private static final int GOOD = 200;
 
   private final EventLoop loop;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Relay relay;
   private final Map<String, InetAddress> gateways;
   private final Map<String, InetSocketAddress> servers = new HashMap<>();
@@ -63,7 +63,7 @@
     }
   }
 
-  GatewaySockets(EventLoop loop, Timers timers, Relay relay, Map<String, InetAddress> gateways) {
+  GatewaySockets(EventLoop loop, Scheduler timers, Relay relay, Map<String, InetAddress> gateways) {
     this.loop = loop;
     this.timers = timers;
     this.relay = relay;
@@ -141,7 +141,7 @@
     final Map<Integer, Sent> owed = new LinkedHashMap<>();
     final Map<Integer, Sent> answered = new HashMap<>();
     final List<Sent> early = new ArrayList<>();
-    final mothwing.lab.Gateway.FastCgi codec = new mothwing.lab.Gateway.FastCgi();
+    final mothwing.trial.Gateway.FastCgi codec = new mothwing.trial.Gateway.FastCgi();
     Channel channel;
     boolean reached;
     long lastAt;
@@ -206,7 +206,7 @@
     private void write(Sent one) {
       one.sentAt = timers.now();
       Map<String, String> fields =
-          mothwing.lab.Gateway.fields(one.ask.trace(), one.ask.acceptedAtMs());
+          mothwing.trial.Gateway.fields(one.ask.trace(), one.ask.acceptedAtMs());
       fields.put("Standing", Fault.number(one.ask.rank()));
       if (one.ask.again()) {
         fields.put("Is-Retry", "1");
@@ -220,7 +220,7 @@
       owed.remove(one.id);
       early.remove(one);
       if (reached && !ended) {
-        channel.writeAndFlush(Unpooled.wrappedBuffer(mothwing.lab.Gateway.FastCgi.abort(one.id)));
+        channel.writeAndFlush(Unpooled.wrappedBuffer(mothwing.trial.Gateway.FastCgi.abort(one.id)));
       }
     }
 
--- a/src/main/java/mothwing/lab/History.java
+++ b/src/main/java/mothwing/trial/History.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
--- a/src/main/java/mothwing/lab/MemberFigures.java
+++ b/src/main/java/mothwing/trial/MembershipStatistics.java
@@ -1,18 +1,18 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.PrintStream;
 import java.util.List;
 import java.util.Locale;
 import java.util.Random;
 import java.util.TreeSet;
-import mothwing.lab.MemberNet.Node;
-import mothwing.lab.MemberNet.Seen;
-import mothwing.member.Change.What;
-import mothwing.member.Pace;
+import mothwing.membership.FailureDetectorSettings;
+import mothwing.membership.MembershipEvent.Type;
+import mothwing.trial.SimulatedMembershipNetwork.Node;
+import mothwing.trial.SimulatedMembershipNetwork.Seen;
 import org.HdrHistogram.Histogram;
 
 /** Measures membership on virtual time: {@code members simulate}. */
-public final class MemberFigures {
+public final class MembershipStatistics {
   private static final double MICRO = 1e6;
   private static final int KILLS = 20;
   private static final double APART = 20; // seconds between kills, in which all settle
@@ -21,7 +21,7 @@
       2_000_000; // mean microseconds by which a slow member is late with all that comes
   private static final double LOSS = 0.05;
 
-  private MemberFigures() {}
+  private MembershipStatistics() {}
 
   /**
    * Prints the figures for one number of members.
@@ -33,7 +33,8 @@
    * @return 0, or 1 where members did not agree in the end
    */
   public static int print(int members, long seed, double seconds, PrintStream out) {
-    MemberNet net = new MemberNet(members, Pace.USUAL, seed).startAll();
+    SimulatedMembershipNetwork net =
+        new SimulatedMembershipNetwork(members, FailureDetectorSettings.USUAL, seed).startAll();
     double met = net.untilAgreed(120);
     out.printf(Locale.ROOT, "%d members, seed %d: all met after %.1f s%n", members, seed, met);
     net.pass(30 + members / 10.0); // until what was told at the start has been told on
@@ -46,17 +47,18 @@
         (sum(net, false) - messages) / 20.0 / members,
         (sum(net, true) - bytes) / 20.0 / members);
     boolean good = met >= 0 && kills(net, seed, out) && split(net, out);
-    for (Pace pace : List.of(Pace.USUAL, Pace.USUAL.withoutDoubt())) {
+    for (FailureDetectorSettings pace :
+        List.of(FailureDetectorSettings.USUAL, FailureDetectorSettings.USUAL.withoutDoubt())) {
       strained(members, seed, seconds, pace, out);
     }
     return good ? 0 : 1;
   }
 
-  private static long sum(MemberNet net, boolean bytes) {
+  private static long sum(SimulatedMembershipNetwork net, boolean bytes) {
     return net.nodes.values().stream().mapToLong(one -> bytes ? one.bytes : one.sent).sum();
   }
 
-  private static boolean kills(MemberNet net, long seed, PrintStream out) {
+  private static boolean kills(SimulatedMembershipNetwork net, long seed, PrintStream out) {
     Random random = new Random(seed);
     Histogram first = new Histogram(3);
     Histogram all = new Histogram(3);
@@ -69,7 +71,7 @@
       net.pass(APART / 2);
       TreeSet<String> told = new TreeSet<>();
       for (Seen seen : net.seen) {
-        if (seen.change().what() == What.DIED
+        if (seen.change().what() == Type.DIED
             && seen.change().claim().name().equals(one.name)
             && told.add(seen.by())) {
           all.recordValue(seen.at() - from);
@@ -96,7 +98,7 @@
     return good;
   }
 
-  private static boolean split(MemberNet net, PrintStream out) {
+  private static boolean split(SimulatedMembershipNetwork net, PrintStream out) {
     int half = net.nodes.size() / 2;
     net.cut =
         (from, to) ->
@@ -109,8 +111,9 @@
     return met >= 0;
   }
 
-  private static void strained(int members, long seed, double seconds, Pace pace, PrintStream out) {
-    MemberNet net = new MemberNet(members, pace, seed).startAll();
+  private static void strained(
+      int members, long seed, double seconds, FailureDetectorSettings pace, PrintStream out) {
+    SimulatedMembershipNetwork net = new SimulatedMembershipNetwork(members, pace, seed).startAll();
     net.untilAgreed(120);
     net.pass(10);
     int slow = (int) Math.ceil(members * SLOW);
@@ -121,7 +124,7 @@
     TreeSet<String> deaths = new TreeSet<>();
     long healthy = 0;
     for (Seen seen : net.seen) {
-      if (seen.change().what() == What.DIED
+      if (seen.change().what() == Type.DIED
           && deaths.add(seen.change().claim().name() + seen.change().claim().incarnation())) {
         healthy += net.nodes.get(seen.change().claim().name()).slow == 0 ? 1 : 0;
       }
--- a/src/main/java/mothwing/lab/Oracles.java
+++ b/src/main/java/mothwing/trial/Oracles.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -9,13 +9,13 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import mothwing.lab.Fault.Kind;
-import mothwing.lab.History.Applied;
-import mothwing.lab.History.Call;
-import mothwing.lab.History.Crowd;
-import mothwing.lab.History.End;
-import mothwing.lab.History.Life;
-import mothwing.lab.History.Run;
+import mothwing.trial.Fault.Kind;
+import mothwing.trial.History.Applied;
+import mothwing.trial.History.Call;
+import mothwing.trial.History.Crowd;
+import mothwing.trial.History.End;
+import mothwing.trial.History.Life;
+import mothwing.trial.History.Run;
 
 /** Judges a history by the rules. Pure, and independent of what was judged. */
 final class Oracles {
--- a/src/main/java/mothwing/lab/OverrideMutations.java
+++ b/src/main/java/mothwing/trial/OverrideMutations.java
@@ -1,14 +1,14 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mothwing.override.Message;
-import mothwing.override.Stamp;
-import mothwing.override.Standing;
-import mothwing.override.Told;
+import mothwing.override.OverrideMessage;
+import mothwing.override.OverrideStatus;
+import mothwing.override.ReplicaState;
+import mothwing.override.Version;
 
 /**
  * One message at a time: a short scenario of four servers (overrides made, ended, taken back, a
@@ -69,8 +69,9 @@
   private OverrideMutations() {}
 
   /** Plays it with one record, by its number over all disks, that is not what was written. */
-  static OverrideNet play(long record, Writ how) {
-    OverrideNet net = new OverrideNet(4, SEED, OverrideNet.Planted.NONE);
+  static SimulatedOverrideNetwork play(long record, Writ how) {
+    SimulatedOverrideNetwork net =
+        new SimulatedOverrideNetwork(4, SEED, SimulatedOverrideNetwork.Planted.NONE);
     net.tamper((number, from, to, message, way) -> way.arrives(from, message, 0));
     net.write(
         (number, told, before) ->
@@ -80,20 +81,27 @@
                   case LOST -> null;
                   case PREVIOUS -> before;
                   case AGE_NOTHING ->
-                      new Told(told.id(), told.stamp(), told.standing(), 0, told.value());
+                      new ReplicaState(told.id(), told.stamp(), told.standing(), 0, told.value());
                   case AGE_MUCH ->
-                      new Told(told.id(), told.stamp(), told.standing(), MUCH, told.value());
-                  case ENDED -> new Told(told.id(), told.stamp(), Standing.ENDED, 0, null);
-                  case REVOKED -> new Told(told.id(), told.stamp(), Standing.REVOKED, 0, null);
+                      new ReplicaState(
+                          told.id(), told.stamp(), told.standing(), MUCH, told.value());
+                  case ENDED ->
+                      new ReplicaState(told.id(), told.stamp(), OverrideStatus.ENDED, 0, null);
+                  case REVOKED ->
+                      new ReplicaState(told.id(), told.stamp(), OverrideStatus.REVOKED, 0, null);
                   case IN_FORCE ->
-                      new Told(
-                          told.id(), told.stamp(), Standing.IN_FORCE, told.age(), told.value());
+                      new ReplicaState(
+                          told.id(),
+                          told.stamp(),
+                          OverrideStatus.IN_FORCE,
+                          told.age(),
+                          told.value());
                   default ->
                       told.stamp() == null
                           ? told
-                          : new Told(
+                          : new ReplicaState(
                               told.id(),
-                              new Stamp(0, "", 0),
+                              new Version(0, "", 0),
                               told.standing(),
                               told.age(),
                               told.value());
@@ -102,7 +110,7 @@
     return net;
   }
 
-  private static void scenario(OverrideNet net) {
+  private static void scenario(SimulatedOverrideNetwork net) {
     net.pass(9 * SECOND);
     net.make("n0", "o1", 12, true);
     net.pass(SECOND);
@@ -132,8 +140,9 @@
   }
 
   /** Plays it with one mutation, or with none for null. */
-  static OverrideNet play(At at) {
-    OverrideNet net = new OverrideNet(4, SEED, OverrideNet.Planted.NONE);
+  static SimulatedOverrideNetwork play(At at) {
+    SimulatedOverrideNetwork net =
+        new SimulatedOverrideNetwork(4, SEED, SimulatedOverrideNetwork.Planted.NONE);
     Map<String, Runnable> held = new LinkedHashMap<>();
     net.tamper(
         (number, from, to, message, way) -> {
@@ -167,59 +176,65 @@
   }
 
   /** The same message with one field that is another one. */
-  private static List<Message> variants(Message message) {
-    List<Message> all = new ArrayList<>();
-    if (message instanceof Message.Digest digest) {
-      all.add(new Message.Digest(0));
-      all.add(new Message.Digest(digest.hash() + 1));
-    } else if (message instanceof Message.Known known) {
-      all.add(new Message.Known(known.all(), !known.part()));
-      all.add(new Message.Known(List.of(), known.part()));
+  private static List<OverrideMessage> variants(OverrideMessage message) {
+    List<OverrideMessage> all = new ArrayList<>();
+    if (message instanceof OverrideMessage.Digest digest) {
+      all.add(new OverrideMessage.Digest(0));
+      all.add(new OverrideMessage.Digest(digest.hash() + 1));
+    } else if (message instanceof OverrideMessage.Known known) {
+      all.add(new OverrideMessage.Known(known.all(), !known.part()));
+      all.add(new OverrideMessage.Known(List.of(), known.part()));
       for (int i = 0; i < known.all().size(); i++) {
-        Message.Has one = known.all().get(i);
-        List<Message.Has> others = new ArrayList<>();
-        for (Standing standing : Standing.values()) {
-          others.add(new Message.Has(one.id(), one.stamp(), standing));
+        OverrideMessage.Has one = known.all().get(i);
+        List<OverrideMessage.Has> others = new ArrayList<>();
+        for (OverrideStatus standing : OverrideStatus.values()) {
+          others.add(new OverrideMessage.Has(one.id(), one.stamp(), standing));
         }
-        others.add(new Message.Has("o9", one.stamp(), one.standing()));
-        others.add(new Message.Has(one.id(), new Stamp(0, "", 0), one.standing()));
-        others.add(new Message.Has(one.id(), new Stamp(MUCH, "n9", MUCH), one.standing()));
-        for (Message.Has other : others) {
-          List<Message.Has> copy = new ArrayList<>(known.all());
+        others.add(new OverrideMessage.Has("o9", one.stamp(), one.standing()));
+        others.add(new OverrideMessage.Has(one.id(), new Version(0, "", 0), one.standing()));
+        others.add(
+            new OverrideMessage.Has(one.id(), new Version(MUCH, "n9", MUCH), one.standing()));
+        for (OverrideMessage.Has other : others) {
+          List<OverrideMessage.Has> copy = new ArrayList<>(known.all());
           copy.set(i, other);
-          all.add(new Message.Known(copy, known.part()));
+          all.add(new OverrideMessage.Known(copy, known.part()));
         }
       }
-    } else if (message instanceof Message.Ask ask) {
-      all.add(new Message.Ask(0, ask.ids()));
-      all.add(new Message.Ask(ask.number(), List.of()));
-      all.add(new Message.Ask(ask.number(), List.of("o9", "o1")));
-    } else if (message instanceof Message.Answer answer) {
-      all.add(new Message.Answer(0, answer.all()));
-      all.add(new Message.Answer(answer.number(), List.of()));
+    } else if (message instanceof OverrideMessage.Ask ask) {
+      all.add(new OverrideMessage.Ask(0, ask.ids()));
+      all.add(new OverrideMessage.Ask(ask.number(), List.of()));
+      all.add(new OverrideMessage.Ask(ask.number(), List.of("o9", "o1")));
+    } else if (message instanceof OverrideMessage.Answer answer) {
+      all.add(new OverrideMessage.Answer(0, answer.all()));
+      all.add(new OverrideMessage.Answer(answer.number(), List.of()));
       for (int i = 0; i < answer.all().size(); i++) {
-        Told one = answer.all().get(i);
-        List<Told> others =
+        ReplicaState one = answer.all().get(i);
+        List<ReplicaState> others =
             new ArrayList<>(
                 List.of(
-                    new Told(one.id(), one.stamp(), one.standing(), MUCH, one.value()),
-                    new Told(one.id(), one.stamp(), Standing.ENDED, one.age(), null)));
+                    new ReplicaState(one.id(), one.stamp(), one.standing(), MUCH, one.value()),
+                    new ReplicaState(
+                        one.id(), one.stamp(), OverrideStatus.ENDED, one.age(), null)));
         if (one.value() != null) {
-          others.add(new Told(one.id(), one.stamp(), Standing.UNSURE, one.age(), one.value()));
-          others.add(new Told(one.id(), one.stamp(), one.standing(), 0, one.value()));
-          others.add(new Told(one.id(), one.stamp(), Standing.IN_FORCE, one.age(), one.value()));
+          others.add(
+              new ReplicaState(
+                  one.id(), one.stamp(), OverrideStatus.UNSURE, one.age(), one.value()));
+          others.add(new ReplicaState(one.id(), one.stamp(), one.standing(), 0, one.value()));
+          others.add(
+              new ReplicaState(
+                  one.id(), one.stamp(), OverrideStatus.IN_FORCE, one.age(), one.value()));
         }
-        for (Told other : others) {
-          List<Told> copy = new ArrayList<>(answer.all());
+        for (ReplicaState other : others) {
+          List<ReplicaState> copy = new ArrayList<>(answer.all());
           copy.set(i, other);
-          all.add(new Message.Answer(answer.number(), copy));
+          all.add(new OverrideMessage.Answer(answer.number(), copy));
         }
       }
-    } else if (message instanceof Message.Stored stored) {
-      for (Standing standing : Standing.values()) {
-        all.add(new Message.Stored(stored.id(), stored.stamp(), standing));
+    } else if (message instanceof OverrideMessage.Stored stored) {
+      for (OverrideStatus standing : OverrideStatus.values()) {
+        all.add(new OverrideMessage.Stored(stored.id(), stored.stamp(), standing));
       }
-      all.add(new Message.Stored("o9", stored.stamp(), stored.standing()));
+      all.add(new OverrideMessage.Stored("o9", stored.stamp(), stored.standing()));
     }
     return all;
   }
@@ -227,7 +242,8 @@
   /** All there are: each message of the scenario, with each thing that may befall it. */
   static List<At> all() {
     List<At> all = new ArrayList<>();
-    OverrideNet net = new OverrideNet(4, SEED, OverrideNet.Planted.NONE);
+    SimulatedOverrideNetwork net =
+        new SimulatedOverrideNetwork(4, SEED, SimulatedOverrideNetwork.Planted.NONE);
     net.tamper(
         (number, from, to, message, way) -> {
           way.arrives(from, message, 0);
@@ -248,7 +264,7 @@
     String usual = play(null).outcome.toString();
     List<Result> results = new ArrayList<>();
     for (At at : some) {
-      OverrideNet net = play(at);
+      SimulatedOverrideNetwork net = play(at);
       results.add(new Result(at, !net.outcome.toString().equals(usual), List.copyOf(net.broken)));
     }
     return results;
--- a/src/main/java/mothwing/lab/OverrideSchedule.java
+++ b/src/main/java/mothwing/trial/OverrideSchedule.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -70,15 +70,16 @@
   }
 
   /** Plays one. */
-  static OverrideNet play(List<Step> steps, long seed, OverrideNet.Planted planted) {
-    OverrideNet net = new OverrideNet(SERVERS, seed, planted);
+  static SimulatedOverrideNetwork play(
+      List<Step> steps, long seed, SimulatedOverrideNetwork.Planted planted) {
+    SimulatedOverrideNetwork net = new SimulatedOverrideNetwork(SERVERS, seed, planted);
     List<String> names = List.copyOf(net.nodes.keySet());
     boolean trouble = false;
     boolean parted = false;
     net.pass(10_000 * MILLI); // those of a first start are past their recovery
     for (Step step : steps) {
       String name = names.get(step.one());
-      OverrideNet.Node node = net.nodes.get(name);
+      SimulatedOverrideNetwork.Node node = net.nodes.get(name);
       switch (step.kind()) {
         case MAKE ->
             net.make(
@@ -119,7 +120,8 @@
   }
 
   /** Leaves steps out for as long as what is left still fails. */
-  static List<Step> shrunk(List<Step> failing, long seed, OverrideNet.Planted planted) {
+  static List<Step> shrunk(
+      List<Step> failing, long seed, SimulatedOverrideNetwork.Planted planted) {
     List<Step> steps = new ArrayList<>(failing);
     for (int size = Math.max(1, steps.size() / 2); size > 0; size /= 2) {
       for (int at = 0; at + size <= steps.size(); ) {
--- a/src/main/java/mothwing/lab/PoolCores.java
+++ b/src/main/java/mothwing/trial/PoolCores.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,7 +8,7 @@
 import java.util.Random;
 import java.util.Set;
 import java.util.function.Function;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * The cores of a stand-in worker pool, which share them evenly among what runs, and the journal of
@@ -80,7 +80,7 @@
   }
 
   private final Work work;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Random random;
   private final History.Journal journal;
   private final Map<String, Job> running = new LinkedHashMap<>();
@@ -96,7 +96,7 @@
   private long planned = Long.MAX_VALUE;
   private boolean off;
 
-  PoolCores(Work work, Timers timers, Random random, History.Journal journal) {
+  PoolCores(Work work, Scheduler timers, Random random, History.Journal journal) {
     this.work = work;
     this.timers = timers;
     this.random = random;
--- a/src/main/java/mothwing/lab/ProcessStage.java
+++ b/src/main/java/mothwing/trial/ProcessStage.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
@@ -25,7 +25,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 import java.util.stream.Stream;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * Plays a trial with real processes of the program, each a machine with an address and a folder as
@@ -46,7 +46,7 @@
 
   /** One process of a machine, with the pool's address that it was given. */
   private final class Running {
-    final Served process;
+    final ServerProcess process;
     final StandInPool pool;
     final SocketChannel door;
     final History.Life life;
@@ -66,7 +66,7 @@
       }
     }
 
-    Running(Served process, StandInPool pool, SocketChannel door, History.Life life) {
+    Running(ServerProcess process, StandInPool pool, SocketChannel door, History.Life life) {
       this.process = process;
       this.pool = pool;
       this.door = door;
@@ -88,13 +88,13 @@
     volatile Running old; // that which is to go in an upgrade, once there was one
     volatile Running next; // that which follows it
     int starts;
-    final List<Guarded> crowd = new ArrayList<>();
+    final List<SupervisedProcess> crowd = new ArrayList<>();
 
     Machine(String name, int number) throws IOException {
       this.name = name;
       this.number = number;
       disk = folder.resolve(name);
-      listen = Served.port(address(1, number));
+      listen = ServerProcess.port(address(1, number));
     }
   }
 
@@ -106,17 +106,17 @@
   private final ExecutorService hands =
       Executors.newCachedThreadPool(work -> daemon(work, "rig-hand"));
   private final Phaser busyHands = new Phaser(1); // steps under way
-  private final Epoch epoch = new Epoch();
-  private final Timers timers = epoch.on(loop, new Object());
+  private final TrialClock epoch = new TrialClock();
+  private final Scheduler timers = epoch.on(loop, new Object());
   private final Links links = new Links();
   private final History history = new History();
   private final Map<String, Machine> machines = new LinkedHashMap<>();
-  private final Map<String, Shopfront> gateways = new LinkedHashMap<>();
+  private final Map<String, SimulatedGateway> gateways = new LinkedHashMap<>();
   private final Map<Fault, History.Applied> inForce = new LinkedHashMap<>();
   private Relay relay;
   private GatewaySockets sockets;
-  private Register register;
-  private Bureau bureau;
+  private EndpointList register;
+  private StandInDiscoveryService bureau;
   private Trial trial;
   private boolean ending; // what was killed is not started again
   private boolean over;
@@ -173,10 +173,10 @@
       relay.name(from.get(one), one);
     }
     sockets = new GatewaySockets(loop, timers, relay, from);
-    gateways.putAll(onLoop(() -> Shopfront.all(trial, timers, random, sockets, history)));
-    register = onLoop(() -> new Register(timers, links, gateways));
+    gateways.putAll(onLoop(() -> SimulatedGateway.all(trial, timers, random, sockets, history)));
+    register = onLoop(() -> new EndpointList(timers, links, gateways));
     history.onEnd = call -> touch(machines.get(call.server()), cores -> cores.over(call.trace()));
-    bureau = new Bureau(loop, address(6, 1), name -> register.heard(name));
+    bureau = new StandInDiscoveryService(loop, address(6, 1), name -> register.heard(name));
     progress.accept("starting " + trial.fleet().servers() + " servers");
     List<Long> workSeeds = new ArrayList<>();
     for (String name : trial.servers()) {
@@ -189,7 +189,8 @@
               name,
               "",
               address(2, machine.number),
-              new InetSocketAddress(address(1, machine.number), Served.number(machine.listen))));
+              new InetSocketAddress(
+                  address(1, machine.number), ServerProcess.number(machine.listen))));
       machine.announce =
           relay.open(Trial.ANNOUNCE, name, address(6, 1 + machine.number), bureau.address());
       workSeeds.add(random.nextLong());
@@ -237,7 +238,7 @@
     onLoop(
         () -> {
           over = true;
-          gateways.values().forEach(Shopfront::end);
+          gateways.values().forEach(SimulatedGateway::end);
           register.end();
           return null;
         });
@@ -335,16 +336,17 @@
     InetSocketAddress poolDoor =
         relay.open(
             Trial.pool(machine.name), machine.name, address(5, machine.number), pool.address());
-    SocketChannel door = Served.port(address(1, machine.number));
+    SocketChannel door = ServerProcess.port(address(1, machine.number));
     History.Life life = new History.Life(machine.name, machine.starts, epoch.now());
     Path log = folder.resolve(machine.name + ".log");
-    Served process =
-        new Served(
+    ServerProcess process =
+        new ServerProcess(
             machine.disk,
-            new Served.Place(
+            new ServerProcess.Place(
                 machine.name,
-                new InetSocketAddress(address(1, machine.number), Served.number(machine.listen)),
-                new InetSocketAddress(address(1, machine.number), Served.number(door)),
+                new InetSocketAddress(
+                    address(1, machine.number), ServerProcess.number(machine.listen)),
+                new InetSocketAddress(address(1, machine.number), ServerProcess.number(door)),
                 poolDoor,
                 machine.announce),
             trial.fleet(),
@@ -665,13 +667,13 @@
     }
     for (int i = 0; i < busy; i++) {
       machine.crowd.add(
-          new Guarded(
+          new SupervisedProcess(
               List.of("taskset", "-c", core, "/bin/sh", "-c", "while :; do :; done"), line -> {}));
     }
   }
 
   private static void leaveCrowd(Machine machine) {
-    machine.crowd.forEach(Guarded::close);
+    machine.crowd.forEach(SupervisedProcess::close);
     machine.crowd.clear();
   }
 
--- a/src/main/java/mothwing/lab/Relay.java
+++ b/src/main/java/mothwing/trial/Relay.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/mothwing/lab/Report.java
+++ b/src/main/java/mothwing/trial/Report.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import com.google.gson.Gson;
 import com.google.gson.GsonBuilder;
@@ -14,9 +14,9 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.function.ToIntFunction;
-import mothwing.lab.History.Call;
-import mothwing.lab.History.End;
-import mothwing.lab.Oracles.Verdict;
+import mothwing.trial.History.Call;
+import mothwing.trial.History.End;
+import mothwing.trial.Oracles.Verdict;
 import org.HdrHistogram.Histogram;
 
 /** Writes what a trial came to: JSON, CSV and one page with charts that needs nothing else. */
@@ -69,8 +69,8 @@
     summary.put("status", verdict.status());
     summary.put("breaches", verdict.breaches());
     summary.put("doubts", verdict.doubts());
-    summary.put("figures", Figures.of(trial, history));
-    summary.put("cold_starts", ColdStart.of(trial, history));
+    summary.put("figures", TrialStatistics.of(trial, history));
+    summary.put("cold_starts", WarmUpBudgetCheck.of(trial, history));
     Files.writeString(folder.resolve("summary.json"), JSON.toJson(summary) + "\n");
     Files.writeString(folder.resolve("seconds.csv"), one.csv(charts));
     Files.writeString(folder.resolve("index.html"), one.page(charts));
@@ -156,7 +156,7 @@
   }
 
   private String page(List<Chart> charts) throws IOException {
-    Figures all = Figures.of(trial, history);
+    TrialStatistics all = TrialStatistics.of(trial, history);
     List<double[]> bands =
         history.applied.stream()
             .map(one -> new double[] {one.at() / SECOND, Math.min(one.until() / SECOND, seconds)})
--- a/src/main/java/mothwing/lab/Served.java
+++ b/src/main/java/mothwing/trial/ServerProcess.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.net.InetAddress;
@@ -19,7 +19,7 @@
 import mothwing.settings.Addresses;
 
 /** A shop server as a process of its own, with an operators' door; its log is read as it comes. */
-public final class Served implements AutoCloseable {
+public final class ServerProcess implements AutoCloseable {
   /** As it is started in service: the deploy file has the same bounds. */
   static final List<String> OPTIONS =
       List.of(
@@ -40,7 +40,7 @@
   /** Its log so far: the first lines, up to a bound. */
   public final List<String> lines = Collections.synchronizedList(new ArrayList<>());
 
-  private final Guarded process;
+  private final SupervisedProcess process;
   private final InetSocketAddress door;
 
   /** Where one server stands; all on loopback addresses. */
@@ -52,12 +52,12 @@
       InetSocketAddress announce) {}
 
   /** Starts one for clients at a port, in front of a pool; all its addresses are on loopback. */
-  public Served(Path folder, int port, int door, StandInPool pool) throws IOException {
+  public ServerProcess(Path folder, int port, int door, StandInPool pool) throws IOException {
     this(folder, place(port, door, pool), Trial.Fleet.single(), "mothwing.Main", line -> {});
   }
 
   /** Starts one whose runs may call a tier below. */
-  public static Served calling(
+  public static ServerProcess calling(
       Path folder, int port, int door, StandInPool pool, InetSocketAddress ledger)
       throws IOException {
     Files.createDirectories(folder);
@@ -66,7 +66,7 @@
             .replaceFirst("\\{", "{\"ledger\":\"" + Addresses.text(ledger) + "\",")
             .replace(
                 "\"Extra\":{", "\"Extra\":{\"DependsOn\":\"tier\",\"CallsByClass\":[true,true],");
-    return new Served(
+    return new ServerProcess(
         Files.writeString(folder.resolve("config-" + door + ".json"), text),
         local(door),
         "mothwing.Main",
@@ -76,20 +76,20 @@
   }
 
   /** Starts one in a folder that is its machine's disk. */
-  Served(Path folder, Place place, Trial.Fleet fleet, String program, Consumer<String> log)
+  ServerProcess(Path folder, Place place, Trial.Fleet fleet, String program, Consumer<String> log)
       throws IOException {
     this(folder, place, fleet, program, (Path) null, log);
   }
 
   /** The same, with a script of our own settings, or null. */
-  Served(
+  ServerProcess(
       Path folder, Place place, Trial.Fleet fleet, String program, Path site, Consumer<String> log)
       throws IOException {
     this(written(folder, place, fleet), place.door(), program, site, Map.of(), log);
   }
 
   /** The same with further variables in its environment. */
-  Served(
+  ServerProcess(
       Path folder,
       Place place,
       Trial.Fleet fleet,
@@ -106,7 +106,7 @@
         folder.resolve("config-" + place.door().getPort() + ".json"), config(place, fleet));
   }
 
-  private Served(
+  private ServerProcess(
       Path file,
       InetSocketAddress door,
       String program,
@@ -120,8 +120,8 @@
       words.addAll(List.of("--site", site.toString()));
     }
     process =
-        new Guarded(
-            Guarded.java(OPTIONS, program, words.toArray(String[]::new)),
+        new SupervisedProcess(
+            SupervisedProcess.java(OPTIONS, program, words.toArray(String[]::new)),
             environment,
             line -> {
               if (lines.size() < MOST_LINES) {
--- a/src/main/java/mothwing/lab/Shrinker.java
+++ b/src/main/java/mothwing/trial/Shrinker.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.util.ArrayList;
--- a/src/main/java/mothwing/lab/Shopfront.java
+++ b/src/main/java/mothwing/trial/SimulatedGateway.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.function.Consumer;
-import mothwing.broker.Timers;
-import mothwing.lab.History.End;
-import mothwing.lab.Trial.Habit;
+import mothwing.broker.Scheduler;
+import mothwing.trial.History.End;
+import mothwing.trial.Trial.Habit;
 
 /**
  * A gateway: it has a list of servers, chooses one by its habit, stops waiting after its patience,
  * and may heed advice to stay away. Pure: it acts through the wire and the timers of its stage.
  */
-final class Shopfront {
+final class SimulatedGateway {
   private static final long MILLI = 1000;
   private static final long CHECK_EVERY = 500 * MILLI;
   private static final long AVOID = 1000 * MILLI; // after a connection that did not come about
@@ -111,7 +111,7 @@
   private final Habit habit;
   private final boolean heeds;
   private final long patience;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Random random;
   private final Wire wire;
   private final History history;
@@ -122,12 +122,12 @@
   private int turn;
   private boolean over;
 
-  private Shopfront(
+  private SimulatedGateway(
       String name,
       Habit habit,
       boolean heeds,
       long patienceMs,
-      Timers timers,
+      Scheduler timers,
       Random random,
       Wire wire,
       History history) {
@@ -145,15 +145,15 @@
   }
 
   /** All gateways of a trial, by name; each has random numbers of its own. */
-  static Map<String, Shopfront> all(
-      Trial trial, Timers timers, Random random, Wire wire, History history) {
+  static Map<String, SimulatedGateway> all(
+      Trial trial, Scheduler timers, Random random, Wire wire, History history) {
     Trial.Load load = trial.load();
-    Map<String, Shopfront> all = new LinkedHashMap<>();
+    Map<String, SimulatedGateway> all = new LinkedHashMap<>();
     for (String name : trial.gateways()) {
       int i = all.size();
       all.put(
           name,
-          new Shopfront(
+          new SimulatedGateway(
               name,
               load.habits().get(i % load.habits().size()),
               i < Math.round(load.heed() * load.gateways()),
--- a/src/main/java/mothwing/lab/MemberNet.java
+++ b/src/main/java/mothwing/trial/SimulatedMembershipNetwork.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -8,24 +8,24 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.BiPredicate;
-import mothwing.member.Change;
-import mothwing.member.Claim;
-import mothwing.member.Host;
-import mothwing.member.Membership;
-import mothwing.member.Message;
-import mothwing.member.Pace;
-import mothwing.member.State;
+import mothwing.membership.FailureDetectorSettings;
+import mothwing.membership.MemberRecord;
+import mothwing.membership.MemberState;
+import mothwing.membership.Membership;
+import mothwing.membership.MembershipEvent;
+import mothwing.membership.MembershipHost;
+import mothwing.membership.MembershipMessage;
 
 /**
  * Members on virtual time, with what can befall them and the network between them. Addresses are
  * names here.
  */
-final class MemberNet {
+final class SimulatedMembershipNetwork {
   private static final long LEAST_WAY = 200; // microseconds
   private static final long MORE_WAY = 800;
 
   /** A change that a member saw, in one of its starts. */
-  record Seen(long at, String by, int start, Change change) {}
+  record Seen(long at, String by, int start, MembershipEvent change) {}
 
   /** A machine with its member; a new start has a new one. */
   final class Node extends VirtualMachine {
@@ -58,14 +58,15 @@
       member =
           new Membership(
               "cairo",
-              new Claim(name, random.nextLong() >>> 1, address, "z", 0, State.ALIVE, name),
+              new MemberRecord(
+                  name, random.nextLong() >>> 1, address, "z", 0, MemberState.ALIVE, name),
               seeds,
               pace,
               timers(mine),
               new Random(random.nextLong()),
-              new Host() {
+              new MembershipHost() {
                 @Override
-                public void send(String address, Message message) {
+                public void send(String address, MembershipMessage message) {
                   sent++;
                   bytes += message.bytes();
                   if (random.nextDouble() >= loss) {
@@ -74,14 +75,14 @@
                 }
 
                 @Override
-                public void stream(String address, Message message) {
+                public void stream(String address, MembershipMessage message) {
                   sent++;
                   bytes += message.bytes();
                   carry(Node.this, address, message);
                 }
 
                 @Override
-                public void changed(Change change) {
+                public void changed(MembershipEvent change) {
                   seen.add(new Seen(time.now(), address, mine, change));
                 }
               });
@@ -103,10 +104,10 @@
   /** Whether nothing comes from the one to the other. */
   BiPredicate<String, String> cut = (from, to) -> false;
 
-  private final Pace pace;
+  private final FailureDetectorSettings pace;
   private final Random random;
 
-  MemberNet(int members, Pace pace, long seed) {
+  SimulatedMembershipNetwork(int members, FailureDetectorSettings pace, long seed) {
     this.pace = pace;
     random = new Random(seed);
     for (int i = 0; i < members; i++) {
@@ -127,7 +128,7 @@
   }
 
   /** Starts all at once, with the first three as seeds. */
-  MemberNet startAll() {
+  SimulatedMembershipNetwork startAll() {
     nodes.values().forEach(one -> one.start(seeds()));
     return this;
   }
@@ -136,7 +137,7 @@
     return nodes.keySet().stream().limit(3).toList();
   }
 
-  private void carry(Node from, String address, Message message) {
+  private void carry(Node from, String address, MembershipMessage message) {
     Node to = nodes.get(address);
     if (to == null || cut.test(from.address, address)) {
       return;
--- a/src/main/java/mothwing/lab/OverrideNet.java
+++ b/src/main/java/mothwing/trial/SimulatedOverrideNetwork.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,15 +6,15 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.TreeMap;
-import mothwing.override.Book;
-import mothwing.override.Host;
-import mothwing.override.Limits;
-import mothwing.override.Message;
-import mothwing.override.Sharing;
-import mothwing.override.Stamp;
-import mothwing.override.Standing;
-import mothwing.override.Told;
+import mothwing.override.AntiEntropy;
+import mothwing.override.OverrideHost;
+import mothwing.override.OverrideLimits;
+import mothwing.override.OverrideMessage;
+import mothwing.override.OverrideStatus;
+import mothwing.override.OverrideTable;
+import mothwing.override.ReplicaState;
 import mothwing.override.TrafficOverride;
+import mothwing.override.Version;
 
 /**
  * Servers that share overrides, on virtual time: clocks that run fast or slow and begin anywhere,
@@ -22,7 +22,7 @@
  * that loses, delays, doubles and replays. What it says of them it takes from when overrides were
  * made in truth, and from what each server does.
  */
-final class OverrideNet {
+final class SimulatedOverrideNetwork {
   /** How a machine or the network is tampered with, to see that it is noticed. */
   enum Planted {
     /** Nothing is. */
@@ -58,10 +58,10 @@
     final String name;
     final double rate;
     final long skew;
-    final Map<String, Told> disk = new TreeMap<>();
+    final Map<String, ReplicaState> disk = new TreeMap<>();
     long starts;
-    Book book;
-    Sharing sharing;
+    OverrideTable book;
+    AntiEntropy sharing;
     long startedAt;
     List<TrafficOverride> applied = List.of();
 
@@ -80,10 +80,10 @@
       int mine = begin();
       starts += planted == Planted.STARTS_NOT_FORCED && starts > 0 ? 0 : 1;
       startedAt = time.now();
-      book = new Book(Limits.USUAL);
+      book = new OverrideTable(OverrideLimits.USUAL);
       boolean knows = !disk.isEmpty() || starts > 1;
       sharing =
-          new Sharing(
+          new AntiEntropy(
               name,
               starts,
               book,
@@ -109,7 +109,7 @@
                   mine,
                   () -> {
                     sharing.tick(clock());
-                    for (Told one : book.told(clock())) {
+                    for (ReplicaState one : book.told(clock())) {
                       if (one.value() != null && random.nextInt(20) == 0) {
                         save(one); // the checkpoint of its age
                       }
@@ -118,9 +118,9 @@
                   }));
     }
 
-    private void save(Told written) {
+    private void save(ReplicaState written) {
       saves++;
-      Told one = pen == null ? written : pen.writes(saves, written, disk.get(written.id()));
+      ReplicaState one = pen == null ? written : pen.writes(saves, written, disk.get(written.id()));
       if (one == null) {
         disk.remove(written.id());
       } else if (planted == Planted.TOMBSTONES_DROPPED && one.value() == null) {
@@ -136,7 +136,7 @@
     }
   }
 
-  private final class Wires implements Host {
+  private final class Wires implements OverrideHost {
     private final Node node;
     private final int mine;
 
@@ -146,7 +146,7 @@
     }
 
     @Override
-    public void send(String to, Message message) {
+    public void send(String to, OverrideMessage message) {
       carry(node.name, to, message);
     }
 
@@ -156,7 +156,7 @@
     }
 
     @Override
-    public void force(Told told) {
+    public void force(ReplicaState told) {
       time.at(
           time.now() + FORCE,
           () ->
@@ -164,7 +164,7 @@
                   mine,
                   () -> {
                     node.save(told);
-                    if (told.standing() == Standing.REVOKED) {
+                    if (told.standing() == OverrideStatus.REVOKED) {
                       revokedAt.putIfAbsent(
                           told.id(), time.now()); // from now on a caller may hold a YES
                     }
@@ -188,7 +188,7 @@
 
   private final Random random;
   private final Planted planted;
-  private final Map<Stamp, Truth> truths = new LinkedHashMap<>();
+  private final Map<Version, Truth> truths = new LinkedHashMap<>();
   private final Map<String, Long> revokedAt = new LinkedHashMap<>();
   private final List<Runnable> late = new ArrayList<>();
   private double loss;
@@ -206,7 +206,7 @@
   private final Map<String, String> went = new LinkedHashMap<>();
   private long stamps;
 
-  OverrideNet(int count, long seed, Planted planted) {
+  SimulatedOverrideNetwork(int count, long seed, Planted planted) {
     random = new Random(seed);
     this.planted = planted;
     for (int i = 0; i < count; i++) {
@@ -215,7 +215,7 @@
           name,
           new Node(
               name,
-              1 + (random.nextDouble() * 2 - 1) * Limits.USUAL.drift() / 2,
+              1 + (random.nextDouble() * 2 - 1) * OverrideLimits.USUAL.drift() / 2,
               random.nextInt(1_000_000_000)));
     }
     nodes.values().forEach(Node::start);
@@ -231,19 +231,19 @@
      * The message of this number, the first being 1; what is to be delivered goes to the way, after
      * so long.
      */
-    void carry(long number, String from, String to, Message message, Way way);
+    void carry(long number, String from, String to, OverrideMessage message, Way way);
   }
 
   /** A way for a message to arrive. */
   interface Way {
     /** It arrives as from this sender, after so many microseconds. */
-    void arrives(String from, Message message, long after);
+    void arrives(String from, OverrideMessage message, long after);
   }
 
   /** What a disk makes of one record that it says to be forced. */
   interface Pen {
     /** What stands there, the first record of all having number 1; null for nothing. */
-    Told writes(long number, Told record, Told before);
+    ReplicaState writes(long number, ReplicaState record, ReplicaState before);
   }
 
   /** From now on each record goes by way of this. */
@@ -251,7 +251,7 @@
     pen = with;
   }
 
-  private void carry(String from, String to, Message message) {
+  private void carry(String from, String to, OverrideMessage message) {
     messages++;
     if (tamper != null) {
       long usual = 200 + random.nextInt(800);
@@ -269,8 +269,8 @@
     if (random.nextDouble() < loss || parted(from, to)) {
       return;
     }
-    Message sent =
-        planted == Planted.UNSURE_HANDED_ON && message instanceof Message.Answer answer
+    OverrideMessage sent =
+        planted == Planted.UNSURE_HANDED_ON && message instanceof OverrideMessage.Answer answer
             ? sure(answer)
             : message;
     int copies = random.nextDouble() < 0.05 ? 2 : 1;
@@ -286,25 +286,26 @@
     }
   }
 
-  private static Message sure(Message.Answer answer) {
-    return new Message.Answer(
+  private static OverrideMessage sure(OverrideMessage.Answer answer) {
+    return new OverrideMessage.Answer(
         answer.number(),
         answer.all().stream()
             .map(
                 one ->
-                    one.standing() != Standing.UNSURE
+                    one.standing() != OverrideStatus.UNSURE
                         ? one
-                        : new Told(
-                            one.id(), one.stamp(), Standing.IN_FORCE, one.age(), one.value()))
+                        : new ReplicaState(
+                            one.id(), one.stamp(), OverrideStatus.IN_FORCE, one.age(), one.value()))
             .toList());
   }
 
-  private void deliver(String from, String to, Message message) {
+  private void deliver(String from, String to, OverrideMessage message) {
     Node node = nodes.get(to);
     node.run(
         node.starts(),
         () -> {
-          if (planted == Planted.PUSHED_AGES_TAKEN && message instanceof Message.Answer answer) {
+          if (planted == Planted.PUSHED_AGES_TAKEN
+              && message instanceof OverrideMessage.Answer answer) {
             answer
                 .all()
                 .forEach(one -> node.book.merge(node.clock(), one, node.clock(), Long.MAX_VALUE));
@@ -357,7 +358,7 @@
             keep,
             "drawn " + ++stamps,
             "trial");
-    if (node.sharing.make(node.clock(), value) == Book.Taken.NEW) {
+    if (node.sharing.make(node.clock(), value) == OverrideTable.UpdateResult.NEW) {
       Truth other = truths.put(value.stamp(), new Truth(value, time.now()));
       if (other != null) {
         breach(at + " gives a stamp twice: " + value.stamp());
@@ -408,8 +409,8 @@
     }
     for (TrafficOverride one : acting) {
       Truth truth = truths.get(one.stamp());
-      Told told = node.book.told(node.clock(), one.id());
-      boolean unsure = told != null && told.standing() == Standing.UNSURE;
+      ReplicaState told = node.book.told(node.clock(), one.id());
+      boolean unsure = told != null && told.standing() == OverrideStatus.UNSURE;
       if (truth == null) {
         breach(node.name + " goes by what nobody made: " + one.id());
         continue;
@@ -437,15 +438,15 @@
     }
   }
 
-  private long left(Told one) {
+  private long left(ReplicaState one) {
     Truth truth = truths.get(one.stamp());
     return truth == null ? Long.MAX_VALUE : truth.madeAt() + one.value().life() - time.now();
   }
 
   private Map<String, String> sure(Node node) {
     Map<String, String> sure = new TreeMap<>();
-    for (Told one : node.book.told(node.clock())) {
-      if (one.standing() == Standing.IN_FORCE && left(one) > EARLY) {
+    for (ReplicaState one : node.book.told(node.clock())) {
+      if (one.standing() == OverrideStatus.IN_FORCE && left(one) > EARLY) {
         sure.put(one.id(), one.stamp().toString());
       }
     }
@@ -468,11 +469,11 @@
             node.name + " has " + sure(node) + ", " + up.get(0).name + " has " + sure(up.get(0)));
       }
       for (TrafficOverride one : node.acting()) {
-        Told told = node.book.told(node.clock(), one.id());
+        ReplicaState told = node.book.told(node.clock(), one.id());
         Long revoked = revokedAt.get(one.id());
         if (revoked != null
             && truths.get(one.stamp()).madeAt() < revoked
-            && told.standing() == Standing.IN_FORCE) {
+            && told.standing() == OverrideStatus.IN_FORCE) {
           breach(node.name + " goes by " + one.id() + ", which was taken back");
         }
       }
--- a/src/main/java/mothwing/lab/SimulationStage.java
+++ b/src/main/java/mothwing/trial/SimulationStage.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.io.StringReader;
@@ -10,19 +10,19 @@
 import java.util.Random;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import mothwing.Brain;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Settings;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
-import mothwing.broker.Caller;
 import mothwing.broker.Counters;
 import mothwing.broker.Exchange;
-import mothwing.broker.Workers;
-import mothwing.lab.History.End;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.ResponseSink;
+import mothwing.broker.WorkerPool;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.overload.OverloadController;
 import mothwing.server.Config;
+import mothwing.trial.History.End;
 
 /**
  * Plays a trial on virtual time, in one thread: the same cores as in service, the same actors as
@@ -36,12 +36,12 @@
   private static final long RELINK = 100 * MILLI;
   private static final long LEAVE_LOOK = 20 * MILLI;
 
-  private final BiFunction<Settings, Host, Controller> maker;
+  private final BiFunction<Settings, ControllerHost, Controller> maker;
   private VirtualTime time;
   private Links links;
   private VirtualNet net;
   private History history;
-  private Register register;
+  private EndpointList register;
   private Trial trial;
   private Settings settings;
   private Random work;
@@ -51,11 +51,11 @@
 
   /** Makes one that plays the decisions of service. */
   SimulationStage() {
-    this(Brain::new);
+    this(OverloadController::new);
   }
 
   /** Makes one with other decisions, to see that the oracles catch them. */
-  SimulationStage(BiFunction<Settings, Host, Controller> maker) {
+  SimulationStage(BiFunction<Settings, ControllerHost, Controller> maker) {
     this.maker = maker;
   }
 
@@ -79,8 +79,9 @@
     net = new VirtualNet(time, links, new Random(random.nextLong()));
     work = new Random(random.nextLong());
     settings = settings();
-    Map<String, Shopfront> gateways = Shopfront.all(trial, time, random, new Sent(), history);
-    register = new Register(time, links, gateways);
+    Map<String, SimulatedGateway> gateways =
+        SimulatedGateway.all(trial, time, random, new Sent(), history);
+    register = new EndpointList(time, links, gateways);
     for (String name : trial.servers()) {
       Machine machine = new Machine(name);
       machines.put(name, machine);
@@ -99,7 +100,7 @@
     return history;
   }
 
-  private void finish(Callers callers, Map<String, Shopfront> gateways) {
+  private void finish(Callers callers, Map<String, SimulatedGateway> gateways) {
     long end = (long) (trial.seconds() * SECOND);
     time.until(end);
     long last = end + trial.load().longestMs() * MILLI;
@@ -114,7 +115,7 @@
     machines.values().forEach(Machine::leave);
     time.until(time.now() + (trial.fleet().stopMs() + 200) * MILLI);
     over = true;
-    gateways.values().forEach(Shopfront::end);
+    gateways.values().forEach(SimulatedGateway::end);
     register.end();
   }
 
@@ -122,7 +123,8 @@
     InetSocketAddress local = new InetSocketAddress("127.0.0.1", 1);
     return Config.read(
             new StringReader(
-                Served.config(new Served.Place("s", local, local, local, local), trial.fleet())))
+                ServerProcess.config(
+                    new ServerProcess.Place("s", local, local, local, local), trial.fleet())))
         .settings();
   }
 
@@ -317,7 +319,7 @@
   }
 
   /** A request that a server has read. */
-  private final class Open implements Caller {
+  private final class Open implements ResponseSink {
     final String gateway;
     final Machine machine;
     final Wire.Ask ask;
@@ -383,7 +385,7 @@
                 () ->
                     one.exchange =
                         machine.broker.read(
-                            new Arrival(
+                            new InboundRequest(
                                 ask.trace(),
                                 ask.acceptedAtMs(),
                                 "one",
@@ -392,7 +394,7 @@
                                 ask.rank(),
                                 null,
                                 null,
-                                Arrival.NOT_TOLD,
+                                InboundRequest.NOT_TOLD,
                                 ask.body()),
                             one));
           });
@@ -442,7 +444,7 @@
    * The link between a server and its pool: commands may be lost with it, notices come again on the
    * next one.
    */
-  private final class PoolLine implements Workers {
+  private final class PoolLine implements WorkerPool {
     private record Notice(String id, String code, long took, byte[] body) {}
 
     private final Machine machine;
@@ -498,9 +500,9 @@
             read = number;
             switch (one.code) {
               case "done" ->
-                  broker.finished(one.id, Outcome.GOOD, one.took, StandInPool.made(one.body));
-              case "stale" -> broker.finished(one.id, Outcome.MOOT, 0, null);
-              default -> broker.finished(one.id, Outcome.STOPPED, one.took, null);
+                  broker.finished(one.id, RunOutcome.GOOD, one.took, StandInPool.made(one.body));
+              case "stale" -> broker.finished(one.id, RunOutcome.MOOT, 0, null);
+              default -> broker.finished(one.id, RunOutcome.STOPPED, one.took, null);
             }
           });
     }
@@ -539,7 +541,7 @@
       if (!linked) {
         return false;
       }
-      Arrival one = exchange.arrival();
+      InboundRequest one = exchange.arrival();
       command(() -> cores.spawn(one.id(), one.kind(), one.body(), mine, this::ended));
       return true;
     }
--- a/src/main/java/mothwing/lab/StandInLedger.java
+++ b/src/main/java/mothwing/trial/StandInDependency.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -21,7 +21,7 @@
  * A stand-in for the tier below on a loopback port, with cores of its own: it answers what is
  * asked, backwards.
  */
-public final class StandInLedger implements AutoCloseable {
+public final class StandInDependency implements AutoCloseable {
   private final ScheduledExecutorService clock =
       Executors.newSingleThreadScheduledExecutor(
           work -> {
@@ -38,11 +38,11 @@
   private int number;
 
   /** Starts one whose calls take so many milliseconds. */
-  public StandInLedger(long ms) throws IOException {
+  public StandInDependency(long ms) throws IOException {
     cores =
         new PoolCores(
             new PoolCores.Work(Integer.MAX_VALUE, kind -> new PoolCores.Kind(ms, 0, 0), false),
-            new Epoch().on(clock, lock),
+            new TrialClock().on(clock, lock),
             new Random(1),
             History.unread());
     listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
--- a/src/main/java/mothwing/lab/Bureau.java
+++ b/src/main/java/mothwing/trial/StandInDiscoveryService.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -19,7 +19,7 @@
 import java.util.regex.Pattern;
 
 /** A stand-in announce service: takes reports over HTTP/1.1 and says whose they were. */
-final class Bureau implements AutoCloseable {
+final class StandInDiscoveryService implements AutoCloseable {
   private static final Pattern HEAD =
       Pattern.compile(
           "PUT /announce/([^ /]+) HTTP/1\\.1\r\n"
@@ -28,7 +28,8 @@
 
   private final Channel listener;
 
-  Bureau(EventLoop loop, InetAddress at, Consumer<String> heard) throws IOException {
+  StandInDiscoveryService(EventLoop loop, InetAddress at, Consumer<String> heard)
+      throws IOException {
     ChannelFuture bound =
         new ServerBootstrap()
             .group(loop)
--- a/src/main/java/mothwing/lab/StandInPool.java
+++ b/src/main/java/mothwing/trial/StandInPool.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -64,7 +64,7 @@
   private StandInPool(PoolCores.Work work) throws IOException {
     lock = new Object();
     life = 1;
-    cores = new PoolCores(work, new Epoch().on(clock, lock), new Random(1), History.unread());
+    cores = new PoolCores(work, new TrialClock().on(clock, lock), new Random(1), History.unread());
     listener = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
     serve(listener);
   }
--- a/src/main/java/mothwing/lab/Guarded.java
+++ b/src/main/java/mothwing/trial/SupervisedProcess.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -17,7 +17,7 @@
  * to the rig, and kills the process once the pipe is closed, whether it runs or stands still. The
  * shell's status is that of the process.
  */
-final class Guarded implements AutoCloseable {
+final class SupervisedProcess implements AutoCloseable {
   private static final String GUARD =
       "exec 3<&0; \"$@\" 3<&- </dev/null & p=$!; echo \"pid $p\"; "
           + "( read -r over <&3; kill -KILL $p ) >/dev/null 2>&1 & w=$!; exec 3<&-; "
@@ -34,12 +34,12 @@
    * @param log takes the lines of its output, on a thread of its own
    * @throws IOException where it cannot be started
    */
-  Guarded(List<String> command, Consumer<String> log) throws IOException {
+  SupervisedProcess(List<String> command, Consumer<String> log) throws IOException {
     this(command, Map.of(), log);
   }
 
   /** The same with further variables in its environment. */
-  Guarded(List<String> command, Map<String, String> environment, Consumer<String> log)
+  SupervisedProcess(List<String> command, Map<String, String> environment, Consumer<String> log)
       throws IOException {
     List<String> all = new ArrayList<>(List.of("/bin/sh", "-c", GUARD, "guard"));
     all.addAll(command);
--- a/src/main/java/mothwing/lab/Trial.java
+++ b/src/main/java/mothwing/trial/Trial.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -28,7 +28,7 @@
     Fleet fleet,
     Load load,
     List<Fault> faults,
-    Drawn drawn,
+    FaultBounds drawn,
     Set<String> rules) {
   /** The machine at which servers report. */
   static final String ANNOUNCE = "announce";
@@ -40,7 +40,7 @@
   static final String NEW = ".new";
 
   /** The class that must run once. */
-  static final String ORDER = Stand.ORDER;
+  static final String ORDER = BrokerFixture.ORDER;
 
   /**
    * The machines.
--- a/src/main/java/mothwing/lab/Epoch.java
+++ b/src/main/java/mothwing/trial/TrialClock.java
@@ -1,14 +1,14 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * The clock of a trial on real time, which all threads of the rig share: 0 is the moment at which
  * callers begin.
  */
-final class Epoch {
+final class TrialClock {
   private static final long NANOS = 1000;
 
   private volatile long base = System.nanoTime();
@@ -24,11 +24,11 @@
   }
 
   /** Timers of this clock on an executor; the work is done under a lock. */
-  Timers on(ScheduledExecutorService executor, Object lock) {
-    return new Timers() {
+  Scheduler on(ScheduledExecutorService executor, Object lock) {
+    return new Scheduler() {
       @Override
       public long now() {
-        return Epoch.this.now();
+        return TrialClock.this.now();
       }
 
       @Override
--- a/src/main/java/mothwing/lab/TrialScript.java
+++ b/src/main/java/mothwing/trial/TrialScript.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.nio.file.Path;
@@ -9,14 +9,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.TreeSet;
-import mothwing.lab.Trial.Fleet;
-import mothwing.lab.Trial.Habit;
-import mothwing.lab.Trial.Load;
 import mothwing.script.Arguments;
 import mothwing.script.Limits;
 import mothwing.script.Script;
 import mothwing.script.ScriptError;
 import mothwing.script.Sources;
+import mothwing.trial.Trial.Fleet;
+import mothwing.trial.Trial.Habit;
+import mothwing.trial.Trial.Load;
 
 /** Reads a trial from a script (docs/trials.md), by functions that the script calls. */
 final class TrialScript {
@@ -34,7 +34,7 @@
   private Fleet fleet = Fleet.USUAL;
   private Load load = Load.USUAL;
   private Set<String> rules = Set.copyOf(Oracles.RULES);
-  private Drawn drawn;
+  private FaultBounds drawn;
   private final List<Written> written = new ArrayList<>();
 
   private TrialScript() {}
@@ -217,14 +217,14 @@
             "argument kinds has \""
                 + one
                 + "\", expected some of "
-                + Drawn.BOTH.stream().sorted().map(Fault.Kind::word).toList());
+                + FaultBounds.BOTH.stream().sorted().map(Fault.Kind::word).toList());
       }
     }
     drawn =
-        new Drawn(
+        new FaultBounds(
             (int) call.whole("faults", 5, 1, 1000),
             call.number("longest", 2, 0.1, 60),
-            kinds.isEmpty() ? Drawn.BOTH : kinds);
+            kinds.isEmpty() ? FaultBounds.BOTH : kinds);
     call.done(0);
     return null;
   }
--- a/src/main/java/mothwing/lab/Figures.java
+++ b/src/main/java/mothwing/trial/TrialStatistics.java
@@ -1,12 +1,12 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.Set;
-import mothwing.lab.History.Call;
-import mothwing.lab.History.End;
+import mothwing.trial.History.Call;
+import mothwing.trial.History.End;
 import org.HdrHistogram.Histogram;
 
 /**
@@ -23,7 +23,7 @@
  * @param p50Ms median time of tries that were served
  * @param p99Ms that of the slowest hundredth
  */
-record Figures(
+record TrialStatistics(
     int asked,
     int served,
     double worth,
@@ -38,7 +38,7 @@
   private static final double MILLI = 1000;
   private static final int DIGITS = 3;
 
-  static Figures of(Trial trial, History history) {
+  static TrialStatistics of(Trial trial, History history) {
     Map<String, Call> first = new HashMap<>();
     Map<String, Long> servedAt = new HashMap<>();
     Map<String, Integer> tries = new LinkedHashMap<>();
@@ -73,7 +73,7 @@
                     && run.code.equals("done")
                     && !servedAt.containsKey(run.order))
         .forEach(run -> unanswered.add(run.order));
-    return new Figures(
+    return new TrialStatistics(
         first.size(),
         servedAt.size(),
         sum > 0 ? worth / sum : 0,
--- a/src/main/java/mothwing/lab/Trials.java
+++ b/src/main/java/mothwing/trial/Trials.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.io.PrintStream;
@@ -11,8 +11,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.stream.Stream;
-import mothwing.lab.Oracles.Breach;
-import mothwing.lab.Oracles.Verdict;
+import mothwing.trial.Oracles.Breach;
+import mothwing.trial.Oracles.Verdict;
 
 /** What the sub-commands {@code trial} and {@code demo} do. */
 public final class Trials {
@@ -198,7 +198,7 @@
 
   /** The table at the end. */
   static void print(Trial trial, History history, Verdict verdict, PrintStream out) {
-    Figures all = Figures.of(trial, history);
+    TrialStatistics all = TrialStatistics.of(trial, history);
     out.printf(
         Locale.ROOT,
         "%n  asked %d, served %d (%.1f%%), worth by its aim %.1f%%%n",
--- a/src/main/java/mothwing/lab/VirtualMachine.java
+++ b/src/main/java/mothwing/trial/VirtualMachine.java
@@ -1,7 +1,7 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayDeque;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * A machine on virtual time: it starts, stands still and ends, and what belongs to a start is done
@@ -72,8 +72,8 @@
   }
 
   /** The timers of one start. */
-  final Timers timers(int start) {
-    return new Timers() {
+  final Scheduler timers(int start) {
+    return new Scheduler() {
       @Override
       public long now() {
         return time.now();
--- a/src/main/java/mothwing/lab/VirtualTime.java
+++ b/src/main/java/mothwing/trial/VirtualTime.java
@@ -1,10 +1,10 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.PriorityQueue;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /** A clock that moves from one thing that is due to the next, in the same order every time. */
-final class VirtualTime implements Timers {
+final class VirtualTime implements Scheduler {
   private static final long MILLI = 1000;
 
   private record Due(long at, long order, Runnable work) {}
@@ -22,7 +22,7 @@
 
   @Override
   public long wallMs() {
-    return Stand.WALL_MS + Math.floorDiv(now, MILLI);
+    return BrokerFixture.WALL_MS + Math.floorDiv(now, MILLI);
   }
 
   @Override
--- a/src/main/java/mothwing/lab/ColdStart.java
+++ b/src/main/java/mothwing/trial/WarmUpBudgetCheck.java
@@ -1,9 +1,9 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.lab.History.Call;
-import mothwing.lab.History.End;
+import mothwing.trial.History.Call;
+import mothwing.trial.History.End;
 
 /**
  * What came to a server in the first while after a start that lost everything, counted over all
@@ -22,7 +22,7 @@
  * @param survivesInSpan the same crowd kept up for the whole span, in requests of mean work
  * @param beyondInSpan the same bound for that number
  */
-record ColdStart(
+record WarmUpBudgetCheck(
     String server,
     long readyAt,
     int came,
@@ -44,8 +44,8 @@
   private static final double COLD_FROM = 0.3;
 
   /** All starts of a trial but the first of each machine. */
-  static List<ColdStart> of(Trial trial, History history) {
-    List<ColdStart> all = new ArrayList<>();
+  static List<WarmUpBudgetCheck> of(Trial trial, History history) {
+    List<WarmUpBudgetCheck> all = new ArrayList<>();
     for (History.Life life : history.lives) {
       if (life.life > 1 && life.readyAt >= 0) {
         all.add(one(trial, history, life));
@@ -54,7 +54,7 @@
     return all;
   }
 
-  private static ColdStart one(Trial trial, History history, History.Life life) {
+  private static WarmUpBudgetCheck one(Trial trial, History history, History.Life life) {
     long end = life.readyAt + FALL;
     int came = 0;
     int told = 0;
@@ -80,7 +80,7 @@
                 .count();
     double survives = (1 + (FALL_MULTIPLE - 1) * COLD_FROM) * trial.fleet().cores();
     double inSpan = survives * FALL / MILLI / trial.fleet().workMs();
-    return new ColdStart(
+    return new WarmUpBudgetCheck(
         life.machine,
         life.readyAt,
         came,
--- a/src/test/java/mothwing/LayersTest.java
+++ b/src/test/java/mothwing/LayersTest.java
@@ -20,25 +20,26 @@
   private static final List<List<String>> LAYERS =
       List.of(
           List.of("cli"),
-          List.of("lab"),
+          List.of("trial"),
           List.of("server", "adapter"),
           List.of(
-              "fastcgi", "ajp", "dns.server", "pool", "announce", "ledger", "management", "peer"),
+              "fastcgi", "ajp", "dns.server", "pool", "discovery", "dependency", "admin", "peer"),
           List.of("net"),
-          List.of("member"),
+          List.of("membership"),
           List.of("broker", "dns.zone", "override", "overload"),
           List.of("store"),
           List.of("settings"),
+          List.of("control"),
           List.of("script"));
 
   /** Pure: events and the clock go in, actions come out. */
   private static final String[] PURE = {
     "mothwing.broker..",
     "mothwing.dns.zone..",
-    "mothwing.member..",
+    "mothwing.membership..",
     "mothwing.override..",
     "mothwing.overload..",
-    "mothwing"
+    "mothwing.control.."
   };
 
   private static final JavaClasses ALL =
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -27,14 +27,14 @@
   private static final Map<String, Integer> LONG_FILES =
       Map.ofEntries(
           Map.entry("Broker.java", 1050),
-          Map.entry("Brain.java", 985),
+          Map.entry("OverloadController.java", 985),
           Map.entry("ProcessStage.java", 751),
           Map.entry("Membership.java", 726),
           Map.entry("SimulationStage.java", 574),
           Map.entry("Tree.java", 502),
           Map.entry("Parser.java", 489),
-          Map.entry("DeploymentPlay.java", 486),
-          Map.entry("OverrideNet.java", 481),
+          Map.entry("DeploymentSimulation.java", 486),
+          Map.entry("SimulatedOverrideNetwork.java", 481),
           Map.entry("Connection.java", 474),
           Map.entry("ZoneFile.java", 473),
           Map.entry("Server.java", 467),
@@ -42,7 +42,7 @@
           Map.entry("Relay.java", 460),
           Map.entry("Oracles.java", 450),
           Map.entry("Methods.java", 439),
-          Map.entry("Peer.java", 426),
+          Map.entry("PeerTransport.java", 426),
           Map.entry("Values.java", 422));
 
   private static List<Path> sources() throws IOException {
@@ -74,10 +74,12 @@
 
   @Test
   void partsOfTheDecisionsAreShortEnough() throws IOException {
-    List<Path> parts =
-        new ArrayList<>(List.of(Path.of("src/main/java/mothwing/CallerSignals.java")));
-    try (Stream<Path> all = Files.list(Path.of("src/main/java/mothwing/overload"))) {
-      all.forEach(parts::add);
+    List<Path> parts = new ArrayList<>();
+    for (String folder : List.of("overload", "control")) {
+      try (Stream<Path> all = Files.list(SOURCES.resolve(folder))) {
+        all.filter(file -> !LONG_FILES.containsKey(file.getFileName().toString()))
+            .forEach(parts::add);
+      }
     }
     for (Path part : parts) {
       assertTrue(
--- a/src/test/java/mothwing/management/DoorTest.java
+++ b/src/test/java/mothwing/admin/AdminConnectionTest.java
@@ -1,4 +1,4 @@
-package mothwing.management;
+package mothwing.admin;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.lab.Stand;
+import mothwing.trial.BrokerFixture;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** The operators' door against a model of its calls: what is no call changes nothing. */
-class DoorTest {
+class AdminConnectionTest {
   private static final String[] LINES = {
     "HEALTH",
     "DUMP",
@@ -28,16 +28,16 @@
     "",
     "leave",
     "LEAVE JOIN",
-    "x".repeat(DoorConnection.MOST_LINE + 1),
+    "x".repeat(AdminConnection.MOST_LINE + 1),
     "x".repeat(5000)
   };
 
-  private final Stand stand = new Stand();
+  private final BrokerFixture stand = new BrokerFixture();
   private final List<Boolean> told = new ArrayList<>();
   private boolean leaving;
 
-  private final Operations operations =
-      new Operations() {
+  private final AdminOperations operations =
+      new AdminOperations() {
         @Override
         public boolean serving() {
           return !leaving;
@@ -63,7 +63,7 @@
       };
 
   private EmbeddedChannel call() {
-    return stand.open(new DoorConnection(operations, stand.lines::add, stand.counters));
+    return stand.open(new AdminConnection(operations, stand.lines::add, stand.counters));
   }
 
   private static String reply(EmbeddedChannel channel) {
@@ -119,7 +119,7 @@
   @Example
   void aLineWithoutAnEndIsAnsweredAtItsBound() {
     EmbeddedChannel channel = call();
-    channel.writeInbound(Unpooled.wrappedBuffer(new byte[DoorConnection.MOST_LINE + 1]));
+    channel.writeInbound(Unpooled.wrappedBuffer(new byte[AdminConnection.MOST_LINE + 1]));
     assertTrue(reply(channel).startsWith("NO "));
     assertFalse(channel.isOpen());
   }
--- a/src/test/java/mothwing/ajp/AjpConnectionTest.java
+++ b/src/test/java/mothwing/ajp/AjpConnectionTest.java
@@ -7,11 +7,11 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import mothwing.OverloadControl.Outcome;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
+import mothwing.control.RunOutcome;
 import mothwing.testing.FrontModel;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -38,7 +38,7 @@
   }
 
   private Map<String, String> fields() {
-    return Gateway.fields(Stand.id(1), model.stand.wallMs());
+    return Gateway.fields(BrokerFixture.id(1), model.stand.wallMs());
   }
 
   private Answer ask(String path, int length, byte[] chunk) {
@@ -88,7 +88,7 @@
   @Property(seed = "1764576004", tries = 60)
   void aForwardCutShortInItsPacketClosesTheConnection(
       @ForAll @IntRange(min = 1, max = 150) int less) {
-    byte[] whole = Gateway.Ajp.forward("/call/" + Stand.LOOK, "", fields(), 0);
+    byte[] whole = Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0);
     byte[] payload = Arrays.copyOfRange(whole, 4, Math.max(5, whole.length - less));
     model.send(Gateway.Ajp.packet(payload));
     assertTrue(model.endedAs("malformed"));
@@ -97,7 +97,7 @@
   @Example
   void asksForTheBodyWhereItsLengthIsNotTold() {
     byte[] body = new byte[1500];
-    model.send(Gateway.Ajp.forward("/call/" + Stand.LOOK, "", fields(), -1));
+    model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), -1));
     assertTrue(gateway.asked >= body.length);
     model.send(Gateway.Ajp.chunk(body, 0, 1000));
     assertEquals(0, model.stand.counters.get("read"));
@@ -105,7 +105,7 @@
     model.send(Gateway.Ajp.chunk(body, 0, 0));
     assertEquals(1, model.stand.counters.get("read"));
     model.stand.pass(3_000);
-    model.stand.finish(Stand.id(1), Outcome.GOOD);
+    model.stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     model.stand.read(model.channel, gateway);
     assertEquals(200, gateway.answers.remove().status());
   }
@@ -113,7 +113,7 @@
   @Example
   void asksForTheRestOfABodyThatComesInChunks() {
     byte[] body = new byte[2000];
-    model.send(Gateway.Ajp.forward("/call/" + Stand.LOOK, "", fields(), body.length));
+    model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), body.length));
     assertEquals(0, gateway.asked, "the first chunk comes unasked");
     model.send(Gateway.Ajp.chunk(body, 0, 1200));
     assertEquals(800, gateway.asked);
@@ -123,8 +123,8 @@
 
   @Example
   void failsARequestThatMakesNoSenseAndKeepsTheConnection() {
-    assertEquals(413, ask("/call/" + Stand.LOOK, 9000, new byte[8000]).status());
-    assertEquals(400, ask("/call/" + Stand.LOOK, 50, new byte[0]).status());
+    assertEquals(413, ask("/call/" + BrokerFixture.LOOK, 9000, new byte[8000]).status());
+    assertEquals(400, ask("/call/" + BrokerFixture.LOOK, 50, new byte[0]).status());
     assertEquals(400, ask("/elsewhere", 0, null).status());
     assertEquals(500, ask("/call/nothing", 0, null).status());
     assertEquals(200, ask("/ping", 0, null).status());
@@ -133,7 +133,7 @@
 
   @Example
   void aPacketBeforeTheAnswerClosesTheConnection() {
-    model.send(Gateway.Ajp.forward("/call/" + Stand.LOOK, "", fields(), 0));
+    model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0));
     model.send(Gateway.Ajp.cping());
     assertTrue(model.endedAs("too-many-open"));
     assertEquals(0, model.stand.broker.owed(), "its caller has left");
@@ -143,7 +143,7 @@
   void refusesWithAdviceAndWithoutReuseOnceTheServerLeaves() {
     model.stand.broker.drain(model.stand.now(), model.stand.now() + 3_000_000, false);
     model.stand.pass(5_000);
-    Answer answer = ask("/call/" + Stand.ORDER, 0, null);
+    Answer answer = ask("/call/" + BrokerFixture.ORDER, 0, null);
     assertEquals(503, answer.status());
     assertTrue(Long.parseLong(answer.fields().get("Hold-Off-Ms")) > 0);
     assertTrue(gateway.refusesReuse);
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -8,17 +8,17 @@
 import java.util.Map;
 import java.util.OptionalDouble;
 import java.util.Set;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Tenant;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
-import mothwing.testing.Altered;
+import mothwing.control.Controller;
+import mothwing.control.GaugeSample;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.Tenant;
+import mothwing.testing.SettingsVariants;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
@@ -59,17 +59,17 @@
     }
 
     @Override
-    public void callEnded(long now, String id, Outcome outcome, long took) {
+    public void callEnded(long now, String id, RunOutcome outcome, long took) {
       note("call ended");
     }
 
     @Override
-    public void finished(long now, String id, Outcome outcome, long took) {
+    public void finished(long now, String id, RunOutcome outcome, long took) {
       note("finished " + outcome);
     }
 
     @Override
-    public void timer(long now, String tag, Sample sample) {
+    public void timer(long now, String tag, GaugeSample sample) {
       note(
           "timer "
               + tag
@@ -97,20 +97,20 @@
 
   private final ByHand decisions = new ByHand();
   private final List<String> answers = new ArrayList<>();
-  private Stand stand;
+  private BrokerFixture stand;
 
   @BeforeEach
   void bound() {
-    stand = new Stand(decisions).bound();
+    stand = new BrokerFixture(decisions).bound();
     decisions.told.clear();
   }
 
   private Exchange ask(int number, String kind) {
-    return stand.ask(Stand.id(number), kind, new byte[0], caller());
+    return stand.ask(BrokerFixture.id(number), kind, new byte[0], caller());
   }
 
-  private Caller caller() {
-    return new Caller() {
+  private ResponseSink caller() {
+    return new ResponseSink() {
       @Override
       public void served(byte[] result) {
         answers.add("served");
@@ -130,9 +130,9 @@
 
   @Test
   void gathersTheEventsOfARoundIntoOneBatch() {
-    ask(1, Stand.LOOK);
+    ask(1, BrokerFixture.LOOK);
     stand.pass(1);
-    stand.broker.gone(ask(2, Stand.LOOK));
+    stand.broker.gone(ask(2, BrokerFixture.LOOK));
     stand.pass(10_000);
     assertEquals(List.of("read", "settled", "read", "gone", "settled"), decisions.told);
   }
@@ -140,7 +140,7 @@
   /** Guards against decisions that leave a request beyond its due time. */
   @Test
   void failsWhatTheControllerLeavesOverdue() {
-    ask(1, Stand.LOOK);
+    ask(1, BrokerFixture.LOOK);
     stand.pass(4 * SECOND);
     assertEquals(List.of(), answers);
     stand.pass(SECOND);
@@ -157,11 +157,11 @@
     for (long wait : new long[] {300, 0, 60_000}) {
       answers.clear();
       stand.broker.read(
-          new Arrival(
-              Stand.id((int) wait + 1),
+          new InboundRequest(
+              BrokerFixture.id((int) wait + 1),
               stand.wallMs(),
               "one",
-              Stand.LOOK,
+              BrokerFixture.LOOK,
               10,
               0.5,
               null,
@@ -181,7 +181,7 @@
   @Test
   void outlivesAControllerThatThrows() {
     decisions.broken = true;
-    ask(1, Stand.LOOK);
+    ask(1, BrokerFixture.LOOK);
     stand.pass(5 * SECOND);
     assertEquals(List.of("failed overdue"), answers);
     assertTrue(stand.counters.get("controller-faults") > 0);
@@ -191,45 +191,45 @@
   /** Guards against an order that ran and is then refused, which promises that it did not. */
   @Test
   void neverRefusesWhatRanAndMustRunOnce() {
-    ask(1, Stand.ORDER);
-    ask(2, Stand.ORDER);
-    stand.broker.start(Stand.id(1));
-    stand.broker.refuse(Stand.id(1), false, 5_500);
-    stand.broker.refuse(Stand.id(2), true, 5_500);
+    ask(1, BrokerFixture.ORDER);
+    ask(2, BrokerFixture.ORDER);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.refuse(BrokerFixture.id(1), false, 5_500);
+    stand.broker.refuse(BrokerFixture.id(2), true, 5_500);
     assertEquals(List.of("failed ran-before", "refused true 6"), answers);
   }
 
   @Test
   void startsOnceAndAnswersOnce() {
-    ask(1, Stand.ORDER);
-    stand.broker.start(Stand.id(1));
-    stand.broker.start(Stand.id(1));
-    stand.finish(Stand.id(1), Outcome.GOOD);
-    stand.broker.fail(Stand.id(1));
-    stand.broker.finished(Stand.id(1), Outcome.GOOD, 5, new byte[1]);
+    ask(1, BrokerFixture.ORDER);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.start(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.broker.fail(BrokerFixture.id(1));
+    stand.broker.finished(BrokerFixture.id(1), RunOutcome.GOOD, 5, new byte[1]);
     assertEquals(List.of("served"), answers);
-    assertEquals(1, stand.spawns.get(Stand.id(1)));
+    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
     assertEquals(1, stand.counters.get("finished-unasked"));
   }
 
   @Test
   void pausesAndGoesOn() {
-    ask(1, Stand.ORDER);
-    stand.broker.start(Stand.id(1));
-    stand.broker.halt(Stand.id(1));
+    ask(1, BrokerFixture.ORDER);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.halt(BrokerFixture.id(1));
     stand.pass(5_000);
-    stand.broker.start(Stand.id(1));
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     assertEquals(List.of("served"), answers);
-    assertEquals(1, stand.spawns.get(Stand.id(1)));
+    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
   }
 
   /** Guards against a request that the pool knows to be over and nobody answers. */
   @Test
   void failsWhatThePoolDidNotBegin() {
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
-    stand.finish(Stand.id(1), Outcome.MOOT);
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.MOOT);
     assertEquals(List.of("failed stale"), answers);
   }
 
@@ -239,13 +239,13 @@
   @Test
   void startsOnceTheLinkIsBackWhatWasNeverHandedOver() {
     stand.linked = false;
-    ask(1, Stand.ORDER);
-    stand.broker.start(Stand.id(1));
+    ask(1, BrokerFixture.ORDER);
+    stand.broker.start(BrokerFixture.id(1));
     stand.linked = true;
     stand.broker.caughtUp();
     stand.broker.caughtUp();
-    assertEquals(1, stand.spawns.get(Stand.id(1)));
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     assertEquals(List.of("served"), answers);
   }
 
@@ -255,8 +255,8 @@
    */
   @Test
   void givesUpARunWhoseEndWasLost() {
-    ask(1, Stand.ORDER);
-    stand.broker.start(Stand.id(1));
+    ask(1, BrokerFixture.ORDER);
+    stand.broker.start(BrokerFixture.id(1));
     stand.running.clear();
     stand.pass(14 * SECOND);
     assertEquals(List.of("failed overdue"), answers);
@@ -273,9 +273,9 @@
    */
   @Test
   void takesTheNoticeToLeaveBeforeThePoolIsUp() {
-    stand = new Stand(decisions);
+    stand = new BrokerFixture(decisions);
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-    ask(1, Stand.LOOK);
+    ask(1, BrokerFixture.LOOK);
     stand.pass(SECOND);
     assertEquals(List.of("refused false 1000"), answers);
     assertEquals(0, stand.counters.get("controller-faults"));
@@ -287,8 +287,8 @@
   void runsNothingThatCameAfterTheGraceOfADrain() {
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
     stand.pass(2 * SECOND + 5_000);
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
     assertEquals(List.of("refused false 1000"), answers);
     assertTrue(stand.spawns.isEmpty());
   }
@@ -302,10 +302,10 @@
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
     long accepted = stand.wallMs() + 1_900;
     stand.pass(2 * SECOND + 300_000);
-    Arrival.Fields fields = new Arrival.Fields();
-    Gateway.fields(Stand.id(1), accepted).forEach(fields::set);
-    stand.broker.read(fields.at("/call/" + Stand.ORDER, new byte[0]), caller());
-    stand.broker.start(Stand.id(1));
+    InboundRequest.Fields fields = new InboundRequest.Fields();
+    Gateway.fields(BrokerFixture.id(1), accepted).forEach(fields::set);
+    stand.broker.read(fields.at("/call/" + BrokerFixture.ORDER, new byte[0]), caller());
+    stand.broker.start(BrokerFixture.id(1));
     assertEquals(List.of("refused false 1000"), answers);
     assertTrue(stand.spawns.isEmpty());
   }
@@ -316,9 +316,9 @@
    */
   @Test
   void whatTheDecisionsStillOweAtTheEndIsFailed() {
-    ask(1, Stand.LOOK);
-    ask(2, Stand.ORDER);
-    stand.broker.start(Stand.id(2));
+    ask(1, BrokerFixture.LOOK);
+    ask(2, BrokerFixture.ORDER);
+    stand.broker.start(BrokerFixture.id(2));
     stand.broker.drain(stand.now(), stand.now() + SECOND, false);
     stand.broker.failOwed();
     stand.broker.failOwed();
@@ -327,8 +327,8 @@
   }
 
   private static Settings with(RequestClass... classes) {
-    Settings one = Stand.settings(4.5, 2);
-    return Altered.parts(one, List.of(classes), one.tenants());
+    Settings one = BrokerFixture.settings(4.5, 2);
+    return SettingsVariants.parts(one, List.of(classes), one.tenants());
   }
 
   /**
@@ -338,16 +338,19 @@
   @Test
   void newSettingsLeaveWhatIsOpenItsClassAndDeadline() {
     RequestClass order =
-        new RequestClass(Stand.ORDER, SECOND, 9 * SECOND, 5, 0, Repeats.SINGLE_SHOT, 0, false, 0);
-    RequestClass save = new RequestClass("save", SECOND, SECOND, 1, 0, Repeats.SAFE, 0, false, 0);
-    RequestClass tell = new RequestClass("tell", SECOND, SECOND, 1, 0, Repeats.SAFE, 0, false, 0);
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
+        new RequestClass(
+            BrokerFixture.ORDER, SECOND, 9 * SECOND, 5, 0, Idempotency.SINGLE_SHOT, 0, false, 0);
+    RequestClass save =
+        new RequestClass("save", SECOND, SECOND, 1, 0, Idempotency.SAFE, 0, false, 0);
+    RequestClass tell =
+        new RequestClass("tell", SECOND, SECOND, 1, 0, Idempotency.SAFE, 0, false, 0);
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
     stand.broker.retune(with(save, order)); // stock-check is dropped while one is open
-    ask(2, Stand.LOOK);
+    ask(2, BrokerFixture.LOOK);
     ask(3, "save");
-    stand.broker.start(Stand.id(3));
-    stand.finish(Stand.id(3), Outcome.GOOD);
+    stand.broker.start(BrokerFixture.id(3));
+    stand.finish(BrokerFixture.id(3), RunOutcome.GOOD);
     stand.pass(5_000);
     assertTrue(
         decisions.told.contains("retuned [stock-check, place-order, save]"),
@@ -356,7 +359,7 @@
     assertEquals(List.of("failed unknown-class", "served"), answers);
     stand.pass(SECOND); // the deadline that it was read under
     assertEquals(List.of("failed unknown-class", "served", "failed overdue"), answers);
-    stand.finish(Stand.id(1), Outcome.STOPPED);
+    stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
     stand.broker.retune(
         with(order, tell)); // nothing refers to the places of stock-check and save any longer
     stand.pass(5_000);
@@ -377,14 +380,14 @@
   @Test
   void adviceToStayAwayLeavesOnlyWhereTheSettingsAllowIt() {
     for (boolean may : new boolean[] {true, false}) {
-      stand = new Stand(decisions);
-      stand.broker.retune(Altered.advice(Stand.settings(4.5, 2), may));
-      ask(1, Stand.LOOK); // not ready
+      stand = new BrokerFixture(decisions);
+      stand.broker.retune(SettingsVariants.advice(BrokerFixture.settings(4.5, 2), may));
+      ask(1, BrokerFixture.LOOK); // not ready
       stand.bound();
       stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
       stand.pass(3 * SECOND);
-      ask(2, Stand.LOOK);
-      stand.broker.start(Stand.id(2)); // read over 2 s after the notice
+      ask(2, BrokerFixture.LOOK);
+      stand.broker.start(BrokerFixture.id(2)); // read over 2 s after the notice
       String refused = "refused false " + (may ? 1000 : 0);
       assertEquals(List.of(refused, refused), answers);
       answers.clear();
@@ -401,19 +404,20 @@
     stand.broker.drain(stand.now(), stand.now() + 3 * SECOND, true);
     stand.pass(SECOND);
     assertTrue(!decisions.told.contains("drain"));
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     stand.pass(SECOND);
     assertTrue(decisions.told.contains("drain")); // after half of its time
     stand.broker.health(true, false);
     stand.broker.say(0.95);
     stand.broker.check(false, good::add);
-    ask(2, Stand.LOOK);
-    stand.broker.refuse(Stand.id(2), false, 5_500);
+    ask(2, BrokerFixture.LOOK);
+    stand.broker.refuse(BrokerFixture.id(2), false, 5_500);
     stand.pass(SECOND / 2);
-    ask(3, Stand.LOOK);
-    stand.broker.start(Stand.id(3)); // over 2 s after the notice: whatever the controller says
+    ask(3, BrokerFixture.LOOK);
+    stand.broker.start(
+        BrokerFixture.id(3)); // over 2 s after the notice: whatever the controller says
     assertEquals(List.of("served", "refused false 0", "refused false 0"), answers);
     assertEquals(List.of(true), good);
     assertEquals(OptionalDouble.of(0.25), stand.broker.feedback());
@@ -425,11 +429,11 @@
    */
   @Test
   void timersFireWithGaugesAndWithoutALinkWithTheirAbsence() {
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
     stand.broker.timer(stand.now() + 1_000, "tick");
     stand.pass(10_000);
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     stand.linked = false;
     stand.broker.timer(stand.now() + 1_000, "late");
     stand.pass(10_000);
@@ -468,9 +472,9 @@
     stand.pass(5_000);
     stand.broker.check(true, good::add);
     stand.broker.check(false, good::add);
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     assertEquals(List.of("served"), answers);
     assertTrue(!decisions.told.contains("drain") && stand.broker.serving());
     assertTrue(stand.broker.away(false) && stand.broker.away(false));
@@ -488,9 +492,10 @@
   @Test
   void countsARunOnceItsFirstHandOverIsThere() {
     stand.linked = false;
-    ask(1, Stand.LOOK);
-    stand.broker.start(Stand.id(1));
-    assertEquals(0L, ((Map<?, ?>) stand.broker.figures().get("upstream_requests")).get(Stand.LOOK));
+    ask(1, BrokerFixture.LOOK);
+    stand.broker.start(BrokerFixture.id(1));
+    assertEquals(
+        0L, ((Map<?, ?>) stand.broker.figures().get("upstream_requests")).get(BrokerFixture.LOOK));
     stand.linked = true;
     stand.broker.caughtUp();
     stand.broker.caughtUp();
@@ -503,29 +508,29 @@
 
   @Test
   void aTraceIdThatIsOpenIsNotTakenTwice() {
-    ask(1, Stand.ORDER);
-    ask(1, Stand.ORDER);
+    ask(1, BrokerFixture.ORDER);
+    ask(1, BrokerFixture.ORDER);
     assertEquals(List.of("failed repeated-trace-id"), answers);
   }
 
   @Test
   void keepsToABoundOnOpenRequests() {
     for (int i = 0; i < Broker.MOST_OPEN; i++) {
-      ask(i, Stand.LOOK);
+      ask(i, BrokerFixture.LOOK);
     }
     assertEquals(List.of(), answers);
-    ask(Broker.MOST_OPEN, Stand.LOOK);
+    ask(Broker.MOST_OPEN, BrokerFixture.LOOK);
     assertEquals(List.of("refused false 1000"), answers);
   }
 
   private void guarded(Controller by) {
-    stand = by == null ? new Stand() : new Stand(by);
+    stand = by == null ? new BrokerFixture() : new BrokerFixture(by);
     stand.broker.retune(
-        Altered.parts(
-            Stand.settings(4.5, 2),
+        SettingsVariants.parts(
+            BrokerFixture.settings(4.5, 2),
             List.of(
                 new RequestClass(
-                    "save", SECOND, 4 * SECOND, 1, 0, Repeats.GUARDED, 5 * SECOND, false, 0)),
+                    "save", SECOND, 4 * SECOND, 1, 0, Idempotency.GUARDED, 5 * SECOND, false, 0)),
             List.of(new Tenant("one", 1e6), new Tenant("two", 1e6))));
     answers.clear();
     stand.bound();
@@ -534,8 +539,8 @@
   /** A try of a guarded request; some body stands for each number. */
   private Exchange guarded(int number, String key, int body, String tenant) {
     return stand.broker.read(
-        new Arrival(
-            Stand.id(number),
+        new InboundRequest(
+            BrokerFixture.id(number),
             stand.wallMs(),
             tenant,
             "save",
@@ -543,7 +548,7 @@
             0.5,
             null,
             key,
-            Arrival.NOT_TOLD,
+            InboundRequest.NOT_TOLD,
             new byte[] {(byte) body}),
         caller());
   }
@@ -560,7 +565,7 @@
       guarded(claim.ordinal() + 1, claim.name(), 0, "one");
       stand.pass(10_000);
     }
-    stand.finish(Stand.id(RunClaims.Claim.GRANTED.ordinal() + 1), Outcome.GOOD);
+    stand.finish(BrokerFixture.id(RunClaims.Claim.GRANTED.ordinal() + 1), RunOutcome.GOOD);
     assertEquals(
         List.of("failed ran-beside", "refused false 1000", "failed claim-unknown", "served"),
         answers);
@@ -582,18 +587,18 @@
     guarded(null);
     guarded(1);
     guarded(2); // as the first runs
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     guarded(3); // once it has ended
     stand.pass(10_000);
     assertEquals(List.of("served", "served", "served"), answers);
     stand.pass(5 * SECOND - 300_000); // the window goes by the arrival of the try that was run
     guarded(4);
-    assertEquals(Map.of(Stand.id(1), 1), stand.spawns);
+    assertEquals(Map.of(BrokerFixture.id(1), 1), stand.spawns);
     assertEquals(4, answers.size());
     stand.pass(SECOND);
     guarded(5);
-    assertEquals(Map.of(Stand.id(1), 1, Stand.id(5), 1), stand.spawns);
-    stand.finish(Stand.id(5), Outcome.FAILED);
+    assertEquals(Map.of(BrokerFixture.id(1), 1, BrokerFixture.id(5), 1), stand.spawns);
+    stand.finish(BrokerFixture.id(5), RunOutcome.FAILED);
     guarded(6);
     assertEquals(List.of("failed crashed", "failed replayed-failure"), answers.subList(4, 6));
     stand.pass(20 * SECOND);
@@ -612,12 +617,14 @@
     guarded(3, "k", 1, "two");
     stand.pass(10_000);
     assertEquals(List.of("failed key-of-another"), answers);
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     stand.broker.gone(
         guarded(4, "other", 0, "one")); // gone in the round that it was read in: it never ran
     guarded(5, "other", 0, "one");
     stand.pass(10_000);
-    assertEquals(Set.of(Stand.id(1), Stand.id(3), Stand.id(5)), stand.spawns.keySet());
+    assertEquals(
+        Set.of(BrokerFixture.id(1), BrokerFixture.id(3), BrokerFixture.id(5)),
+        stand.spawns.keySet());
   }
 
   /** Guards against a caller that leaves as its run goes on: the repeat gets what that made. */
@@ -625,13 +632,13 @@
   void aRepeatAfterItsCallerLeftGetsTheResult() {
     guarded(decisions);
     Exchange first = guarded(1);
-    stand.broker.start(Stand.id(1));
+    stand.broker.start(BrokerFixture.id(1));
     stand.broker.gone(first);
     guarded(2);
-    stand.broker.replay(Stand.id(2));
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    stand.broker.replay(BrokerFixture.id(2));
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     assertEquals(List.of("served"), answers);
-    assertEquals(Map.of(Stand.id(1), 1), stand.spawns);
+    assertEquals(Map.of(BrokerFixture.id(1), 1), stand.spawns);
   }
 
   /**
@@ -641,22 +648,22 @@
   void noDecisionRunsARepeatAndWhatFindsNoRoomIsRefused() {
     guarded(decisions);
     guarded(1);
-    stand.broker.start(Stand.id(1));
+    stand.broker.start(BrokerFixture.id(1));
     guarded(2);
-    stand.broker.start(Stand.id(2));
+    stand.broker.start(BrokerFixture.id(2));
     assertEquals(List.of("failed ran-before"), answers);
-    stand.finish(Stand.id(1), Outcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
     for (int i = 3; i < 2_000; i++) {
       guarded(i, "k" + i, 0, "one");
-      stand.broker.start(Stand.id(i));
+      stand.broker.start(BrokerFixture.id(i));
     }
     assertTrue(answers.contains("refused false 1000"), answers::toString);
     assertTrue(stand.spawns.values().stream().allMatch(times -> times == 1));
-    stand.spawns.keySet().forEach(id -> stand.broker.finished(id, Outcome.FAILED, 0, null));
+    stand.spawns.keySet().forEach(id -> stand.broker.finished(id, RunOutcome.FAILED, 0, null));
     stand.pass(40 * SECOND);
     answers.clear();
     guarded(2_000);
-    stand.broker.start(Stand.id(2_000));
+    stand.broker.start(BrokerFixture.id(2_000));
     assertEquals(List.of(), answers, "there is room again");
   }
 
@@ -669,13 +676,13 @@
     stand.broker.retune(
         with(
             new RequestClass(
-                "save", SECOND, 9 * SECOND, 1, 0, Repeats.GUARDED, 5 * SECOND, false, 0)));
+                "save", SECOND, 9 * SECOND, 1, 0, Idempotency.GUARDED, 5 * SECOND, false, 0)));
     ask(1, "save");
-    stand.broker.start(Stand.id(1));
-    stand.finish(Stand.id(1), Outcome.STOPPED);
-    stand.broker.refuse(Stand.id(1), false, 5_500);
+    stand.broker.start(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
+    stand.broker.refuse(BrokerFixture.id(1), false, 5_500);
     assertEquals(List.of("failed ran-before"), answers);
-    assertEquals(1, stand.spawns.get(Stand.id(1)));
+    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
   }
 
   /**
@@ -684,15 +691,16 @@
   @Test
   void reasonsAreWrittenWithTheRequestUpToABoundASecond() {
     int over = 10;
-    for (int i = 0; i < ReasonLog.MOST_A_SECOND + over; i++) {
+    for (int i = 0; i < RateLimitedEventLog.MOST_A_SECOND + over; i++) {
       ask(i, "no-such-class");
     }
     stand.pass(SECOND);
     ask(1000, "no-such-class");
     List<String> written = stand.lines.stream().filter(line -> line.startsWith("failed ")).toList();
-    assertEquals(ReasonLog.MOST_A_SECOND + 1, written.size());
+    assertEquals(RateLimitedEventLog.MOST_A_SECOND + 1, written.size());
     assertEquals(
-        "failed id=" + Stand.id(0) + " class=no-such-class reason=unknown-class", written.get(0));
+        "failed id=" + BrokerFixture.id(0) + " class=no-such-class reason=unknown-class",
+        written.get(0));
     assertTrue(stand.lines.contains("reasons-suppressed lines=" + over));
   }
 }
--- a/src/test/java/mothwing/broker/SlotsTest.java
+++ b/src/test/java/mothwing/broker/StableIndexTest.java
@@ -15,14 +15,14 @@
 import net.jqwik.api.constraints.Size;
 
 /** Slots against a model that only knows who refers to which name. */
-class SlotsTest {
+class StableIndexTest {
   @Property(seed = "1764576016", tries = 500)
   void whatIsReferredToDoesNotMoveAndRoomIsUsedAgain(
       @ForAll @Size(max = 12)
           List<@Size(min = 1, max = 5) Set<@IntRange(max = 7) Integer>> settings,
       @ForAll @Size(min = 12, max = 12) List<@IntRange(max = 255) Integer> users) {
-    Slots<String> places =
-        new Slots<>(part -> part.substring(0, 1)); // the rest of a part is its value
+    StableIndex<String> places =
+        new StableIndex<>(part -> part.substring(0, 1)); // the rest of a part is its value
     Map<Integer, String> used = new HashMap<>();
     int most = 0;
     for (int step = 0; step < settings.size(); step++) {
--- a/src/test/java/mothwing/cli/CommandsTest.java
+++ b/src/test/java/mothwing/cli/CommandsTest.java
@@ -15,10 +15,10 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import mothwing.lab.Stand;
-import mothwing.lab.StandInPool;
 import mothwing.server.Config;
 import mothwing.server.Server;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -211,7 +211,7 @@
                   null,
                   3200,
                   256,
-                  Stand.settings(4.5, 2),
+                  BrokerFixture.settings(4.5, 2),
                   null),
               null,
               line -> {});
--- a/src/test/java/mothwing/cli/StartTest.java
+++ b/src/test/java/mothwing/cli/StartTest.java
@@ -9,8 +9,8 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.lab.Served;
-import mothwing.lab.StandInPool;
+import mothwing.trial.ServerProcess;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -20,12 +20,14 @@
  */
 class StartTest {
   private static final List<String> STRANGE =
-      List.of("mothwing.lab.", "HdrHistogram", "mothwing.member.", "mothwing.peer.", "msgpack");
+      List.of(
+          "mothwing.trial.", "HdrHistogram", "mothwing.membership.", "mothwing.peer.", "msgpack");
   @TempDir private Path folder;
 
   private Process start(StandInPool pool, List<String> options, String... between)
       throws IOException {
-    Path config = Files.writeString(folder.resolve("config.json"), Served.config(0, 0, pool));
+    Path config =
+        Files.writeString(folder.resolve("config.json"), ServerProcess.config(0, 0, pool));
     List<String> command =
         new ArrayList<>(List.of("/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh"));
     command.addAll(List.of(between));
--- a/src/test/java/mothwing/ledger/LedgerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -1,4 +1,4 @@
-package mothwing.ledger;
+package mothwing.dependency;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -13,12 +13,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import mothwing.OverloadControl.Outcome;
-import mothwing.broker.Caller;
-import mothwing.broker.Calls;
-import mothwing.lab.Stand;
+import mothwing.broker.DependencyClient;
+import mothwing.broker.ResponseSink;
+import mothwing.control.RunOutcome;
 import mothwing.net.Connection;
-import mothwing.testing.Undecided;
+import mothwing.testing.NoDecisionController;
+import mothwing.trial.BrokerFixture;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -29,11 +29,11 @@
 /**
  * Calls over links that break, with answers late and out of order, against a model of the ledger.
  */
-class LedgerTest {
+class DependencyConnectionManagerTest {
   private static final int RUNS = 6;
 
-  private Stand stand;
-  private Ledger ledger;
+  private BrokerFixture stand;
+  private DependencyConnectionManager ledger;
   private List<Tier> links;
   private boolean refusing;
   private Map<String, String> asked; // what each run stands at a call for
@@ -109,8 +109,8 @@
     asked = new LinkedHashMap<>();
     ended = new LinkedHashMap<>();
     nonces = 0;
-    stand = new Stand(new Noted());
-    ledger = new Ledger(this::dial, stand, stand.counters, stand.lines::add);
+    stand = new BrokerFixture(new Noted());
+    ledger = new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add);
     ledger.serve(stand.bound().broker);
   }
 
@@ -119,15 +119,15 @@
   }
 
   /** Decisions by hand: it counts the ends of calls. */
-  private final class Noted extends Undecided {
+  private final class Noted extends NoDecisionController {
     @Override
-    public void callEnded(long now, String id, Outcome outcome, long took) {
+    public void callEnded(long now, String id, RunOutcome outcome, long took) {
       ended.merge(id, 1, Integer::sum);
     }
   }
 
   /** A caller whose answer is of no matter here. */
-  private static final class Unread implements Caller {
+  private static final class Unread implements ResponseSink {
     @Override
     public void served(byte[] result) {
       // not looked at
@@ -145,7 +145,7 @@
   }
 
   private void begin(String id) {
-    stand.ask(id, Stand.LOOK, new byte[3], new Unread());
+    stand.ask(id, BrokerFixture.LOOK, new byte[3], new Unread());
     stand.broker.start(id);
   }
 
@@ -177,11 +177,11 @@
   void keepsToTheModel(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99_999) Integer> steps) {
     for (int i = 0; i < RUNS; i++) {
-      begin(Stand.id(i));
+      begin(BrokerFixture.id(i));
     }
     Map<String, Integer> made = new LinkedHashMap<>();
     for (int step : steps) {
-      String id = Stand.id(step / 10 % RUNS);
+      String id = BrokerFixture.id(step / 10 % RUNS);
       int before = supplies(id);
       switch (step % 10) {
         case 0, 1 -> blocked(id); // also where a call of it is out: the run was begun again
@@ -195,7 +195,7 @@
                 one -> {
                   Map<String, Integer> told = new LinkedHashMap<>();
                   for (int i = 0; i < RUNS; i++) {
-                    told.put(Stand.id(i), supplies(Stand.id(i)));
+                    told.put(BrokerFixture.id(i), supplies(BrokerFixture.id(i)));
                   }
                   one.answer(step / 10);
                   told.forEach(this::supplied);
@@ -221,7 +221,7 @@
     refusing = false;
     stand.pass(400_000);
     for (int i = 0; i < RUNS; i++) {
-      String id = Stand.id(i);
+      String id = BrokerFixture.id(i);
       int over = ended.getOrDefault(id, 0);
       assertTrue(over <= made.getOrDefault(id, 0), "no end without a call");
     }
@@ -239,7 +239,7 @@
    */
   @Example
   void aRequestThatCallsAgainIsNotGivenTheLateAnswerToItsFormerCall() {
-    String id = Stand.id(1);
+    String id = BrokerFixture.id(1);
     begin(id);
     blocked(id);
     stand.broker.call(id, stand.now() + 50_000);
@@ -265,22 +265,22 @@
   @Example
   void aLinkThatIsSilentBehindACallIsLeft() {
     for (int i = 0; i < 4; i++) {
-      begin(Stand.id(i));
-      blocked(Stand.id(i));
+      begin(BrokerFixture.id(i));
+      blocked(BrokerFixture.id(i));
     }
-    stand.broker.call(Stand.id(0), stand.now() + 3_000_000);
+    stand.broker.call(BrokerFixture.id(0), stand.now() + 3_000_000);
     stand.pass(1_000);
     links.get(0).read(); // and never answers
-    stand.broker.call(Stand.id(1), stand.now() + 3_000_000);
+    stand.broker.call(BrokerFixture.id(1), stand.now() + 3_000_000);
     stand.pass(600_000);
     assertEquals(1, links.size());
-    stand.broker.call(Stand.id(2), stand.now() + 3_000_000);
+    stand.broker.call(BrokerFixture.id(2), stand.now() + 3_000_000);
     stand.pass(1_000);
     assertEquals(2, links.size());
     links.get(1).read();
     links.get(1).answer(6);
-    assertEquals(1, supplies(Stand.id(2)));
-    stand.broker.call(Stand.id(3), stand.now() + 3_000_000);
+    assertEquals(1, supplies(BrokerFixture.id(2)));
+    stand.broker.call(BrokerFixture.id(3), stand.now() + 3_000_000);
     stand.pass(1_000);
     assertEquals(2, links.size(), "the new one answers");
     assertTrue(links.get(0).channel.isOpen(), "two calls are out on the old one");
@@ -294,16 +294,16 @@
    */
   @Example
   void aCallThatNobodyAnswersIsOverByItsLimit() {
-    begin(Stand.id(1));
-    blocked(Stand.id(1));
-    stand.broker.call(Stand.id(1), stand.now() + 50_000);
+    begin(BrokerFixture.id(1));
+    blocked(BrokerFixture.id(1));
+    stand.broker.call(BrokerFixture.id(1), stand.now() + 50_000);
     stand.pass(60_000);
     assertEquals(Map.of(), ended);
     stand.pass(60_000);
-    assertEquals(Map.of(Stand.id(1), 1), ended);
+    assertEquals(Map.of(BrokerFixture.id(1), 1), ended);
     assertEquals(1, stand.counters.get("call-timed_out"));
-    stand.broker.callWith(Calls.NONE);
-    stand.broker.call(Stand.id(1), stand.now() + 50_000);
+    stand.broker.callWith(DependencyClient.NONE);
+    stand.broker.call(BrokerFixture.id(1), stand.now() + 50_000);
     stand.pass(5_000);
     assertEquals(1, stand.counters.get("call-unreached"));
   }
@@ -315,9 +315,9 @@
   @Example
   void aResultGoesToThePoolOnceAcrossABrokenLink() {
     for (int i : List.of(1, 2)) {
-      begin(Stand.id(i));
-      blocked(Stand.id(i));
-      stand.broker.call(Stand.id(i), stand.now() + 500_000);
+      begin(BrokerFixture.id(i));
+      blocked(BrokerFixture.id(i));
+      stand.broker.call(BrokerFixture.id(i), stand.now() + 500_000);
     }
     stand.pass(1_000);
     links.get(0).read();
@@ -336,7 +336,7 @@
 
   @Example
   void whatIsNoAnswerClosesTheLinkAndCutsItsCalls() {
-    begin(Stand.id(1));
+    begin(BrokerFixture.id(1));
     for (String bad :
         List.of(
             "x\r\n",
@@ -344,9 +344,9 @@
             "0000000000000001 posted 99999999\r\n",
             "0000000000000001 posted 2\r\nabcd",
             "0000000000000001 well\r\n",
-            "y".repeat(LedgerLink.MOST_LINE + 1))) {
-      blocked(Stand.id(1));
-      stand.broker.call(Stand.id(1), stand.now() + 500_000);
+            "y".repeat(DependencyConnection.MOST_LINE + 1))) {
+      blocked(BrokerFixture.id(1));
+      stand.broker.call(BrokerFixture.id(1), stand.now() + 500_000);
       stand.pass(1_000);
       Tier last = links.get(links.size() - 1);
       last.channel.writeInbound(Unpooled.copiedBuffer(bad, StandardCharsets.ISO_8859_1));
--- a/src/test/java/mothwing/announce/AnnouncerTest.java
+++ b/src/test/java/mothwing/discovery/LoadReporterTest.java
@@ -1,4 +1,4 @@
-package mothwing.announce;
+package mothwing.discovery;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -10,8 +10,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import mothwing.lab.Stand;
 import mothwing.net.Connection;
+import mothwing.trial.BrokerFixture;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -22,24 +22,24 @@
  * Reports to a service that answers some, drops links, moves or is away, against a model of its
  * list.
  */
-class AnnouncerTest {
+class LoadReporterTest {
   private static final long LAPSES = 3_000_000;
   private static final String REPORT = "PUT /announce/n1 HTTP/1.1\r\n";
 
-  private Stand stand;
-  private Announcer announcer;
+  private BrokerFixture stand;
+  private LoadReporter announcer;
   private List<EmbeddedChannel> channels;
   private boolean away;
   private long heard;
 
   @BeforeTry
   void anew() {
-    stand = new Stand();
+    stand = new BrokerFixture();
     channels = new ArrayList<>();
     away = false;
     heard = 0;
     announcer =
-        new Announcer(this::dial, "n1", () -> true, stand, stand.counters, stand.lines::add);
+        new LoadReporter(this::dial, "n1", () -> true, stand, stand.counters, stand.lines::add);
     announcer.start();
   }
 
@@ -129,9 +129,9 @@
     List<Runnable> ends = new ArrayList<>();
     announcer.moved((maker, failed) -> ends.add(failed));
     stand.pass(20_000_000);
-    assertEquals(Announcer.MOST_DIALS, ends.size());
+    assertEquals(LoadReporter.MOST_DIALS, ends.size());
     ends.get(0).run();
     stand.pass(2_000_000);
-    assertEquals(Announcer.MOST_DIALS + 1, ends.size());
+    assertEquals(LoadReporter.MOST_DIALS + 1, ends.size());
   }
 }
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -8,12 +8,12 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Request;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.Request;
 import mothwing.settings.Site;
 import mothwing.testing.DnsPeer;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
 import org.xbill.DNS.Type;
 
 /** What becomes of messages when the controller turns them away, before and after they ran. */
-class DnsOverloadTest implements Timers {
+class DnsOverloadTest implements Scheduler {
   private final ArrayDeque<Runnable> work = new ArrayDeque<>();
   private final List<byte[]> answers = new ArrayList<>();
   private final Counters counters = new Counters();
@@ -52,7 +52,7 @@
 
   /** What a controller does with a request that was read. */
   private interface Decision {
-    void on(Host host, String id);
+    void on(ControllerHost host, String id);
   }
 
   private void read(byte[] message, Decision decision) throws IOException {
