--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -8,13 +8,13 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Settings;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
-import mothwing.testing.Altered;
+import mothwing.control.FreeValue;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
 import mothwing.testing.FrontModel;
+import mothwing.testing.SettingsVariants;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -52,10 +52,10 @@
    */
   @Example
   void theFreeValueLeavesAsTheSettingsInForceMeanIt() {
-    Settings level = Stand.settings(4.5, 2);
+    Settings level = BrokerFixture.settings(4.5, 2);
     for (FreeValue meaning : FreeValue.values()) {
       String all = meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
-      for (Settings now : List.of(Altered.meaning(level, meaning), level)) {
+      for (Settings now : List.of(SettingsVariants.meaning(level, meaning), level)) {
         model.stand.broker.retune(now);
         for (long span :
             new long[] {0, 200_000}) { // in the same turn, and once the decisions have spoken
@@ -103,30 +103,33 @@
 
   @Example
   void failsARequestThatMakesNoSenseAndKeepsTheConnection() {
-    Map<String, String> good = Gateway.fields(Stand.id(1), Stand.WALL_MS);
+    Map<String, String> good = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
     assertEquals(
-        413, status(model.gateway.request(1, "/call/" + Stand.LOOK, "", good, new byte[2049])));
+        413,
+        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", good, new byte[2049])));
     assertEquals(500, status(model.gateway.request(1, "/call/nothing", "", good, new byte[0])));
     assertEquals(400, status(model.gateway.request(1, "/elsewhere", "", good, new byte[0])));
     for (String name :
         List.of("Trace-Id", "Accepted-At-Ms", "Reserve-Kb", "Standing", "Client-No")) {
       for (String text : List.of("NaN", "-1", "", "0x1p-3", "1e400", "0.5f", " 0.5")) {
-        Map<String, String> bad = Gateway.fields(Stand.id(1), Stand.WALL_MS);
+        Map<String, String> bad = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
         bad.put(name, text);
         assertEquals(
             400,
-            status(model.gateway.request(1, "/call/" + Stand.LOOK, "", bad, new byte[0])),
+            status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", bad, new byte[0])),
             name);
       }
     }
-    Map<String, String> strange = Gateway.fields(Stand.id(1), Stand.WALL_MS);
+    Map<String, String> strange = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
     strange.put("Project", "nobody");
     assertEquals(
-        500, status(model.gateway.request(1, "/call/" + Stand.LOOK, "", strange, new byte[0])));
+        500,
+        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", strange, new byte[0])));
     assertEquals(Map.of(), model.stand.spawns);
     good.put("Lookup-Key", "k".repeat(9000));
     assertEquals(
-        413, status(model.gateway.request(1, "/call/" + Stand.LOOK, "", good, new byte[0])));
+        413,
+        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", good, new byte[0])));
     assertEquals(200, status(model.gateway.request(1, "/ping", "probe=1", Map.of(), new byte[0])));
     assertTrue(model.channel.isOpen());
   }
@@ -139,12 +142,12 @@
   void aStampOfAnotherHourCountsAsTheMomentItIsRead() {
     int number = 0;
     for (long hours : new long[] {1, -1}) {
-      for (Outcome end : new Outcome[] {Outcome.GOOD, null}) {
-        String id = Stand.id(++number);
+      for (RunOutcome end : new RunOutcome[] {RunOutcome.GOOD, null}) {
+        String id = BrokerFixture.id(++number);
         model.send(
             model.gateway.request(
                 number,
-                "/call/" + Stand.LOOK,
+                "/call/" + BrokerFixture.LOOK,
                 "",
                 Gateway.fields(id, model.stand.wallMs() + hours * 3_600_000),
                 new byte[0]));
@@ -179,7 +182,11 @@
   void answersWhatIsTooLargeAtOnceAndClosesOnItsRest() {
     byte[] all =
         model.gateway.request(
-            1, "/call/" + Stand.LOOK, "", Gateway.fields(Stand.id(1), Stand.WALL_MS), new byte[0]);
+            1,
+            "/call/" + BrokerFixture.LOOK,
+            "",
+            Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS),
+            new byte[0]);
     byte[] head = {1, 5, 0, 1, (byte) 0xFF, (byte) 0xFF, 0, 0};
     model.send(Arrays.copyOf(all, all.length - 8)); // all but the end of the body
     assertEquals(413, status(head));
--- a/src/test/java/mothwing/net/ConnectionTableTest.java
+++ b/src/test/java/mothwing/net/ConnectionTableTest.java
@@ -15,8 +15,8 @@
 import java.util.Set;
 import mothwing.ajp.AjpConnection;
 import mothwing.fastcgi.FastCgiConnection;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -28,12 +28,12 @@
 class ConnectionTableTest {
   private static final long SECOND = 1_000_000;
 
-  private Stand stand;
+  private BrokerFixture stand;
   private ConnectionTable table;
 
   @BeforeTry
   void anew() {
-    stand = new Stand().bound();
+    stand = new BrokerFixture().bound();
     table = new ConnectionTable(2 * SECOND, stand);
   }
 
@@ -55,7 +55,7 @@
   private void pass(long span) {
     for (long left = span; left > 0; left -= SECOND / 10) {
       stand.pass(Math.min(left, SECOND / 10));
-      table.trim(30 * SECOND, Reason.IDLE);
+      table.trim(30 * SECOND, CloseReason.IDLE);
     }
   }
 
@@ -79,7 +79,7 @@
    */
   @Example
   void whatWaitsInASocketAfterAStandstillIsReadFirst() {
-    for (Reason why : new Reason[] {Reason.IDLE, Reason.DRAIN}) {
+    for (CloseReason why : new CloseReason[] {CloseReason.IDLE, CloseReason.DRAIN}) {
       EmbeddedChannel channel = open(fastCgi());
       byte[] ping = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
       stand.send(channel, new Gateway.FastCgi(), ping);
@@ -111,15 +111,15 @@
     stand.send(idle, new Gateway.FastCgi(), ping);
     EmbeddedChannel newcomer = open(fastCgi());
     stand.pass(SECOND / 10);
-    table.trim(SECOND / 50, Reason.DRAIN);
+    table.trim(SECOND / 50, CloseReason.DRAIN);
     assertTrue(begun.isOpen() && newcomer.isOpen());
     assertFalse(idle.isOpen());
     for (int i = 0; i < 2; i++) {
       stand.pass(SECOND / 10);
-      table.trim(SECOND / 50, Reason.DRAIN);
+      table.trim(SECOND / 50, CloseReason.DRAIN);
     }
     assertFalse(newcomer.isOpen());
-    table.trim(0, Reason.DRAIN);
+    table.trim(0, CloseReason.DRAIN);
     assertTrue(begun.isOpen()); // it is ended as half sent, or by the process
   }
 
@@ -176,9 +176,9 @@
             gateway,
             gateway.request(
                 1,
-                "/call/" + Stand.LOOK,
+                "/call/" + BrokerFixture.LOOK,
                 "",
-                Gateway.fields(Stand.id(asked.size() + 1), stand.wallMs()),
+                Gateway.fields(BrokerFixture.id(asked.size() + 1), stand.wallMs()),
                 new byte[0]));
         asked.add(channel);
       }
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -13,21 +13,21 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import mothwing.Brain;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Settings;
 import mothwing.broker.Exchange;
-import mothwing.broker.Workers;
+import mothwing.broker.WorkerPool;
+import mothwing.control.ControllerHost;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
 import mothwing.fastcgi.FastCgiConnection;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
-import mothwing.testing.Altered;
-import mothwing.testing.Undecided;
+import mothwing.overload.OverloadController;
+import mothwing.testing.NoDecisionController;
+import mothwing.testing.SettingsVariants;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
@@ -49,7 +49,7 @@
   private static final String GUARDED = "deposit";
 
   /** A pool with a link whose commands and notices may be lost with it. */
-  private final class ModelPool implements Workers {
+  private final class ModelPool implements WorkerPool {
     private final List<Runnable> commands = new ArrayList<>();
     private final List<Runnable> notices = new ArrayList<>();
     private final Set<String> running = new LinkedHashSet<>();
@@ -104,9 +104,9 @@
             () ->
                 stand.broker.finished(
                     id,
-                    good ? Outcome.GOOD : Outcome.FAILED,
+                    good ? RunOutcome.GOOD : RunOutcome.FAILED,
                     1000,
-                    good ? Stand.result(id) : null));
+                    good ? BrokerFixture.result(id) : null));
       }
     }
 
@@ -137,7 +137,7 @@
           () -> {
             if (running.remove(id)) {
               paused.add(id);
-              notices.add(() -> stand.broker.finished(id, Outcome.STOPPED, 1000, null));
+              notices.add(() -> stand.broker.finished(id, RunOutcome.STOPPED, 1000, null));
             }
           });
     }
@@ -226,7 +226,7 @@
       if (writing == 0) {
         boolean order = step % 2 == 0;
         String key = step % 4 == 0 ? "key" + step / 4 % 3 : null;
-        String id = Stand.id(++made);
+        String id = BrokerFixture.id(++made);
         writing = ++numbers;
         Map<String, String> fields = Gateway.fields(id, stand.wallMs());
         if (key != null) {
@@ -240,7 +240,10 @@
                 key,
                 gateway.request(
                     writing,
-                    "/call/" + (key != null ? GUARDED : order ? Stand.ORDER : Stand.LOOK),
+                    "/call/"
+                        + (key != null
+                            ? GUARDED
+                            : order ? BrokerFixture.ORDER : BrokerFixture.LOOK),
                     "",
                     fields,
                     new byte[key != null ? 1 : step % 100])));
@@ -287,14 +290,14 @@
                   .anyMatch(
                       by ->
                           pool.runs.containsKey(by.id)
-                              && new String(Stand.result(by.id)).equals(content)),
+                              && new String(BrokerFixture.result(by.id)).equals(content)),
               one.id + " is given what no run made for it");
         }
       }
     }
   }
 
-  private Stand stand;
+  private BrokerFixture stand;
   private ModelPool pool;
   private ConnectionTable table;
   private List<Line> lines;
@@ -308,10 +311,10 @@
    * Decisions that start all at once and think of nothing else: what holds then is held by the core
    * alone.
    */
-  private static final class Eager extends Undecided {
-    private final Host host;
+  private static final class Eager extends NoDecisionController {
+    private final ControllerHost host;
 
-    Eager(Host host) {
+    Eager(ControllerHost host) {
       this.host = host;
     }
 
@@ -324,8 +327,11 @@
   private void anew(boolean eager) {
     pool = new ModelPool();
     ranAt = new HashMap<>();
-    stand = new Stand(eager ? (settings, host) -> new Eager(host) : Brain::new, of -> pool).bound();
-    stand.broker.retune(guarded(Stand.settings(4.5, 2)));
+    stand =
+        new BrokerFixture(
+                eager ? (settings, host) -> new Eager(host) : OverloadController::new, of -> pool)
+            .bound();
+    stand.broker.retune(guarded(BrokerFixture.settings(4.5, 2)));
     table = new ConnectionTable(60 * SECOND, stand);
     all = new ArrayList<>();
     made = 0;
@@ -340,19 +346,21 @@
   private static Settings guarded(Settings one) {
     List<RequestClass> kinds = new ArrayList<>(one.classes());
     kinds.add(
-        new RequestClass(GUARDED, SECOND, 3 * SECOND, 4, 0, Repeats.GUARDED, WINDOW, false, 0));
-    return Altered.parts(one, kinds, one.tenants());
+        new RequestClass(GUARDED, SECOND, 3 * SECOND, 4, 0, Idempotency.GUARDED, WINDOW, false, 0));
+    return SettingsVariants.parts(one, kinds, one.tenants());
   }
 
   private static Settings settings(int step) {
-    Settings one = guarded(Stand.settings(step % 2 == 0 ? 3 : LONGEST / SECOND, 2));
-    return step % 5 > 0 ? one : Altered.parts(one, one.classes().subList(1, 3), one.tenants());
+    Settings one = guarded(BrokerFixture.settings(step % 2 == 0 ? 3 : LONGEST / SECOND, 2));
+    return step % 5 > 0
+        ? one
+        : SettingsVariants.parts(one, one.classes().subList(1, 3), one.tenants());
   }
 
   private void pass(long span) {
     for (long left = span; left > 0; left -= 20_000) {
       stand.pass(Math.min(left, 20_000));
-      table.trim(leaving ? 20_000 : 30 * SECOND, leaving ? Reason.DRAIN : Reason.IDLE);
+      table.trim(leaving ? 20_000 : 30 * SECOND, leaving ? CloseReason.DRAIN : CloseReason.IDLE);
       pool.turn();
       check();
     }
@@ -408,7 +416,7 @@
         case 8, 9, 10, 11 -> pool.end(step / 20, step % 7 > 0);
         case 12 -> line.abort(step / 80);
         case 13 -> line.reset();
-        case 14 -> table.trim(1, Reason.IDLE);
+        case 14 -> table.trim(1, CloseReason.IDLE);
         case 15 -> stand.broker.retune(settings(step / 20));
         case 16 -> pool.lose(step % 40 == 16);
         case 17 -> pool.back();
--- a/src/test/java/mothwing/net/FairReadsTest.java
+++ b/src/test/java/mothwing/net/ReadBudgetTest.java
@@ -12,21 +12,21 @@
 import java.util.ArrayList;
 import java.util.List;
 import mothwing.broker.Counters;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 import org.junit.jupiter.api.Test;
 
 /** What one turn of the loop takes of what clients sent, where taking costs time. */
-class FairReadsTest {
+class ReadBudgetTest {
   private static final long COST = 500; // microseconds a piece
-  private static final int IN_A_TURN = (int) (FairReads.SPAN / COST);
+  private static final int IN_A_TURN = (int) (ReadBudget.SPAN / COST);
 
   private final Clock clock = new Clock();
-  private final FairReads turns = new FairReads(clock);
+  private final ReadBudget turns = new ReadBudget(clock);
   private final List<String> taken = new ArrayList<>();
   private final Counters counters = new Counters();
 
   /** A clock that moves as work is done. */
-  private static final class Clock implements Timers {
+  private static final class Clock implements Scheduler {
     private final ArrayDeque<Runnable> due = new ArrayDeque<>();
     private long now;
 
--- a/src/test/java/mothwing/BrainTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -1,4 +1,4 @@
-package mothwing;
+package mothwing.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,24 +6,24 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.OverloadControl.Dependency;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Goal;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Rules;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
-import mothwing.OverloadControl.Tenant;
-import mothwing.testing.Altered;
+import mothwing.control.Dependency;
+import mothwing.control.FreeValue;
+import mothwing.control.Goal;
+import mothwing.control.Idempotency;
+import mothwing.control.Machine;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.Rules;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.StopMode;
+import mothwing.control.Tenant;
+import mothwing.testing.SettingsVariants;
 import org.junit.jupiter.api.Test;
 
 /** Drives the module with scripted events; the host asserts the four rules on every sequence. */
-class BrainTest {
+class OverloadControllerTest {
   private static final int READ = 0;
   private static final int SAVE = 1;
   private static final int COMMIT = 2;
@@ -31,20 +31,21 @@
   private static final long START = 77 * SECOND;
   private static final double ENTRY = 100;
 
-  private static Settings settings(Halting halting, double memory, boolean cold, double callShare) {
+  private static Settings settings(
+      StopMode halting, double memory, boolean cold, double callShare) {
     return settings(halting, memory, cold, callShare, 4);
   }
 
   private static Settings settings(
-      Halting halting, double memory, boolean cold, double callShare, int callers) {
+      StopMode halting, double memory, boolean cold, double callShare, int callers) {
     return new Settings(
         1,
         5_000,
         List.of(
-            new RequestClass("read", SECOND, 4 * SECOND, 1, 0.2, Repeats.SAFE, 0, true, 0),
-            new RequestClass("save", SECOND, 4 * SECOND, 2, 0, Repeats.SAFE, 0, false, 0),
+            new RequestClass("read", SECOND, 4 * SECOND, 1, 0.2, Idempotency.SAFE, 0, true, 0),
+            new RequestClass("save", SECOND, 4 * SECOND, 2, 0, Idempotency.SAFE, 0, false, 0),
             new RequestClass(
-                "commit", SECOND, 4 * SECOND, 5, 0.2, Repeats.GUARDED, 10 * SECOND, true, 0)),
+                "commit", SECOND, 4 * SECOND, 5, 0.2, Idempotency.GUARDED, 10 * SECOND, true, 0)),
         List.of(new Tenant("one", 100), new Tenant("two", 100)),
         10,
         callers,
@@ -59,11 +60,11 @@
   }
 
   private static Settings withClasses(Settings base, List<RequestClass> kinds) {
-    return Altered.parts(base, kinds, base.tenants());
+    return SettingsVariants.parts(base, kinds, base.tenants());
   }
 
   private static RecordingHost host() {
-    return new RecordingHost(settings(Halting.ABORT, 20_000, false, 5), START);
+    return new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5), START);
   }
 
   private static Request request(
@@ -99,7 +100,7 @@
     host.read(request(host, "third", SAVE));
     assertFalse(host.did("start third"));
     assertFalse(host.answered("third"));
-    host.finish("busy1", Outcome.GOOD);
+    host.finish("busy1", RunOutcome.GOOD);
     assertTrue(host.did("start third"));
   }
 
@@ -108,7 +109,7 @@
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "cheap", READ), request(host, "dear", COMMIT));
-    host.finish("busy1", Outcome.GOOD);
+    host.finish("busy1", RunOutcome.GOOD);
     assertTrue(host.did("start dear"));
     assertFalse(host.did("start cheap"));
   }
@@ -152,7 +153,7 @@
 
   @Test
   void neverHaltsWhereThatIsNotAllowed() {
-    RecordingHost host = new RecordingHost(settings(Halting.NONE, 20_000, false, 5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, false, 5), START);
     host.gauges(1.0, 3.0);
     fillCores(host);
     host.read(request(host, "next", SAVE));
@@ -176,8 +177,8 @@
     host.read(request(host, "turn", COMMIT));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
     assertTrue(host.did("replay again"), "also while the forerunner is held");
-    host.finish("busy1", Outcome.GOOD);
-    host.finish("turn", Outcome.GOOD);
+    host.finish("busy1", RunOutcome.GOOD);
+    host.finish("turn", RunOutcome.GOOD);
     host.read(request(host, "third", COMMIT, "turn", 3 * SECOND));
     assertTrue(host.did("replay third"));
   }
@@ -186,7 +187,7 @@
   void aRepeatOfWhatRanIsFailedRatherThanTurnedAway() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
-    host.finish("turn", Outcome.GOOD);
+    host.finish("turn", RunOutcome.GOOD);
     host.read(request(host, "again", COMMIT, "turn", -SECOND));
     assertTrue(host.did("fail again"));
   }
@@ -203,11 +204,11 @@
 
   @Test
   void turnsGuardedWorkAwayWhenTheTableHasNoRoom() {
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 6 * ENTRY, false, 5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * ENTRY, false, 5), START);
     for (int i = 0; i < 10; i++) {
       host.read(request(host, "turn" + i, COMMIT));
       if (!host.answered("turn" + i)) {
-        host.finish("turn" + i, Outcome.GOOD);
+        host.finish("turn" + i, RunOutcome.GOOD);
       }
     }
     assertTrue(host.count("refuse") > 0);
@@ -216,7 +217,7 @@
 
   @Test
   void neverPlansMoreMemoryThanThereIs() {
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 400, false, 5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 400, false, 5), START);
     for (int i = 0; i < 30; i++) {
       host.read(request(host, "read" + i, READ));
     }
@@ -230,9 +231,9 @@
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.atCall("turn");
     host.atCall("load");
-    host.callEnded("turn", Outcome.TIMED_OUT);
+    host.callEnded("turn", RunOutcome.TIMED_OUT);
     assertTrue(host.did("fail turn"));
-    host.callEnded("load", Outcome.DECLINED);
+    host.callEnded("load", RunOutcome.DECLINED);
     assertEquals(1, host.actions.stream().filter("call load"::equals).count(), "not at once");
     host.passUntil(host.now() + SECOND / 2);
     assertEquals(2, host.actions.stream().filter("call load"::equals).count());
@@ -240,13 +241,13 @@
 
   @Test
   void keepsCallsWithinItsPartOfTheDependency() {
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 20_000, false, 0.5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "one", READ), request(host, "two", READ));
     host.atCall("one");
     host.atCall("two");
     assertEquals(1, host.count("call"));
-    host.callEnded("one", Outcome.GOOD);
-    host.finish("one", Outcome.GOOD);
+    host.callEnded("one", RunOutcome.GOOD);
+    host.finish("one", RunOutcome.GOOD);
     host.passUntil(host.now() + SECOND);
     assertTrue(host.did("call two"));
   }
@@ -312,7 +313,7 @@
     for (int i = 0; i < 12; i++) {
       host.read(request(host, "f" + i, SAVE));
       if (!host.answered("f" + i)) {
-        host.finish("f" + i, Outcome.FAILED);
+        host.finish("f" + i, RunOutcome.FAILED);
       }
     }
     long before = host.count("start");
@@ -340,7 +341,7 @@
 
   @Test
   void aColdServerCrowdsItsCoresLess() {
-    RecordingHost host = new RecordingHost(settings(Halting.NONE, 20_000, true, 5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, true, 5), START);
     for (int i = 0; i < 12; i++) {
       host.read(request(host, "r" + i, COMMIT));
     }
@@ -378,7 +379,7 @@
       for (int i = 0; i < 16; i++) {
         host.read(request(host, "late" + i, SAVE));
         host.passUntil(host.now() + SECOND * 9 / 10);
-        host.finish("late" + i, Outcome.GOOD, told);
+        host.finish("late" + i, RunOutcome.GOOD, told);
       }
       host.gauges(1, 2);
       host.passUntil(host.now() + SECOND / 10);
@@ -414,12 +415,12 @@
   }
 
   private static List<String> script() {
-    RecordingHost host = new RecordingHost(settings(Halting.SUSPEND, 2_000, true, 0.5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.SUSPEND, 2_000, true, 0.5), START);
     for (int i = 0; i < 60; i++) {
       host.read(request(host, "s" + i, i % 3));
       host.passUntil(host.now() + 30_000);
       if (host.did("start s" + (i / 2)) && !host.answered("s" + (i / 2)) && i % 2 == 0) {
-        host.finish("s" + (i / 2), Outcome.GOOD);
+        host.finish("s" + (i / 2), RunOutcome.GOOD);
       }
     }
     host.passUntil(host.now() + 6 * SECOND);
@@ -428,11 +429,12 @@
 
   @Test
   void trimsIdleConnectionsWhereCallersComeTooSeldomToUseThemAgain() {
-    RecordingHost many = new RecordingHost(settings(Halting.ABORT, 20_000, false, 5, 1_000), START);
+    RecordingHost many =
+        new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 1_000), START);
     many.passUntil(START + SECOND);
     assertTrue(
         many.did("trim 10000"), "a table full of idle connections leaves no room for others");
-    RecordingHost few = new RecordingHost(settings(Halting.ABORT, 20_000, false, 5, 10), START);
+    RecordingHost few = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10), START);
     few.passUntil(START + SECOND);
     assertEquals(0, few.count("trim"), "few callers use theirs again");
   }
@@ -466,15 +468,15 @@
    */
   @Test
   void afterSlowCallsThoseThatCallAreTriedAgain() {
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 20_000, false, 0), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0), START);
     for (int i = 0; i < 12; i++) {
       String id = "slow" + i;
       host.read(request(host, id, READ, null, 60 * SECOND));
       if (host.did("start " + id)) {
         host.atCall(id);
         host.passUntil(host.now() + 3 * SECOND);
-        host.callEnded(id, Outcome.GOOD);
-        host.finish(id, Outcome.GOOD);
+        host.callEnded(id, RunOutcome.GOOD);
+        host.finish(id, RunOutcome.GOOD);
       }
     }
     host.read(request(host, "late", READ));
@@ -492,8 +494,8 @@
       host.read(request(host, id, COMMIT));
       if (!host.answered(id)) {
         host.atCall(id);
-        host.callEnded(id, Outcome.FAILED);
-        host.finish(id, Outcome.STOPPED);
+        host.callEnded(id, RunOutcome.FAILED);
+        host.finish(id, RunOutcome.STOPPED);
       }
     }
     host.read(request(host, "turn", COMMIT));
@@ -526,17 +528,17 @@
     for (int i = 0; i < 30; i++) {
       host.read(request(host, "usual" + i, SAVE));
       host.passUntil(host.now() + SECOND / 10);
-      host.finish("usual" + i, Outcome.GOOD);
+      host.finish("usual" + i, RunOutcome.GOOD);
     }
     host.passUntil(host.now() + 3 * SECOND);
     host.read(request(host, "before", SAVE, null, SECOND * 7 / 10));
     assertTrue(host.did("start before"));
-    host.finish("before", Outcome.GOOD);
+    host.finish("before", RunOutcome.GOOD);
     for (int i = 0; i < 2; i++) {
       host.read(request(host, "left" + i, SAVE), request(host, "right" + i, SAVE));
       host.passUntil(host.now() + SECOND * 4 / 5);
-      host.finish("left" + i, Outcome.GOOD);
-      host.finish("right" + i, Outcome.GOOD);
+      host.finish("left" + i, RunOutcome.GOOD);
+      host.finish("right" + i, RunOutcome.GOOD);
     }
     host.read(request(host, "after", SAVE, null, SECOND * 7 / 10));
     assertTrue(host.did("refuse after"), "four runs tell what work costs now");
@@ -552,8 +554,8 @@
     for (int i = 0; i < 16; i += 2) {
       host.read(request(host, "slow" + i, SAVE), request(host, "slow" + (i + 1), SAVE));
       host.passUntil(host.now() + SECOND * 9 / 10);
-      host.finish("slow" + i, Outcome.GOOD);
-      host.finish("slow" + (i + 1), Outcome.GOOD);
+      host.finish("slow" + i, RunOutcome.GOOD);
+      host.finish("slow" + (i + 1), RunOutcome.GOOD);
     }
     return host;
   }
@@ -577,12 +579,12 @@
     String[] running = {"", ""};
     for (int i = 0; i < 50; i++) {
       if (i > 1) {
-        host.finish(running[i % 2], Outcome.GOOD);
+        host.finish(running[i % 2], RunOutcome.GOOD);
       }
       running[i % 2] = "quick" + i;
       host.read(request(host, running[i % 2], COMMIT));
       host.atCall(running[i % 2]);
-      host.callEnded(running[i % 2], Outcome.GOOD);
+      host.callEnded(running[i % 2], RunOutcome.GOOD);
       if (i == 4) {
         host.read(request(host, "early", SAVE));
         assertTrue(host.did("refuse early"), "it is held for slow");
@@ -609,9 +611,9 @@
         for (String id : List.of("one" + i, "two" + i)) {
           if (rush) {
             host.atCall(id);
-            host.callEnded(id, Outcome.GOOD);
+            host.callEnded(id, RunOutcome.GOOD);
           }
-          host.finish(id, Outcome.GOOD);
+          host.finish(id, RunOutcome.GOOD);
         }
       }
       for (int i = 0; i < 4; i++) {
@@ -644,7 +646,7 @@
   @Test
   void aHangingDependencyIsNeverHeldForMoreThanThisServersPart() {
     double share = 0.6;
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 20_000, false, share), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, share), START);
     long held = 0;
     long calls = 0;
     for (int i = 0; host.now() < START + 5 * SECOND; i++) {
@@ -657,7 +659,7 @@
         calls = host.count("call");
         long began = host.now();
         host.passUntil(Math.min(host.lastTimeOut(), START + 5 * SECOND));
-        host.callEnded(id, Outcome.TIMED_OUT);
+        host.callEnded(id, RunOutcome.TIMED_OUT);
         held += host.now() - began + 200_000;
       }
       host.passUntil(host.now() + SECOND / 10);
@@ -668,17 +670,17 @@
 
   @Test
   void aSlowDependencyGetsTheCallsWorthMostAndTheRestIsRefusedOnRead() {
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 20_000, false, 0.25), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.25), START);
     host.read(request(host, "slow", READ));
     host.atCall("slow");
     host.passUntil(host.now() + SECOND / 2);
-    host.callEnded("slow", Outcome.GOOD);
-    host.finish("slow", Outcome.GOOD);
+    host.callEnded("slow", RunOutcome.GOOD);
+    host.finish("slow", RunOutcome.GOOD);
     host.read(request(host, "cheap", READ));
     assertTrue(host.did("refuse cheap"), "its call cannot be made in time: no core time is spent");
     host.read(request(host, "free", SAVE));
     assertTrue(host.did("start free"), "it does not call");
-    host.finish("free", Outcome.GOOD);
+    host.finish("free", RunOutcome.GOOD);
     host.passUntil(host.now() + 8 * SECOND);
     host.read(request(host, "less", READ), request(host, "more", COMMIT));
     assertTrue(host.did("start less") && host.did("start more"), "call time has flowed in");
@@ -686,7 +688,7 @@
     host.atCall("more");
     assertFalse(host.did("call more"), "one at a time");
     host.passUntil(host.now() + SECOND / 4);
-    host.callEnded("less", Outcome.FAILED);
+    host.callEnded("less", RunOutcome.FAILED);
     host.passUntil(host.now() + 2 * SECOND);
     assertTrue(host.did("call more"), "worth goes first");
     assertEquals(
@@ -703,7 +705,7 @@
     assertTrue(host.count("refuse") > 300, "all but a few are turned away");
     host.passUntil(host.now() + SECOND / 10);
     host.read(request(host, "dear", COMMIT));
-    host.finish("busy1", Outcome.GOOD);
+    host.finish("busy1", RunOutcome.GOOD);
     assertTrue(
         host.did("start dear"),
         "within its share, by what was admitted: the dear class goes first");
@@ -712,7 +714,7 @@
   @Test
   void workThatMayWaitLongDoesNotTightenTheLadder() {
     for (boolean patient : new boolean[] {true, false}) {
-      Settings base = settings(Halting.ABORT, 4_000, false, 5);
+      Settings base = settings(StopMode.ABORT, 4_000, false, 5);
       List<RequestClass> kinds = new ArrayList<>(base.classes());
       RequestClass read = kinds.get(READ);
       kinds.set(
@@ -723,7 +725,7 @@
               (patient ? 40 : 4) * SECOND,
               read.worth(),
               0.2,
-              Repeats.SAFE,
+              Idempotency.SAFE,
               0,
               true,
               0));
@@ -765,7 +767,7 @@
 
   @Test
   void runsThatReturnFromCallsNeverCrowdTheCores() {
-    RecordingHost host = new RecordingHost(settings(Halting.NONE, 200_000, false, 0.5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.NONE, 200_000, false, 0.5), START);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "read" + i, READ));
       if (host.did("start read" + i)) {
@@ -774,7 +776,7 @@
     }
     for (int round = 0; round < 40; round++) {
       for (String id : host.callsOut()) {
-        host.callEnded(id, Outcome.GOOD);
+        host.callEnded(id, RunOutcome.GOOD);
       }
       host.passUntil(host.now() + SECOND / 20);
     }
@@ -783,7 +785,7 @@
 
   @Test
   void waitingRepeatsNeverFillTheMemory() {
-    RecordingHost host = new RecordingHost(settings(Halting.NONE, 400, false, 5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.NONE, 400, false, 5), START);
     host.read(request(host, "turn", COMMIT));
     for (int i = 0; i < 60; i++) {
       host.read(request(host, "again" + i, COMMIT, "turn", 3 * SECOND));
@@ -793,11 +795,11 @@
 
   @Test
   void aCallWhoseCallerLeftStaysInTheDependencysHands() {
-    RecordingHost host = new RecordingHost(settings(Halting.ABORT, 20_000, false, 0.5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "left", READ));
     host.atCall("left");
     host.gone("left");
-    host.finish("left", Outcome.STOPPED);
+    host.finish("left", RunOutcome.STOPPED);
     host.read(request(host, "next", READ));
     host.atCall("next");
     assertFalse(host.did("call next"), "the first is given up, not over");
@@ -808,14 +810,14 @@
   /** Guards against a link that breaks being taken for the end of the call that was out on it. */
   @Test
   void aCallThatWasCutOffStaysInTheDependencysHands() {
-    for (Outcome end : List.of(Outcome.CUT, Outcome.DECLINED)) {
-      RecordingHost host = new RecordingHost(settings(Halting.ABORT, 20_000, false, 0.5), START);
+    for (RunOutcome end : List.of(RunOutcome.CUT, RunOutcome.DECLINED)) {
+      RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
       host.read(request(host, "one", READ));
       host.atCall("one");
       host.callEnded("one", end);
       host.read(request(host, "next", READ));
       host.atCall("next");
-      assertEquals(end == Outcome.DECLINED, host.did("call next"), "after " + end);
+      assertEquals(end == RunOutcome.DECLINED, host.did("call next"), "after " + end);
       host.passUntil(host.now() + SECOND / 2);
       assertTrue(host.count("call") > 1, "once it can be over, calls are made again");
     }
@@ -823,7 +825,7 @@
 
   @Test
   void whatIsGivenUpIsAnsweredAtOnceNotNearItsDeadline() {
-    Settings base = settings(Halting.ABORT, 20_000, false, 0.5);
+    Settings base = settings(StopMode.ABORT, 20_000, false, 0.5);
     List<RequestClass> kinds =
         base.classes().stream()
             .map(
@@ -856,7 +858,7 @@
 
   @Test
   void aCallIsLeftOutWhereThePoorerAnswerIsWorthMoreThanNone() {
-    Settings base = settings(Halting.NONE, 20_000, false, 0.5);
+    Settings base = settings(StopMode.NONE, 20_000, false, 0.5);
     List<RequestClass> kinds =
         base.classes().stream()
             .map(
@@ -870,7 +872,7 @@
                         kind.repeats(),
                         kind.window(),
                         kind.calls(),
-                        kind.repeats() == Repeats.GUARDED ? 0 : 0.5))
+                        kind.repeats() == Idempotency.GUARDED ? 0 : 0.5))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
     host.gauges(1, 3);
@@ -888,7 +890,7 @@
   @Test
   void inAStormOfTriesATableMayFillAgain() {
     RecordingHost host =
-        new RecordingHost(settings(Halting.ABORT, 20_000, false, 5, 10_000), START);
+        new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10_000), START);
     host.gauges(1, 8);
     host.passUntil(START + SECOND);
     assertTrue(host.did("trim 10000"));
@@ -904,7 +906,7 @@
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "calm" + i, SAVE));
       if (!host.answered("calm" + i)) {
-        host.finish("calm" + i, Outcome.GOOD);
+        host.finish("calm" + i, RunOutcome.GOOD);
       }
       host.passUntil(host.now() + SECOND / 2);
     }
@@ -915,7 +917,7 @@
 
   @Test
   void aDrainAnswersWhatIsDueOnlyAfterTheKill() {
-    for (Halting halting : Halting.values()) {
+    for (StopMode halting : StopMode.values()) {
       RecordingHost host = new RecordingHost(settings(halting, 20_000, false, 5), START);
       host.gauges(1, 3);
       fillCores(host);
@@ -943,17 +945,17 @@
       RecordingHost host = host();
       for (int i = 0; i < 400; i++) {
         host.read(of(host, "spent" + i, 0));
-        host.finish("spent" + i, Outcome.GOOD);
+        host.finish("spent" + i, RunOutcome.GOOD);
       }
       Settings base = host.settings();
       host.retune(
-          Altered.parts(
+          SettingsVariants.parts(
               base,
               base.classes(),
               List.of(new Tenant(same ? "one" : "three", 100), new Tenant("two", 100))));
       host.read(of(host, "busy1", 1), of(host, "busy2", 1));
       host.read(of(host, "first", 0), of(host, "second", 1));
-      host.finish("busy1", Outcome.GOOD);
+      host.finish("busy1", RunOutcome.GOOD);
       assertTrue(
           host.did(same ? "start second" : "start first"), "a debt is its maker's, and only its");
     }
@@ -969,7 +971,7 @@
     for (FreeValue meaning :
         List.of(
             FreeValue.SHARE, FreeValue.LEVEL, FreeValue.WINDOW, FreeValue.SHARE, FreeValue.NONE)) {
-      host.retune(Altered.meaning(host.settings(), meaning));
+      host.retune(SettingsVariants.meaning(host.settings(), meaning));
       int before = host.actions.size();
       host.passUntil(host.now() + SECOND / 5);
       List<String> says =
@@ -1005,7 +1007,7 @@
       kinds.set(
           READ,
           new RequestClass(
-              same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Repeats.SAFE, 0, true, 0));
+              same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Idempotency.SAFE, 0, true, 0));
       host.retune(withClasses(host.settings(), kinds));
       host.read(request(host, "next", SAVE));
       assertEquals(
--- a/src/test/java/mothwing/RandomTroubleTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -1,4 +1,4 @@
-package mothwing;
+package mothwing.overload;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -6,32 +6,32 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Random;
-import mothwing.OverloadControl.Dependency;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Goal;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Machine;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Rules;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
-import mothwing.OverloadControl.Tenant;
+import mothwing.control.Dependency;
+import mothwing.control.FreeValue;
+import mothwing.control.Goal;
+import mothwing.control.Idempotency;
+import mothwing.control.Machine;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.Rules;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.StopMode;
+import mothwing.control.Tenant;
 import org.junit.jupiter.api.Test;
 
 /**
  * Random sequences with fixed seeds; the host asserts the four rules after every batch of every
  * one.
  */
-class RandomTroubleTest {
+class RandomFaultTest {
   private static final long SECOND = 1_000_000;
   private static final int SEQUENCES = 60;
   private static final int STEPS = 400;
   private static final int SUBJECTS = 12;
 
-  private static Settings settings(Random random, Halting halting) {
+  private static Settings settings(Random random, StopMode halting) {
     boolean late = random.nextBoolean();
     return new Settings(
         random.nextLong(),
@@ -43,14 +43,15 @@
                 4 * SECOND,
                 1,
                 late ? 0.2 : 0,
-                Repeats.SAFE,
+                Idempotency.SAFE,
                 0,
                 true,
                 random.nextBoolean() ? 0.5 : 0),
-            new RequestClass("save", SECOND, 3 * SECOND, 2, 0, Repeats.SAFE, 0, false, 0),
+            new RequestClass("save", SECOND, 3 * SECOND, 2, 0, Idempotency.SAFE, 0, false, 0),
             new RequestClass(
-                "order", SECOND, 4 * SECOND, 5, 0, Repeats.GUARDED, 10 * SECOND, true, 0),
-            new RequestClass("once", SECOND, 4 * SECOND, 2, 0, Repeats.SINGLE_SHOT, 0, true, 0)),
+                "order", SECOND, 4 * SECOND, 5, 0, Idempotency.GUARDED, 10 * SECOND, true, 0),
+            new RequestClass(
+                "once", SECOND, 4 * SECOND, 2, 0, Idempotency.SINGLE_SHOT, 0, true, 0)),
         List.of(new Tenant("one", 20), new Tenant("two", 20)),
         10,
         4,
@@ -74,7 +75,7 @@
   @Test
   void noRuleBreaksUnderRandomTrouble() {
     long answered = 0;
-    for (Halting halting : Halting.values()) {
+    for (StopMode halting : StopMode.values()) {
       for (int seed = 0; seed < SEQUENCES; seed++) {
         answered += play(new Random(seed * 31L + halting.ordinal()), halting);
       }
@@ -82,7 +83,7 @@
     assertTrue(answered > 10_000, "requests were played to their end: " + answered);
   }
 
-  private static long play(Random random, Halting halting) {
+  private static long play(Random random, StopMode halting) {
     RecordingHost host = new RecordingHost(settings(random, halting), 77 * SECOND);
     boolean told = random.nextBoolean();
     String[] last = new String[SUBJECTS];
@@ -103,12 +104,12 @@
       } else if (what < 0.6) {
         any(random, host.onCores())
             .ifPresent(
-                id -> host.finish(id, random.nextInt(5) > 0 ? Outcome.GOOD : Outcome.FAILED));
+                id -> host.finish(id, random.nextInt(5) > 0 ? RunOutcome.GOOD : RunOutcome.FAILED));
       } else if (what < 0.75) {
         any(random, host.onCores().stream().filter(host::calls).toList()).ifPresent(host::atCall);
       } else if (what < 0.88) {
-        Outcome[] ends = {
-          Outcome.GOOD, Outcome.GOOD, Outcome.FAILED, Outcome.DECLINED, Outcome.CUT
+        RunOutcome[] ends = {
+          RunOutcome.GOOD, RunOutcome.GOOD, RunOutcome.FAILED, RunOutcome.DECLINED, RunOutcome.CUT
         };
         any(random, host.callsOut()).ifPresent(id -> host.callEnded(id, ends[random.nextInt(5)]));
       } else if (what < 0.91) {
@@ -130,8 +131,9 @@
    */
   private static Settings retuned(Settings one) {
     List<RequestClass> classes = new ArrayList<>(one.classes());
-    classes.set(1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Repeats.SAFE, 0, false, 0));
-    classes.add(new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Repeats.SAFE, 0, false, 0));
+    classes.set(
+        1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0));
+    classes.add(new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Idempotency.SAFE, 0, false, 0));
     List<Tenant> tenants = new ArrayList<>(one.tenants());
     tenants.add(new Tenant("three", 20));
     return new Settings(
--- a/src/test/java/mothwing/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -1,4 +1,4 @@
-package mothwing;
+package mothwing.overload;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -9,21 +9,21 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.ControllerHost;
+import mothwing.control.GaugeSample;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.StopMode;
 
 /**
  * Feeds one Brain with scripted events, records its actions and asserts the four rules on every one
  * of them: one answer by the due time, no effect twice, nothing run past a drain's grace, memory
  * and crowd within bounds.
  */
-final class RecordingHost implements Host {
+final class RecordingHost implements ControllerHost {
   /** What the server knows of a request. */
   private static final class Known {
     Request request;
@@ -40,11 +40,11 @@
     long callUntil;
     boolean replaying;
     boolean halted;
-    Outcome lastCall;
+    RunOutcome lastCall;
   }
 
   private Settings settings;
-  final Brain brain;
+  final OverloadController brain;
   final List<String> actions = new ArrayList<>();
   private final Map<String, Known> requests = new LinkedHashMap<>();
   private final Map<String, Long> keys = new LinkedHashMap<>();
@@ -61,7 +61,7 @@
     gauges = new double[settings.machine().gauges().size()];
     now = start;
     startedAt = start;
-    brain = new Brain(settings, this);
+    brain = new OverloadController(settings, this);
     brain.started(now);
     settle();
   }
@@ -87,7 +87,7 @@
       List<Long> due = timers.stream().filter(timer -> timer <= now).toList();
       timers.removeAll(due);
       for (int i = 0; i < due.size(); i++) {
-        brain.timer(now, "sample", Sample.of(gauges));
+        brain.timer(now, "sample", GaugeSample.of(gauges));
       }
       settle();
       if (now >= end) {
@@ -141,10 +141,10 @@
     settle();
   }
 
-  void callEnded(String id, Outcome outcome) {
+  void callEnded(String id, RunOutcome outcome) {
     known(id).lastCall = outcome;
     known(id).calling = false;
-    if (outcome == Outcome.GOOD) {
+    if (outcome == RunOutcome.GOOD) {
       known(id).onCore = true;
       known(id).atCall = false;
     }
@@ -152,18 +152,18 @@
     settle();
   }
 
-  void finish(String id, Outcome outcome) {
+  void finish(String id, RunOutcome outcome) {
     finish(id, outcome, 0);
   }
 
-  void finish(String id, Outcome outcome, long took) {
+  void finish(String id, RunOutcome outcome, long took) {
     Known known = known(id);
     known.onCore = false;
     known.atCall = false;
     known.calling = false;
     known.replaying = false;
     known.over = true;
-    known.answered |= outcome == Outcome.GOOD || outcome == Outcome.FAILED;
+    known.answered |= outcome == RunOutcome.GOOD || outcome == RunOutcome.FAILED;
     brain.finished(now, id, outcome, took);
     settle();
   }
@@ -241,12 +241,12 @@
         continue;
       }
       if (known.halted && known.onCore || known.atCall && known.answered) {
-        finish(one.getKey(), Outcome.STOPPED);
+        finish(one.getKey(), RunOutcome.STOPPED);
       } else if (known.calling && known.callUntil <= now) {
-        callEnded(one.getKey(), Outcome.TIMED_OUT);
+        callEnded(one.getKey(), RunOutcome.TIMED_OUT);
       } else if (known.replaying && known(known.request.forerunner()).over) {
         boolean ran = known(known.request.forerunner()).ran;
-        finish(one.getKey(), ran ? Outcome.GOOD : Outcome.FAILED);
+        finish(one.getKey(), ran ? RunOutcome.GOOD : RunOutcome.FAILED);
       }
     }
   }
@@ -298,10 +298,10 @@
     assertTrue(
         known.arrived - settings.rules().drainGrace() <= noticeAt, id + " came after the grace");
     assertRepeatsNothingThatRan(known);
-    if (known.kind.repeats() == Repeats.GUARDED && !known.ran) {
+    if (known.kind.repeats() == Idempotency.GUARDED && !known.ran) {
       assertTrue(keys.containsKey(id), id + " runs without its key");
     }
-    assertFalse(known.aborted && known.kind.repeats() != Repeats.SAFE, id + " runs again");
+    assertFalse(known.aborted && known.kind.repeats() != Idempotency.SAFE, id + " runs again");
     known.ran = true;
     known.onCore = true;
     actions.add("start " + id);
@@ -310,7 +310,7 @@
   /** A repeat of guarded work that ran must not run. */
   private void assertRepeatsNothingThatRan(Known known) {
     String forerunner = known.request.forerunner();
-    if (forerunner != null && known.kind.repeats() == Repeats.GUARDED) {
+    if (forerunner != null && known.kind.repeats() == Idempotency.GUARDED) {
       Known before = requests.get(forerunner);
       boolean refused = before != null && before.answered && !before.ran;
       assertTrue(refused, known.request.id() + " repeats what ran or is held");
@@ -322,7 +322,7 @@
     Known known = known(id);
     assertTrue(known.atCall, id + " is at no call");
     boolean proven = known.lastCall == null || known.lastCall.neverRan();
-    assertTrue(proven || known.kind.repeats() == Repeats.SAFE, id + " calls again");
+    assertTrue(proven || known.kind.repeats() == Idempotency.SAFE, id + " calls again");
     assertTrue(until > now, "a time-out in the past");
     known.calling = true;
     known.callUntil = until;
@@ -342,18 +342,19 @@
 
   @Override
   public void halt(String id) {
-    assertTrue(settings.machine().halting() != Halting.NONE, "halting is not allowed");
+    assertTrue(settings.machine().halting() != StopMode.NONE, "halting is not allowed");
     Known known = known(id);
     known.halted = true;
-    known.aborted |= settings.machine().halting() == Halting.ABORT;
+    known.aborted |= settings.machine().halting() == StopMode.ABORT;
     actions.add("halt " + id);
   }
 
   @Override
   public void refuse(String id, boolean dontRetry, long stayAway) {
     Known known = owed(id);
-    assertFalse(known.ran && known.kind.repeats() != Repeats.SAFE, id + " ran and is turned away");
-    if (known.request.forerunner() != null && known.kind.repeats() == Repeats.GUARDED) {
+    assertFalse(
+        known.ran && known.kind.repeats() != Idempotency.SAFE, id + " ran and is turned away");
+    if (known.request.forerunner() != null && known.kind.repeats() == Idempotency.GUARDED) {
       Known before = requests.get(known.request.forerunner());
       assertTrue(before != null && !before.ran, id + " repeats what ran and is turned away");
     }
--- a/src/test/java/mothwing/override/EffectTest.java
+++ b/src/test/java/mothwing/override/EffectiveOverridesTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.Property;
 
 /** What overrides come to, and the bounds of the book that has them. */
-class EffectTest {
+class EffectiveOverridesTest {
   private static final long SECOND = 1_000_000;
   private static final TrafficOverride.What[] ABOUT = {
     TrafficOverride.What.REFUSE, TrafficOverride.What.LIMIT
@@ -29,7 +29,7 @@
       TrafficOverride.Selector on) {
     return new TrafficOverride(
         "o" + number,
-        new Stamp(1, "n" + number % 3, number),
+        new Version(1, "n" + number % 3, number),
         what,
         kind,
         tenant,
@@ -54,7 +54,7 @@
   @Property(seed = "1764576031", tries = 300)
   void theLookUpFindsTheOneThatRanksFirst(@ForAll int seed) {
     Random random = new Random(seed);
-    Book book = new Book(Limits.USUAL);
+    OverrideTable book = new OverrideTable(OverrideLimits.USUAL);
     List<TrafficOverride> all = new ArrayList<>();
     for (int i = 0; i < 1 + random.nextInt(30); i++) {
       String kind = some(random, "", "look", "order");
@@ -66,9 +66,10 @@
                   Set.of(some(random, "n1", "n2")), Set.of(some(random, "one", "two")), Set.of());
       TrafficOverride one = made(i, ABOUT[random.nextInt(2)], kind, tenant, random.nextInt(3), on);
       all.add(one);
-      assertEquals(Book.Taken.NEW, book.make(5, one));
+      assertEquals(OverrideTable.UpdateResult.NEW, book.make(5, one));
     }
-    Effect effect = new Effect(book.acting(6), "n1", "one", "rack", book.actingUntil(6));
+    EffectiveOverrides effect =
+        new EffectiveOverrides(book.acting(6), "n1", "one", "rack", book.actingUntil(6));
     for (TrafficOverride.What what : ABOUT) {
       for (String kind : List.of("look", "order", "save")) {
         for (String tenant : List.of("a", "b", "c", "")) {
@@ -98,13 +99,13 @@
         List.of(
             made(1, TrafficOverride.What.DRAIN, "", "", 0, rooms),
             made(2, TrafficOverride.What.WITHOUT, "", "", 0, rooms));
-    Effect here = new Effect(all, "n1", "one", "rack", Long.MAX_VALUE);
-    Effect there = new Effect(all, "n1", "one", "till-box", Long.MAX_VALUE);
+    EffectiveOverrides here = new EffectiveOverrides(all, "n1", "one", "rack", Long.MAX_VALUE);
+    EffectiveOverrides there = new EffectiveOverrides(all, "n1", "one", "till-box", Long.MAX_VALUE);
     assertEquals("o1", here.drains().id());
     assertTrue(here.isWithout("hedge") && !here.isWithout("spill"));
     assertEquals(null, there.drains());
     assertFalse(there.isWithout("hedge"));
-    assertEquals(null, Effect.NONE.refuses("look", "a", 0));
+    assertEquals(null, EffectiveOverrides.NONE.refuses("look", "a", 0));
   }
 
   /**
@@ -113,30 +114,30 @@
    */
   @Example
   void keepsToItsBoundsAndCanAlwaysTakeBack() {
-    Limits few = new Limits(3, 2, 100, 60, 0);
-    Book book = new Book(few);
+    OverrideLimits few = new OverrideLimits(3, 2, 100, 60, 0);
+    OverrideTable book = new OverrideTable(few);
     for (int i = 0; i < 3; i++) {
       assertEquals(
-          Book.Taken.NEW,
+          OverrideTable.UpdateResult.NEW,
           book.make(
               1,
               made(i, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
     }
     assertEquals(
-        Book.Taken.FULL,
+        OverrideTable.UpdateResult.FULL,
         book.make(
             1, made(3, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
     for (int i = 0; i < 3; i++) {
-      assertEquals(Book.Taken.NEW, book.revoke(2, "o" + i));
+      assertEquals(OverrideTable.UpdateResult.NEW, book.revoke(2, "o" + i));
     }
     assertEquals(
-        Book.Taken.KNOWN,
+        OverrideTable.UpdateResult.KNOWN,
         book.make(
             3, made(0, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
-    assertEquals(Book.Taken.NEW, book.revoke(3, "x1"));
-    assertEquals(Book.Taken.NEW, book.revoke(3, "x2"));
-    assertEquals(Book.Taken.FULL, book.revoke(3, "x3"));
-    assertEquals(Standing.REVOKED, book.standing(60 * SECOND, "o1"));
+    assertEquals(OverrideTable.UpdateResult.NEW, book.revoke(3, "x1"));
+    assertEquals(OverrideTable.UpdateResult.NEW, book.revoke(3, "x2"));
+    assertEquals(OverrideTable.UpdateResult.FULL, book.revoke(3, "x3"));
+    assertEquals(OverrideStatus.REVOKED, book.standing(60 * SECOND, "o1"));
     assertEquals(null, book.standing(60 * SECOND + 3, "o1"), "remembered for its lifetime");
     assertThrows(
         IllegalArgumentException.class,
--- a/src/test/java/mothwing/peer/CodecTest.java
+++ b/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.Random;
 import java.util.zip.CRC32C;
-import mothwing.member.Claim;
-import mothwing.member.Message;
-import mothwing.member.State;
+import mothwing.membership.MemberRecord;
+import mothwing.membership.MemberState;
+import mothwing.membership.MembershipMessage;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -21,28 +21,28 @@
 import org.msgpack.core.MessagePack;
 
 /** Messages as bytes, whole, damaged and of another version. */
-class CodecTest {
-  private static Claim claim(Random random) {
+class MembershipMessageCodecTest {
+  private static MemberRecord claim(Random random) {
     int long31 = random.nextInt(31) + 1;
-    return new Claim(
+    return new MemberRecord(
         "n".repeat(long31),
         random.nextLong() >>> random.nextInt(64) & Long.MAX_VALUE,
         "127.0.0.1:" + random.nextInt(65_536),
         "z".repeat(random.nextInt(31) + 1),
         random.nextLong() >>> 1 + random.nextInt(62),
-        State.values()[random.nextInt(State.values().length)],
+        MemberState.values()[random.nextInt(MemberState.values().length)],
         "b".repeat(long31));
   }
 
-  private static Message message(long seed) {
+  private static MembershipMessage message(long seed) {
     Random random = new Random(seed);
-    List<Claim> claims = new ArrayList<>();
+    List<MemberRecord> claims = new ArrayList<>();
     for (int i = random.nextInt(20); i > 0; i--) {
       claims.add(claim(random));
     }
-    return new Message(
+    return new MembershipMessage(
         "cairo",
-        Message.Kind.values()[random.nextInt(Message.Kind.values().length)],
+        MembershipMessage.Kind.values()[random.nextInt(MembershipMessage.Kind.values().length)],
         random.nextLong() >>> 1,
         random.nextBoolean() ? "" : "s1",
         claim(random),
@@ -52,34 +52,36 @@
   /** Guards against a datagram that is larger than the core took it for. */
   @Property(seed = "1764630001", tries = 500)
   void comesBackAsItWasAndIsNoLargerThanSaid(@ForAll long seed) throws IOException {
-    Message message = message(seed);
-    byte[] bytes = Codec.bytes(message);
-    assertEquals(message, Codec.message(bytes));
+    MembershipMessage message = message(seed);
+    byte[] bytes = MembershipMessageCodec.bytes(message);
+    assertEquals(message, MembershipMessageCodec.message(bytes));
     assertTrue(bytes.length <= message.bytes(), bytes.length + " bytes, said " + message.bytes());
   }
 
   @Property(seed = "1764630002", tries = 500)
   void whatIsDamagedOrCutIsNoMessage(@ForAll long seed, @ForAll long other) throws IOException {
-    byte[] bytes = Codec.bytes(message(seed));
+    byte[] bytes = MembershipMessageCodec.bytes(message(seed));
     Random random = new Random(other);
     byte[] flipped = bytes.clone();
     flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
-    assertThrows(Codec.Bad.class, () -> Codec.message(flipped));
+    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.message(flipped));
     assertThrows(
-        Codec.Bad.class, () -> Codec.message(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
+        MembershipMessageCodec.Bad.class,
+        () -> MembershipMessageCodec.message(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
     byte[] noise = new byte[random.nextInt(200)];
     random.nextBytes(noise);
-    assertThrows(Codec.Bad.class, () -> Codec.message(noise));
-    assertThrows(Codec.Bad.class, () -> Codec.message(sealed(noise, 1)));
+    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.message(noise));
+    assertThrows(
+        MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.message(sealed(noise, 1)));
   }
 
   /** Bytes as a map that is whole by its checksum. */
   private static byte[] sealed(byte[] map, int version) {
-    byte[] all = new byte[Codec.HEAD + map.length];
+    byte[] all = new byte[MembershipMessageCodec.HEAD + map.length];
     all[0] = 'm';
     all[1] = 'P';
     all[2] = (byte) version;
-    System.arraycopy(map, 0, all, Codec.HEAD, map.length);
+    System.arraycopy(map, 0, all, MembershipMessageCodec.HEAD, map.length);
     CRC32C crc = new CRC32C();
     crc.update(all, 0, 3);
     crc.update(map, 0, map.length);
@@ -92,8 +94,8 @@
   /** A later program may say more: what is not known is passed over. */
   @Example
   void whatIsNotKnownIsPassedOver() throws IOException {
-    byte[] bytes = Codec.bytes(message(7));
-    byte[] map = Arrays.copyOfRange(bytes, Codec.HEAD, bytes.length);
+    byte[] bytes = MembershipMessageCodec.bytes(message(7));
+    byte[] map = Arrays.copyOfRange(bytes, MembershipMessageCodec.HEAD, bytes.length);
     assertArrayEquals(bytes, sealed(map, 1));
     try (MessageBufferPacker more = MessagePack.newDefaultBufferPacker()) {
       more.packInt(99)
@@ -106,10 +108,13 @@
       byte[] longer = Arrays.copyOf(map, map.length + tail.length);
       System.arraycopy(tail, 0, longer, map.length, tail.length);
       longer[0]++; // one more pair
-      assertEquals(message(7), Codec.message(sealed(longer, 1)));
+      assertEquals(message(7), MembershipMessageCodec.message(sealed(longer, 1)));
     }
     assertEquals(
         "newer-version",
-        assertThrows(Codec.Bad.class, () -> Codec.message(sealed(map, 2))).getMessage());
+        assertThrows(
+                MembershipMessageCodec.Bad.class,
+                () -> MembershipMessageCodec.message(sealed(map, 2)))
+            .getMessage());
   }
 }
--- a/src/test/java/mothwing/pool/PoolTest.java
+++ b/src/test/java/mothwing/pool/WorkerPoolClientTest.java
@@ -19,10 +19,10 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Supplier;
-import mothwing.broker.Caller;
 import mothwing.broker.Exchange;
-import mothwing.lab.Stand;
+import mothwing.broker.ResponseSink;
 import mothwing.net.Connection;
+import mothwing.trial.BrokerFixture;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
@@ -32,9 +32,9 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /** Links that break at any moment, with what was on them, against a model of the pool. */
-class PoolTest {
-  private Stand stand;
-  private Pool pool;
+class WorkerPoolClientTest {
+  private BrokerFixture stand;
+  private WorkerPoolClient pool;
   private EmbeddedChannel channel;
   private List<EmbeddedChannel> channels;
   private int refusing;
@@ -61,9 +61,9 @@
     refusing = 0;
     late = null;
     stand =
-        new Stand(
+        new BrokerFixture(
             of -> {
-              pool = new Pool(this::dial, of, of.counters, of.lines::add);
+              pool = new WorkerPoolClient(this::dial, of, of.counters, of.lines::add);
               return pool;
             });
     pool.link(stand.broker);
@@ -153,7 +153,7 @@
 
   private void end(String id, String code) {
     if (running.remove(id)) {
-      String content = Base64.getEncoder().encodeToString(Stand.result(id));
+      String content = Base64.getEncoder().encodeToString(BrokerFixture.result(id));
       notice(
           "\"finished\",\"uid\":\""
               + id
@@ -171,19 +171,19 @@
   }
 
   private Exchange ask(boolean order) {
-    String id = Stand.id(++made);
+    String id = BrokerFixture.id(++made);
     return stand.ask(
         id,
-        order ? Stand.ORDER : Stand.LOOK,
+        order ? BrokerFixture.ORDER : BrokerFixture.LOOK,
         new byte[3],
-        new Caller() {
+        new ResponseSink() {
           private void once(String answer) {
             assertEquals(null, answers.put(id, answer), id + " is answered twice");
           }
 
           @Override
           public void served(byte[] result) {
-            assertArrayEquals(Stand.result(id), result);
+            assertArrayEquals(BrokerFixture.result(id), result);
             once("served");
           }
 
@@ -264,17 +264,17 @@
     }
     channel.close();
     if (leaves) {
-      left.add(Stand.id(1));
+      left.add(BrokerFixture.id(1));
       stand.broker.gone(asked);
     }
     for (int i = 0; i < 10; i++) {
       stand.pass(50_000);
       turn();
     }
-    assertEquals(leaves ? Set.of() : Set.of(Stand.id(1)), running);
-    assertEquals(leaves && !wasRead ? null : (Integer) 1, runs.get(Stand.id(1)));
-    end(Stand.id(1), "done");
-    assertEquals(leaves ? null : "served", answers.get(Stand.id(1)));
+    assertEquals(leaves ? Set.of() : Set.of(BrokerFixture.id(1)), running);
+    assertEquals(leaves && !wasRead ? null : (Integer) 1, runs.get(BrokerFixture.id(1)));
+    end(BrokerFixture.id(1), "done");
+    assertEquals(leaves ? null : "served", answers.get(BrokerFixture.id(1)));
     stand.pass(5_000);
     assertTrue(stand.broker.counts().startsWith("in_hand=0 "), "its place is free");
   }
@@ -309,20 +309,22 @@
     turn();
     notices.add("{\"pos\":1,\"action\":");
     say(notices.get(0));
-    notices.add("x".repeat(PoolLink.MOST_LINE + 1));
+    notices.add("x".repeat(WorkerPoolConnection.MOST_LINE + 1));
     say(notices.get(1));
     notice(
         "\"finished\",\"uid\":\""
-            + Stand.id(1)
+            + BrokerFixture.id(1)
             + "\",\"code\":\"done\",\"wall_ms\":7,\"content\":\"?\"");
     for (int i = 0; i < 50; i++) {
       stand.pass(20_000);
       turn();
     }
     assertEquals(
-        "crashed", answers.get(Stand.id(1)), "it is over, and what came of it cannot be read");
-    end(Stand.id(2), "done");
-    assertEquals("served", answers.get(Stand.id(2)));
+        "crashed",
+        answers.get(BrokerFixture.id(1)),
+        "it is over, and what came of it cannot be read");
+    end(BrokerFixture.id(2), "done");
+    assertEquals("served", answers.get(BrokerFixture.id(2)));
     assertEquals(2, channels.size(), "the link is opened again once, for what was missing");
     assertEquals(2, stand.counters.get("pool-notices-missed"));
     assertTrue(pool.ready());
@@ -340,20 +342,20 @@
     stand.pass(5_000);
     turn();
     say("{\"pos\":900000000000,\"action\":\"chatter\",\"code\":\"x\"}");
-    running.remove(Stand.id(1));
+    running.remove(BrokerFixture.id(1));
     notices.add(
         "{\"pos\":1,\"action\":\"finished\",\"uid\":\""
-            + Stand.id(1)
+            + BrokerFixture.id(1)
             + "\",\"code\":\"done\",\"wall_ms\":7,\"content\":\""
-            + Base64.getEncoder().encodeToString(Stand.result(Stand.id(1)))
+            + Base64.getEncoder().encodeToString(BrokerFixture.result(BrokerFixture.id(1)))
             + "\"}"); // never arrives
     notice("\"chatter\",\"code\":\"all is well\"");
-    assertEquals(null, answers.get(Stand.id(1)));
+    assertEquals(null, answers.get(BrokerFixture.id(1)));
     for (int i = 0; i < 5; i++) {
       stand.pass(20_000);
       turn();
     }
-    assertEquals("served", answers.get(Stand.id(1)));
+    assertEquals("served", answers.get(BrokerFixture.id(1)));
     assertEquals(0, stand.counters.get("pool-notices-missed"));
     assertEquals(1, stand.counters.get("pool-notices-misnumbered"));
   }
@@ -383,9 +385,9 @@
       stand.pass(20_000);
     }
     assertFalse(silent.isOpen());
-    end(Stand.id(1), "done");
-    assertEquals("served", answers.get(Stand.id(1)));
-    assertEquals(1, runs.get(Stand.id(1)));
+    end(BrokerFixture.id(1), "done");
+    assertEquals("served", answers.get(BrokerFixture.id(1)));
+    assertEquals(1, runs.get(BrokerFixture.id(1)));
   }
 
   /** Guards against a pool that comes up late and is taken for silent. */
@@ -395,7 +397,7 @@
    */
   @Example
   void aPoolThatHasNotComeUpIsAskedAgainEverMoreSeldom() {
-    stand.pass(Pool.UNBOUND - 1_000_000);
+    stand.pass(WorkerPoolClient.UNBOUND - 1_000_000);
     assertEquals(1, channels.size());
     stand.pass(60_000_000);
     assertTrue(
@@ -412,9 +414,11 @@
   @Example
   void aLineWithoutAnEndClosesTheLink() {
     turn();
-    for (int i = 0; i < PoolLink.MOST_PASSED_OVER / PoolLink.MOST_LINE; i++) {
+    for (int i = 0;
+        i < WorkerPoolConnection.MOST_PASSED_OVER / WorkerPoolConnection.MOST_LINE;
+        i++) {
       assertTrue(channel.isOpen());
-      channel.writeInbound(Unpooled.wrappedBuffer(new byte[PoolLink.MOST_LINE + 1]));
+      channel.writeInbound(Unpooled.wrappedBuffer(new byte[WorkerPoolConnection.MOST_LINE + 1]));
     }
     assertFalse(channel.isOpen());
     assertTrue(
@@ -432,9 +436,11 @@
         taken = true;
         say("{\"action\":\"bound\",\"code\":\"seasoned\",\"wall_ms\":5}");
         for (int j = 0;
-            j <= PoolLink.MOST_PASSED_OVER / PoolLink.MOST_LINE && channel.isOpen();
+            j <= WorkerPoolConnection.MOST_PASSED_OVER / WorkerPoolConnection.MOST_LINE
+                && channel.isOpen();
             j++) {
-          channel.writeInbound(Unpooled.wrappedBuffer(new byte[PoolLink.MOST_LINE + 1]));
+          channel.writeInbound(
+              Unpooled.wrappedBuffer(new byte[WorkerPoolConnection.MOST_LINE + 1]));
         }
       }
     }
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -13,17 +13,17 @@
 import java.net.InetSocketAddress;
 import java.util.Arrays;
 import java.util.List;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Tenant;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
-import mothwing.lab.StandInPool;
-import mothwing.testing.Altered;
+import mothwing.control.RequestClass;
+import mothwing.control.Settings;
+import mothwing.control.Tenant;
+import mothwing.testing.BlockingLog;
 import mothwing.testing.Crossing;
-import mothwing.testing.HeldLog;
 import mothwing.testing.Loopback;
+import mothwing.testing.SettingsVariants;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -38,7 +38,7 @@
   private static final int STATUS_SERVED = 200;
   private static final int LOOKS = 20;
 
-  private final HeldLog log = new HeldLog();
+  private final BlockingLog log = new BlockingLog();
   private InetSocketAddress listen = Loopback.any();
   private StandInPool pool;
   private Server server;
@@ -50,7 +50,7 @@
 
   private void make(long workMs, int sockets) throws IOException {
     pool = new StandInPool(workMs);
-    server = new Server(config(Stand.settings(60, 2), sockets), null, log);
+    server = new Server(config(BrokerFixture.settings(60, 2), sockets), null, log);
   }
 
   private void start(long workMs, int sockets) throws Exception {
@@ -160,11 +160,11 @@
     start(1, 256);
     try (Crossing whole = resting();
         Crossing half = resting()) {
-      byte[] request = Crossing.request(2, Stand.ORDER, Stand.id(2));
+      byte[] request = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(2));
       holdAt("drain ", server::drain);
       whole.send(request);
       whole.awaitUnread(request.length);
-      byte[] other = Crossing.request(2, Stand.ORDER, Stand.id(3));
+      byte[] other = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
       half.send(Arrays.copyOf(other, 30));
       half.awaitUnread(30);
       log.release();
@@ -234,7 +234,7 @@
     server.drain();
     try (Crossing one = new Crossing(at);
         Crossing silent = new Crossing(at)) {
-      byte[] request = Crossing.request(1, Stand.ORDER, Stand.id(1));
+      byte[] request = Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1));
       one.send(request);
       one.awaitUnread(request.length);
       log.release();
@@ -254,9 +254,9 @@
     start(1, 256);
     try (Crossing one = resting();
         Crossing other = resting()) {
-      byte[] request = Crossing.request(2, Stand.LOOK, Stand.id(2));
+      byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
-      server.reload(config(Altered.idle(Stand.settings(60, 2), 1), 256));
+      server.reload(config(SettingsVariants.idle(BrokerFixture.settings(60, 2), 1), 256));
       one.send(request);
       one.awaitUnread(request.length);
       log.release();
@@ -275,7 +275,7 @@
   void aRequestThatLiesUnreadAsItsConnectionIsToGiveWayIsAnswered() throws Exception {
     start(1, 33);
     try (Crossing one = resting()) {
-      byte[] request = Crossing.request(2, Stand.LOOK, Stand.id(2));
+      byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
       try (Crossing newcomer = connect()) {
         one.send(request);
@@ -322,12 +322,12 @@
     start(-1, 256);
     try (Crossing one = connect();
         Crossing two = connect()) {
-      one.send(Crossing.request(1, Stand.ORDER, Stand.id(1)));
+      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("drain ", server::drain);
       pool.release(); // its end lies in the link's socket
       server.drain();
-      two.send(Crossing.request(1, Stand.ORDER, Stand.id(2)));
+      two.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       log.release();
       Answer served = one.answer();
       assertEquals(STATUS_SERVED, served.status());
@@ -349,13 +349,14 @@
   void newSettingsDuringTheWayOutChangeNothingForWhatIsOpen() throws Exception {
     start(-1, 256);
     try (Crossing one = connect()) {
-      one.send(Crossing.request(1, Stand.ORDER, Stand.id(1)));
+      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("drain ", server::drain);
-      Settings had = Stand.settings(60, 2);
+      Settings had = BrokerFixture.settings(60, 2);
       RequestClass other =
           new RequestClass("other", 1, 1_000, 1, 0, had.classes().get(0).repeats(), 0, false, 0);
-      server.reload(config(Altered.parts(had, List.of(other), List.of(new Tenant("two", 1))), 256));
+      server.reload(
+          config(SettingsVariants.parts(had, List.of(other), List.of(new Tenant("two", 1))), 256));
       log.release();
       log.awaitLine("reload ");
       pool.release();
@@ -372,7 +373,7 @@
   void aNumberUsedAgainRightBehindItsAbortIsAnsweredOnceForEach() throws Exception {
     start(-1, 256);
     try (Crossing one = connect()) {
-      one.send(Crossing.request(1, Stand.ORDER, Stand.id(1)));
+      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
       pool.release(); // the answer of the first is ready in the same turn as its abort
@@ -396,8 +397,8 @@
     start(-1, 256);
     try (Crossing other = connect()) {
       Crossing one = connect();
-      one.send(Crossing.request(1, Stand.ORDER, Stand.id(1)));
-      other.send(Crossing.request(1, Stand.ORDER, Stand.id(2)));
+      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+      other.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       pool.awaitSpawns(2);
       holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
       pool.release();
--- a/src/test/java/mothwing/server/DescriptorsTest.java
+++ b/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
@@ -17,10 +17,10 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import mothwing.lab.Served;
-import mothwing.lab.Stand;
-import mothwing.lab.StandInPool;
 import mothwing.testing.Crossing;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.ServerProcess;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
@@ -30,7 +30,7 @@
  * service says nothing.
  */
 @Timeout(120)
-class DescriptorsTest {
+class FileDescriptorBudgetTest {
   private static final int LIMIT = 160;
   private static final int CROWD = 300;
 
@@ -42,15 +42,17 @@
         List.of(
             "Limit                     Soft Limit           Hard Limit           Units     ",
             "Max open files            512                  4096                 files     ");
-    assertEquals(512, Descriptors.limit(table, 1024));
+    assertEquals(512, FileDescriptorBudget.limit(table, 1024));
     assertEquals(
-        7, Descriptors.limit(List.of("Max open files            unlimited unlimited files"), 7));
-    assertEquals(7, Descriptors.limit(List.of(), 7));
-    assertEquals(64, Descriptors.spare(1024, 16));
-    assertEquals(50, Descriptors.spare(200, 16));
-    assertEquals(40, Descriptors.spare(33, 16));
-    assertEquals(124, Descriptors.spare(1024, 100));
-    assertTrue(Descriptors.held() > 3);
+        7,
+        FileDescriptorBudget.limit(
+            List.of("Max open files            unlimited unlimited files"), 7));
+    assertEquals(7, FileDescriptorBudget.limit(List.of(), 7));
+    assertEquals(64, FileDescriptorBudget.spare(1024, 16));
+    assertEquals(50, FileDescriptorBudget.spare(200, 16));
+    assertEquals(40, FileDescriptorBudget.spare(33, 16));
+    assertEquals(124, FileDescriptorBudget.spare(1024, 100));
+    assertTrue(FileDescriptorBudget.held() > 3);
   }
 
   private static String report(ServerSocket service) throws IOException {
@@ -82,11 +84,11 @@
     List<Socket> crowd = new ArrayList<>();
     List<String> log = Collections.synchronizedList(new ArrayList<>());
     try (StandInPool pool = new StandInPool(1);
-        SocketChannel port = Served.port();
-        SocketChannel door = Served.port();
+        SocketChannel port = ServerProcess.port();
+        SocketChannel door = ServerProcess.port();
         ServerSocket announce = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String config =
-          Served.config(Served.number(port), Served.number(door), pool)
+          ServerProcess.config(ServerProcess.number(port), ServerProcess.number(door), pool)
               .replace("\"sockets\":256", "\"sockets\":1024")
               .replaceFirst(
                   "\"announce\":\"[^\"]*\"",
@@ -129,13 +131,13 @@
         reader.setDaemon(true);
         reader.start();
         InetSocketAddress at =
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), Served.number(port));
+            new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
         for (int i = 0; i < CROWD; i++) {
           crowd.add(new Socket(at.getAddress(), at.getPort()));
         }
         for (int i = 1; i <= 20; i++) {
           try (Crossing gateway = new Crossing(at)) {
-            gateway.send(Crossing.request(1, Stand.ORDER, Stand.id(i)));
+            gateway.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(i)));
             assertEquals(200, gateway.answer().status());
           }
           crowd.add(new Socket(at.getAddress(), at.getPort()));
@@ -145,7 +147,7 @@
         assertTrue(report(announce).startsWith("PUT /announce/n1 "));
         assertTrue(report(announce).endsWith("}"), "reports resume");
         try (Crossing gateway = new Crossing(at)) {
-          gateway.send(Crossing.request(1, Stand.ORDER, Stand.id(99)));
+          gateway.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(99)));
           assertEquals(200, gateway.answer().status());
         }
         assertTrue(server.isAlive());
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -23,13 +23,13 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.function.Supplier;
 import mothwing.cli.Commands;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Served;
-import mothwing.lab.Stand;
-import mothwing.lab.StandInPool;
-import mothwing.lab.Till;
 import mothwing.testing.Loopback;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
+import mothwing.trial.GatewayConnection;
+import mothwing.trial.ServerProcess;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -63,7 +63,7 @@
         door,
         3200,
         256,
-        Stand.settings(patience, 2),
+        BrokerFixture.settings(patience, 2),
         null);
   }
 
@@ -72,17 +72,18 @@
     awaitPing(200);
   }
 
-  private Till till(Gateway gateway) throws IOException {
-    return new Till(gateway, server.listening().get(gateway instanceof Gateway.Ajp ? 1 : 0));
+  private GatewayConnection till(Gateway gateway) throws IOException {
+    return new GatewayConnection(
+        gateway, server.listening().get(gateway instanceof Gateway.Ajp ? 1 : 0));
   }
 
-  private int ping(Till till) throws IOException {
+  private int ping(GatewayConnection till) throws IOException {
     till.send(till.gateway.request(1, "/ping", "probe=1", Map.of(), new byte[0]));
     return till.answer().status();
   }
 
   private void awaitPing(int status) throws IOException {
-    try (Till till = till(new Gateway.Ajp())) {
+    try (GatewayConnection till = till(new Gateway.Ajp())) {
       while (ping(till) != status) {
         Thread.onSpinWait();
       }
@@ -112,10 +113,10 @@
       body[i] = (byte) (i * 7);
     }
     for (Supplier<Gateway> front : FRONTS) {
-      try (Till till = till(front.get())) {
+      try (GatewayConnection till = till(front.get())) {
         for (int i = 1; i <= 20; i++) {
           byte[] sent = Arrays.copyOf(body, i % 3 == 0 ? 0 : 2048 - i);
-          till.ask(1, Stand.ORDER, Stand.id(i + till.gateway.hashCode()), sent);
+          till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(i + till.gateway.hashCode()), sent);
           Answer answer = till.answer();
           assertEquals(200, answer.status());
           assertArrayEquals(StandInPool.made(sent), answer.content());
@@ -129,8 +130,8 @@
   void whatThePoolDoesNotEndFailsByItsDueTimeAndIsStopped() throws Exception {
     startReady(-1, 1);
     for (Supplier<Gateway> front : FRONTS) {
-      try (Till till = till(front.get())) {
-        till.ask(1, Stand.ORDER, Stand.id(till.gateway.hashCode()), new byte[9]);
+      try (GatewayConnection till = till(front.get())) {
+        till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(till.gateway.hashCode()), new byte[9]);
         assertEquals(500, till.answer().status());
       }
     }
@@ -142,8 +143,8 @@
     startReady(-1, 60);
     int left = 0;
     for (Supplier<Gateway> front : FRONTS) {
-      Till till = till(front.get());
-      till.ask(1, Stand.ORDER, Stand.id(7 + left), new byte[9]);
+      GatewayConnection till = till(front.get());
+      till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(7 + left), new byte[9]);
       pool.awaitSpawns(++left);
       till.close();
       pool.awaitSuspends(left);
@@ -157,18 +158,18 @@
   @Test
   void aBrokenLinkLosesNoEndAndRepeatsNoRun() throws Exception {
     startReady(-1, 60);
-    try (Till one = till(new Gateway.FastCgi());
-        Till two = till(new Gateway.Ajp())) {
-      one.ask(1, Stand.ORDER, Stand.id(1), new byte[] {1, 2, 3});
-      two.ask(1, Stand.LOOK, Stand.id(2), new byte[] {4, 5});
+    try (GatewayConnection one = till(new Gateway.FastCgi());
+        GatewayConnection two = till(new Gateway.Ajp())) {
+      one.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
+      two.ask(1, BrokerFixture.LOOK, BrokerFixture.id(2), new byte[] {4, 5});
       pool.awaitSpawns(2);
       pool.cut();
       pool.release();
       assertArrayEquals(new byte[] {3, 2, 1}, one.answer().content());
       assertArrayEquals(new byte[] {5, 4}, two.answer().content());
-      assertEquals(1, pool.spawns().get(Stand.id(1)));
+      assertEquals(1, pool.spawns().get(BrokerFixture.id(1)));
       pool.awaitLink();
-      two.ask(1, Stand.LOOK, Stand.id(3), new byte[] {6});
+      two.ask(1, BrokerFixture.LOOK, BrokerFixture.id(3), new byte[] {6});
       pool.awaitSpawns(3);
       pool.release();
       assertEquals(200, two.answer().status());
@@ -182,16 +183,16 @@
   @Test
   void aNewAddressOfThePoolLosesNoRun() throws Exception {
     startReady(-1, 60);
-    try (Till one = till(new Gateway.FastCgi());
-        Till two = till(new Gateway.Ajp());
+    try (GatewayConnection one = till(new Gateway.FastCgi());
+        GatewayConnection two = till(new Gateway.Ajp());
         StandInPool.Door door = pool.door()) {
-      one.ask(1, Stand.ORDER, Stand.id(1), new byte[] {1, 2, 3});
+      one.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
       pool.awaitSpawns(1);
       for (int i = 0; i < 3; i++) { // the signal may repeat
         server.reload(config(door.address(), Loopback.NOBODY));
       }
       awaitLine("end side=pool reason=moved");
-      two.ask(1, Stand.ORDER, Stand.id(2), new byte[] {4, 5});
+      two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {4, 5});
       pool.awaitSpawns(2);
       pool.release();
       assertArrayEquals(new byte[] {3, 2, 1}, one.answer().content());
@@ -209,9 +210,9 @@
     start(late, 4.5, Loopback.NOBODY);
     pool.awaitLink();
     for (Supplier<Gateway> front : FRONTS) {
-      try (Till till = till(front.get())) {
+      try (GatewayConnection till = till(front.get())) {
         assertEquals(503, ping(till));
-        till.ask(1, Stand.LOOK, Stand.id(1), new byte[0]);
+        till.ask(1, BrokerFixture.LOOK, BrokerFixture.id(1), new byte[0]);
         assertEquals(503, till.answer().status());
       }
     }
@@ -222,14 +223,14 @@
   @Test
   void theNoticeToLeaveAnswersWhatWasReadAndRunsNothingNew() throws Exception {
     startReady(-1, 60);
-    try (Till one = till(new Gateway.FastCgi());
-        Till two = till(new Gateway.Ajp())) {
-      one.ask(1, Stand.ORDER, Stand.id(1), new byte[] {1, 2});
-      two.ask(1, Stand.ORDER, Stand.id(2), new byte[] {3});
+    try (GatewayConnection one = till(new Gateway.FastCgi());
+        GatewayConnection two = till(new Gateway.Ajp())) {
+      one.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2});
+      two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {3});
       pool.awaitSpawns(2);
       server.drain();
       awaitLine("drain ");
-      one.ask(2, Stand.ORDER, Stand.id(3), new byte[0]);
+      one.ask(2, BrokerFixture.ORDER, BrokerFixture.id(3), new byte[0]);
       Answer refusal = one.answer();
       assertEquals(503, refusal.status());
       assertTrue(Long.parseLong(refusal.fields().get("Hold-Off-Ms")) > 0);
@@ -269,9 +270,9 @@
     }
     assertEquals("YES\n", call("health"));
     assertEquals("YES\n", call("LEAVE"));
-    try (Till till = till(new Gateway.FastCgi())) {
+    try (GatewayConnection till = till(new Gateway.FastCgi())) {
       assertEquals(503, ping(till));
-      till.ask(1, Stand.ORDER, Stand.id(1), new byte[] {1, 2});
+      till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2});
       assertEquals(200, till.answer().status());
       server.reloadFailed("on purpose");
       assertEquals("YES\n", call("JOIN"));
@@ -294,7 +295,7 @@
   @Test
   void aFaultyFileIsTurnedDownWholeAndCounted(@TempDir Path folder) throws Exception {
     pool = new StandInPool(1);
-    String good = Served.config(1, 2, pool);
+    String good = ServerProcess.config(1, 2, pool);
     Path file = Files.writeString(folder.resolve("config.json"), good);
     Config first = Config.read(file.toString());
     server =
@@ -314,7 +315,7 @@
             lines::add);
     server.start();
     awaitLine("takes-clients ");
-    Reload reload = new Reload(file.toString(), first, server);
+    ConfigReloader reload = new ConfigReloader(file.toString(), first, server);
     List<String> wrong =
         new ArrayList<>(List.of("", "{", good.substring(0, good.length() / 2), good + "{}"));
     for (String deadline :
@@ -401,8 +402,9 @@
   void anEidRushGetsEqualServiceForEqualWorthOverBothFronts() throws Exception {
     startReady(25, 1.5);
     int wide = 40;
-    List<Till> ajp = new ArrayList<>();
-    List<Till> fast = List.of(till(new Gateway.FastCgi()), till(new Gateway.FastCgi()));
+    List<GatewayConnection> ajp = new ArrayList<>();
+    List<GatewayConnection> fast =
+        List.of(till(new Gateway.FastCgi()), till(new Gateway.FastCgi()));
     for (int i = 0; i < wide; i++) {
       ajp.add(till(new Gateway.Ajp()));
     }
@@ -411,14 +413,14 @@
     int refused = 0;
     for (int wave = 0; wave < 6; wave++) {
       for (int i = 0; i < wide; i++) {
-        String kind = i % 5 == 0 ? Stand.ORDER : Stand.LOOK;
+        String kind = i % 5 == 0 ? BrokerFixture.ORDER : BrokerFixture.LOOK;
         int number = 1000 * (wave + 1) + 2 * i;
-        Till first = fast.get(i % 2);
+        GatewayConnection first = fast.get(i % 2);
         for (int turn = 0; turn < 2; turn++) { // the fronts take turns at coming first
           if ((turn + i) % 2 == 0) {
-            first.ask(1 + i, kind, Stand.id(number), new byte[] {(byte) i});
+            first.ask(1 + i, kind, BrokerFixture.id(number), new byte[] {(byte) i});
           } else {
-            ajp.get(i).ask(1, kind, Stand.id(number + 1), new byte[] {(byte) i});
+            ajp.get(i).ask(1, kind, BrokerFixture.id(number + 1), new byte[] {(byte) i});
           }
         }
       }
@@ -442,7 +444,7 @@
     assertTrue(
         served[0][1] + served[1][1] > 0.5 * 6 * 2 * wide / 5, "orders are worth more: " + all);
     pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
-    for (Till till : ajp) {
+    for (GatewayConnection till : ajp) {
       till.close();
     }
   }
--- a/src/test/java/mothwing/server/UpgradeTest.java
+++ b/src/test/java/mothwing/server/UpgradeTest.java
@@ -17,12 +17,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Served;
-import mothwing.lab.Stand;
-import mothwing.lab.StandInPool;
-import mothwing.lab.Till;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
+import mothwing.trial.GatewayConnection;
+import mothwing.trial.ServerProcess;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -48,14 +48,14 @@
    * lives.
    */
   private void ask(InetSocketAddress to, boolean anew) {
-    Till till = null;
+    GatewayConnection till = null;
     while (!over) {
-      String id = Stand.id(asked.incrementAndGet());
+      String id = BrokerFixture.id(asked.incrementAndGet());
       for (int tries = 0; tries < 2; tries++) {
         boolean first = till == null;
         try {
-          till = first ? new Till(new Gateway.FastCgi(), to) : till;
-          till.ask(1, Stand.ORDER, id, id.getBytes());
+          till = first ? new GatewayConnection(new Gateway.FastCgi(), to) : till;
+          till.ask(1, BrokerFixture.ORDER, id, id.getBytes());
           Answer answer = till.answer();
           String advice = answer.fields().get("Hold-Off-Ms");
           if (answer.status() == 503 && advice != null) {
@@ -88,14 +88,14 @@
   }
 
   /** How many requests a process that has ended counted as refused since it was behind. */
-  private static int behind(Served ended) {
+  private static int behind(ServerProcess ended) {
     String counts =
         ended.lines.stream().filter(line -> line.contains(" counts ")).findFirst().orElseThrow();
     Matcher found = BEHIND.matcher(counts);
     return found.find() ? Integer.parseInt(found.group(1)) : 0;
   }
 
-  private static void close(Till till) {
+  private static void close(GatewayConnection till) {
     try {
       till.close();
     } catch (IOException closed) {
@@ -116,14 +116,16 @@
   @Test
   void handsOverToTheNextProcessWithoutLosingOrRepeating() throws Exception {
     List<Thread> callers = new ArrayList<>();
-    try (SocketChannel port = Served.port();
-        SocketChannel one = Served.port();
-        SocketChannel two = Served.port();
+    try (SocketChannel port = ServerProcess.port();
+        SocketChannel one = ServerProcess.port();
+        SocketChannel two = ServerProcess.port();
         StandInPool first = new StandInPool(2);
         StandInPool second = new StandInPool(2);
-        Served old = new Served(folder, Served.number(port), Served.number(one), first)) {
+        ServerProcess old =
+            new ServerProcess(
+                folder, ServerProcess.number(port), ServerProcess.number(one), first)) {
       InetSocketAddress to =
-          new InetSocketAddress(InetAddress.getLoopbackAddress(), Served.number(port));
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
       old.awaitYes();
       for (int i = 0; i < 2 * WIDE; i++) {
         boolean anew = i < WIDE;
@@ -131,7 +133,9 @@
       }
       callers.forEach(Thread::start);
       await(100);
-      try (Served next = new Served(folder, Served.number(port), Served.number(two), second)) {
+      try (ServerProcess next =
+          new ServerProcess(
+              folder, ServerProcess.number(port), ServerProcess.number(two), second)) {
         next.awaitYes();
         await(100);
         old.leave();
@@ -182,20 +186,24 @@
   void bothProcessesTogetherStayUnderTheBoundOfOne() throws Exception {
     int most = 256 - 64; // descriptors of one, less those that are not for clients
     int apart = 24; // sockets of both that are not clients'
-    List<Till> crowd = new ArrayList<>();
-    try (SocketChannel port = Served.port();
-        SocketChannel one = Served.port();
-        SocketChannel two = Served.port();
+    List<GatewayConnection> crowd = new ArrayList<>();
+    try (SocketChannel port = ServerProcess.port();
+        SocketChannel one = ServerProcess.port();
+        SocketChannel two = ServerProcess.port();
         StandInPool first = new StandInPool(2);
         StandInPool second = new StandInPool(2);
-        Served old = new Served(folder, Served.number(port), Served.number(one), first)) {
+        ServerProcess old =
+            new ServerProcess(
+                folder, ServerProcess.number(port), ServerProcess.number(one), first)) {
       InetSocketAddress to =
-          new InetSocketAddress(InetAddress.getLoopbackAddress(), Served.number(port));
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
       old.awaitYes();
       while (sockets(old) < most * 3 / 4) { // alone it may have all
         come(crowd, to, 1);
       }
-      try (Served next = new Served(folder, Served.number(port), Served.number(two), second)) {
+      try (ServerProcess next =
+          new ServerProcess(
+              folder, ServerProcess.number(port), ServerProcess.number(two), second)) {
         int high = 0;
         for (int more = 0; more < most || sockets(next) < most / 3; more++) {
           come(crowd, to, 1);
@@ -217,9 +225,10 @@
   }
 
   /** Gateways that ask for something once and stay. */
-  private static void come(List<Till> crowd, InetSocketAddress to, int many) throws IOException {
+  private static void come(List<GatewayConnection> crowd, InetSocketAddress to, int many)
+      throws IOException {
     for (int i = 0; i < many; i++) {
-      Till till = new Till(new Gateway.FastCgi(), to);
+      GatewayConnection till = new GatewayConnection(new Gateway.FastCgi(), to);
       crowd.add(till);
       try {
         till.ask(1, "/ping", "", new byte[0]);
@@ -233,7 +242,7 @@
     }
   }
 
-  private static int sockets(Served one) {
+  private static int sockets(ServerProcess one) {
     try (var all = Files.list(Path.of("/proc/" + one.pid() + "/fd"))) {
       return (int) all.filter(UpgradeTest::isSocket).count();
     } catch (IOException gone) {
@@ -255,22 +264,28 @@
    */
   @Test
   void aNewProcessThatFailsToStartLeavesTheOldOneServing() throws Exception {
-    try (SocketChannel port = Served.port();
-        SocketChannel one = Served.port();
+    try (SocketChannel port = ServerProcess.port();
+        SocketChannel one = ServerProcess.port();
         StandInPool first = new StandInPool(1);
         StandInPool second = new StandInPool(1);
-        Served old = new Served(folder, Served.number(port), Served.number(one), first)) {
+        ServerProcess old =
+            new ServerProcess(
+                folder, ServerProcess.number(port), ServerProcess.number(one), first)) {
       old.awaitYes();
-      try (Served next =
-          new Served(
-              folder, Served.number(port), Served.number(one), second)) { // its door is taken
+      try (ServerProcess next =
+          new ServerProcess(
+              folder,
+              ServerProcess.number(port),
+              ServerProcess.number(one),
+              second)) { // its door is taken
         assertNotEquals(0, next.await());
       }
-      try (Till till =
-          new Till(
+      try (GatewayConnection till =
+          new GatewayConnection(
               new Gateway.FastCgi(),
-              new InetSocketAddress(InetAddress.getLoopbackAddress(), Served.number(port)))) {
-        till.ask(1, Stand.ORDER, Stand.id(1), new byte[1]);
+              new InetSocketAddress(
+                  InetAddress.getLoopbackAddress(), ServerProcess.number(port)))) {
+        till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[1]);
         assertEquals(200, till.answer().status());
       }
       old.leave();
--- a/src/test/java/mothwing/store/JournalTest.java
+++ b/src/test/java/mothwing/store/JournalTest.java
@@ -84,7 +84,7 @@
           acknowledged.addAll(attempted);
           attempted = new ArrayList<>();
         }
-      } catch (Corrupt damaged) {
+      } catch (CorruptRecordException damaged) {
         throw new AssertionError(damaged);
       } catch (IOException off) {
         disk.powerLoss();
@@ -150,7 +150,7 @@
     int at = random.nextInt(disk.size("log-0000000000000001"));
     disk.flip("log-0000000000000001", at);
     if (at < lastFrame) {
-      Corrupt found = assertThrows(Corrupt.class, () -> open(disk));
+      CorruptRecordException found = assertThrows(CorruptRecordException.class, () -> open(disk));
       assertTrue(found.getMessage().startsWith("log-0000000000000001 at byte "), found::getMessage);
     } else {
       assertEquals(8, open(disk).records.size());
--- a/src/test/java/mothwing/testing/HeldLog.java
+++ b/src/test/java/mothwing/testing/BlockingLog.java
@@ -3,13 +3,13 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
 
 /**
  * A log that can hold the thread which writes a line, between that line and the next statement:
  * whatever the test does meanwhile crosses it there. It keeps all lines.
  */
-public final class HeldLog implements Log {
+public final class BlockingLog implements EventLog {
   private final List<String> lines = new ArrayList<>();
   private String start;
   private CountDownLatch held;
--- a/src/test/java/mothwing/testing/Crossing.java
+++ b/src/test/java/mothwing/testing/Crossing.java
@@ -10,8 +10,8 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
+import mothwing.trial.Answer;
+import mothwing.trial.Gateway;
 
 /**
  * A gateway's connection with which a test forces what crosses what: bytes that lie unread, resets,
--- a/src/test/java/mothwing/testing/FrontModel.java
+++ b/src/test/java/mothwing/testing/FrontModel.java
@@ -12,11 +12,11 @@
 import java.util.Map;
 import java.util.function.Function;
 import java.util.function.Supplier;
-import mothwing.OverloadControl.Outcome;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
+import mothwing.control.RunOutcome;
 import mothwing.net.Connection;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 
 /**
  * The model that both fronts are checked against: what was read is owed one answer by its due time
@@ -42,7 +42,7 @@
   }
 
   /** The server under test. */
-  public final Stand stand = new Stand().bound();
+  public final BrokerFixture stand = new BrokerFixture().bound();
 
   /** What the gateway sends and reads on the connection under test. */
   public Gateway gateway;
@@ -50,17 +50,17 @@
   /** The connection under test. */
   public EmbeddedChannel channel;
 
-  private final Function<Stand, Connection> maker;
+  private final Function<BrokerFixture, Connection> maker;
   private final Supplier<Gateway> speaker;
 
   private final Map<Integer, Known> owed = new HashMap<>();
   private final Map<String, long[]> ends =
-      Map.of(Stand.LOOK, new long[4], Stand.ORDER, new long[4]);
+      Map.of(BrokerFixture.LOOK, new long[4], BrokerFixture.ORDER, new long[4]);
   private final Map<String, String> kinds = new HashMap<>();
   private int made;
 
   /** Makes a model with one open connection of a front. */
-  public FrontModel(Function<Stand, Connection> maker, Supplier<Gateway> speaker) {
+  public FrontModel(Function<BrokerFixture, Connection> maker, Supplier<Gateway> speaker) {
     this.maker = maker;
     this.speaker = speaker;
     open();
@@ -86,13 +86,13 @@
     }
     boolean order = step % 3 == 0;
     int lateMs = step % 400;
-    String id = Stand.id(++made);
+    String id = BrokerFixture.id(++made);
     owed.put(place, new Known(id, order, stand.now() - lateMs * 1000L + DUE));
-    kinds.put(id, order ? Stand.ORDER : Stand.LOOK);
+    kinds.put(id, order ? BrokerFixture.ORDER : BrokerFixture.LOOK);
     byte[] all =
         gateway.request(
             place,
-            order ? "/call/" + Stand.ORDER : "/call/" + Stand.LOOK,
+            order ? "/call/" + BrokerFixture.ORDER : "/call/" + BrokerFixture.LOOK,
             "",
             Gateway.fields(id, stand.wallMs() - lateMs),
             new byte[step % 2049]);
@@ -125,7 +125,7 @@
   public void endRun(int number) {
     String id = stand.someRun(number);
     if (id != null) {
-      stand.finish(id, number % 5 == 0 ? Outcome.FAILED : Outcome.GOOD);
+      stand.finish(id, number % 5 == 0 ? RunOutcome.FAILED : RunOutcome.GOOD);
     }
   }
 
@@ -143,7 +143,7 @@
       assertNotNull(answer.fields().get("Feedback"));
       ends.get(kinds.get(known.id))[answer.status() == 200 ? 0 : answer.status() == 503 ? 1 : 2]++;
       switch (answer.status()) {
-        case 200 -> assertArrayEquals(Stand.result(known.id), answer.content());
+        case 200 -> assertArrayEquals(BrokerFixture.result(known.id), answer.content());
         case 503 -> assertTrue(!ran || !known.order, known.id + " ran and is refused");
         default -> assertEquals(500, answer.status());
       }
--- a/src/test/java/mothwing/testing/Undecided.java
+++ b/src/test/java/mothwing/testing/NoDecisionController.java
@@ -1,13 +1,13 @@
 package mothwing.testing;
 
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.Controller;
+import mothwing.control.GaugeSample;
+import mothwing.control.Request;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
 
 /** Decisions left to the test: it hears all and asks for nothing. */
-public class Undecided implements Controller {
+public class NoDecisionController implements Controller {
   @Override
   public void started(long now) {
     // nothing is asked for
@@ -29,17 +29,17 @@
   }
 
   @Override
-  public void callEnded(long now, String id, Outcome outcome, long took) {
+  public void callEnded(long now, String id, RunOutcome outcome, long took) {
     // nothing is asked for
   }
 
   @Override
-  public void finished(long now, String id, Outcome outcome, long took) {
+  public void finished(long now, String id, RunOutcome outcome, long took) {
     // nothing is asked for
   }
 
   @Override
-  public void timer(long now, String tag, Sample sample) {
+  public void timer(long now, String tag, GaugeSample sample) {
     // nothing is asked for
   }
 
--- a/src/test/java/mothwing/testing/Altered.java
+++ b/src/test/java/mothwing/testing/SettingsVariants.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 import java.util.function.UnaryOperator;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Settings;
-import mothwing.OverloadControl.Signals;
-import mothwing.OverloadControl.Tenant;
+import mothwing.control.FreeValue;
+import mothwing.control.RequestClass;
+import mothwing.control.Settings;
+import mothwing.control.Signals;
+import mothwing.control.Tenant;
 
 /** Settings as they were but for one thing, as a new configuration brings them. */
-public final class Altered {
-  private Altered() {}
+public final class SettingsVariants {
+  private SettingsVariants() {}
 
   /** With other classes and tenants. */
   public static Settings parts(Settings one, List<RequestClass> classes, List<Tenant> tenants) {
--- a/src/test/java/mothwing/lab/CallsTest.java
+++ b/src/test/java/mothwing/trial/CallsTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,10 +28,11 @@
    * Asks for so many at once, of either class in turn, and gives how many were served; all are
    * answered once.
    */
-  private int served(Till till, Fault meanwhile) throws IOException, InterruptedException {
+  private int served(GatewayConnection till, Fault meanwhile)
+      throws IOException, InterruptedException {
     for (int i = 1; i <= EACH; i++) {
-      String id = Stand.id(++asked);
-      till.ask(i, i % 2 == 0 ? Stand.LOOK : Stand.ORDER, id, id.getBytes());
+      String id = BrokerFixture.id(++asked);
+      till.ask(i, i % 2 == 0 ? BrokerFixture.LOOK : BrokerFixture.ORDER, id, id.getBytes());
     }
     meanwhile.happens();
     int served = 0;
@@ -48,17 +49,21 @@
    */
   @Test
   void callsAreMadeAcrossBrokenLinks() throws Exception {
-    try (SocketChannel port = Served.port();
-        SocketChannel door = Served.port();
+    try (SocketChannel port = ServerProcess.port();
+        SocketChannel door = ServerProcess.port();
         StandInPool pool = StandInPool.calling(4, 2);
-        StandInLedger ledger = new StandInLedger(40);
-        Served server =
-            Served.calling(
-                folder, Served.number(port), Served.number(door), pool, ledger.address())) {
+        StandInDependency ledger = new StandInDependency(40);
+        ServerProcess server =
+            ServerProcess.calling(
+                folder,
+                ServerProcess.number(port),
+                ServerProcess.number(door),
+                pool,
+                ledger.address())) {
       server.awaitYes();
       InetSocketAddress to =
-          new InetSocketAddress(InetAddress.getLoopbackAddress(), Served.number(port));
-      try (Till till = new Till(new Gateway.FastCgi(), to)) {
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
+      try (GatewayConnection till = new GatewayConnection(new Gateway.FastCgi(), to)) {
         assertEquals(EACH, served(till, () -> {}), server.lines::toString);
         Map<String, Integer> calls = ledger.asked();
         assertTrue(
--- a/src/test/java/mothwing/lab/DeploymentTest.java
+++ b/src/test/java/mothwing/trial/DeploymentTest.java
@@ -1,22 +1,23 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import mothwing.Brain;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Request;
-import mothwing.testing.Undecided;
+import mothwing.control.ControllerHost;
+import mothwing.control.Request;
+import mothwing.overload.OverloadController;
+import mothwing.testing.NoDecisionController;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Deployments that nobody has, drawn from fixed seeds: the module is fitted to none of them. */
 class DeploymentTest {
-  private static DeploymentPlay.Result decided(Deployment of) {
-    return DeploymentPlay.play(of, (settings, host, speed) -> new Brain(settings, host));
+  private static DeploymentSimulation.Result decided(Deployment of) {
+    return DeploymentSimulation.play(
+        of, (settings, host, speed) -> new OverloadController(settings, host));
   }
 
   /**
@@ -25,7 +26,7 @@
   @ParameterizedTest
   @ValueSource(longs = {5, 9, 15, 20, 22, 36, 38})
   void keepsTheRulesWhateverTheSettingsSay(long seed) {
-    DeploymentPlay.Result result = decided(Deployment.drawn(seed));
+    DeploymentSimulation.Result result = decided(Deployment.drawn(seed));
     assertEquals(List.of(), result.broken());
     assertEquals(0, result.faults());
     assertTrue(result.served() > 0.3, result::toString);
@@ -40,8 +41,9 @@
     Deployment of = Deployment.drawn(37);
     double ours = decided(of).served();
     double most =
-        DeploymentPlay.play(
-                of, (settings, host, speed) -> new LateSeeing(settings, host, of, speed, 1))
+        DeploymentSimulation.play(
+                of,
+                (settings, host, speed) -> new FullKnowledgePolicy(settings, host, of, speed, 1))
             .served();
     assertTrue(ours > 0.8 * most, ours + " of " + most);
   }
@@ -50,18 +52,18 @@
   @Test
   void aCrowdIsSeen() {
     Deployment of = Deployment.drawn(37);
-    DeploymentPlay.Result result =
-        DeploymentPlay.play(of, (settings, host, speed) -> new StartsAll(host));
+    DeploymentSimulation.Result result =
+        DeploymentSimulation.play(of, (settings, host, speed) -> new StartsAll(host));
     assertFalse(result.broken().isEmpty());
     assertTrue(
         result.broken().get(0).matches(".*(felled by a crowd|needs [0-9]+ KB).*"),
         result::toString);
   }
 
-  private static final class StartsAll extends Undecided {
-    private final Host host;
+  private static final class StartsAll extends NoDecisionController {
+    private final ControllerHost host;
 
-    StartsAll(Host host) {
+    StartsAll(ControllerHost host) {
       this.host = host;
     }
 
--- a/src/test/java/mothwing/lab/FaultyServer.java
+++ b/src/test/java/mothwing/trial/FaultyServer.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -143,7 +143,8 @@
   private void asked(OutputStream to, int id, String params, byte[] body) throws IOException {
     int at = params.indexOf("HTTP_TRACE_ID") + "HTTP_TRACE_ID".length();
     String trace = params.substring(at, at + 16);
-    String kind = params.contains("/call/" + Stand.ORDER) ? Stand.ORDER : Stand.LOOK;
+    String kind =
+        params.contains("/call/" + BrokerFixture.ORDER) ? BrokerFixture.ORDER : BrokerFixture.LOOK;
     open.put(trace, new Open(to, id, kind));
     spawn(trace, kind, body);
   }
--- a/src/test/java/mothwing/lab/FleetTest.java
+++ b/src/test/java/mothwing/trial/FleetTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -14,7 +14,7 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Predicate;
 import java.util.stream.Collectors;
-import mothwing.lab.FleetStage.Machine;
+import mothwing.trial.FleetStage.Machine;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/mothwing/lab/OverloadTest.java
+++ b/src/test/java/mothwing/trial/OverloadTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,9 +9,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Random;
-import mothwing.lab.History.Crowd;
-import mothwing.lab.History.End;
-import mothwing.lab.Oracles.Breach;
+import mothwing.trial.History.Crowd;
+import mothwing.trial.History.End;
+import mothwing.trial.Oracles.Breach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
--- a/src/test/java/mothwing/lab/OverrideTest.java
+++ b/src/test/java/mothwing/trial/OverrideTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotNull;
@@ -28,13 +28,14 @@
                 LongStream.rangeClosed(1, SCHEDULES), kept.stream().mapToLong(Long::longValue))
             .toArray()) {
       List<OverrideSchedule.Step> steps = OverrideSchedule.drawn(seed);
-      OverrideNet net = OverrideSchedule.play(steps, seed, OverrideNet.Planted.NONE);
+      SimulatedOverrideNetwork net =
+          OverrideSchedule.play(steps, seed, SimulatedOverrideNetwork.Planted.NONE);
       if (!net.broken.isEmpty()) {
         List<OverrideSchedule.Step> fewer =
-            OverrideSchedule.shrunk(steps, seed, OverrideNet.Planted.NONE);
+            OverrideSchedule.shrunk(steps, seed, SimulatedOverrideNetwork.Planted.NONE);
         assertEquals(
             List.of(),
-            OverrideSchedule.play(fewer, seed, OverrideNet.Planted.NONE).broken,
+            OverrideSchedule.play(fewer, seed, SimulatedOverrideNetwork.Planted.NONE).broken,
             "seed " + seed + " " + fewer);
       }
     }
@@ -55,10 +56,12 @@
   @Test
   void whatOneSideTookBackStaysSoAcrossItsLossOfPower() {
     assertEquals(
-        List.of(), OverrideSchedule.play(TAKEN_BACK_ALONE, 1, OverrideNet.Planted.NONE).broken);
+        List.of(),
+        OverrideSchedule.play(TAKEN_BACK_ALONE, 1, SimulatedOverrideNetwork.Planted.NONE).broken);
     assertEquals(
         "n0 goes by o1, which was taken back",
-        OverrideSchedule.play(TAKEN_BACK_ALONE, 1, OverrideNet.Planted.TOMBSTONES_DROPPED)
+        OverrideSchedule.play(
+                TAKEN_BACK_ALONE, 1, SimulatedOverrideNetwork.Planted.TOMBSTONES_DROPPED)
             .broken
             .get(0)
             .replaceFirst(".* ms: ", ""));
@@ -97,10 +100,11 @@
   @EnumSource(
       mode = EnumSource.Mode.EXCLUDE,
       names = {"NONE", "TOMBSTONES_DROPPED"})
-  void aPlantedFaultIsCaught(OverrideNet.Planted planted) {
-    OverrideNet caught = null;
+  void aPlantedFaultIsCaught(SimulatedOverrideNetwork.Planted planted) {
+    SimulatedOverrideNetwork caught = null;
     for (long seed = 1; seed <= SCHEDULES && caught == null; seed++) {
-      OverrideNet net = OverrideSchedule.play(OverrideSchedule.drawn(seed), seed, planted);
+      SimulatedOverrideNetwork net =
+          OverrideSchedule.play(OverrideSchedule.drawn(seed), seed, planted);
       caught = net.broken.isEmpty() ? null : net;
     }
     assertNotNull(caught, planted + " is seen by nobody");
--- a/src/test/java/mothwing/lab/RelayTest.java
+++ b/src/test/java/mothwing/trial/RelayTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/src/test/java/mothwing/lab/MemberNetTest.java
+++ b/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -9,53 +9,54 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import mothwing.lab.MemberNet.Node;
-import mothwing.lab.MemberNet.Seen;
-import mothwing.member.Change.What;
-import mothwing.member.Pace;
+import mothwing.membership.FailureDetectorSettings;
+import mothwing.membership.MembershipEvent.Type;
+import mothwing.trial.SimulatedMembershipNetwork.Node;
+import mothwing.trial.SimulatedMembershipNetwork.Seen;
 import org.junit.jupiter.api.Test;
 
 /** Members on virtual time, through what may befall them. */
-class MemberNetTest {
-  private static MemberNet met(int members, long seed) {
-    MemberNet net = new MemberNet(members, Pace.USUAL, seed).startAll();
+class SimulatedMembershipNetworkTest {
+  private static SimulatedMembershipNetwork met(int members, long seed) {
+    SimulatedMembershipNetwork net =
+        new SimulatedMembershipNetwork(members, FailureDetectorSettings.USUAL, seed).startAll();
     assertTrue(net.untilAgreed(20) >= 0, "they do not meet");
     net.pass(10);
     net.seen.clear();
     return net;
   }
 
-  private static List<Seen> of(MemberNet net, What what) {
+  private static List<Seen> of(SimulatedMembershipNetwork net, Type what) {
     return net.seen.stream().filter(one -> one.change().what() == what).toList();
   }
 
   @Test
   void aKilledMemberIsKnownToAllAndItsReturnToo() {
-    MemberNet net = met(20, 1);
+    SimulatedMembershipNetwork net = met(20, 1);
     net.nodes.get("m7").end();
     double known = net.untilAgreed(10);
     assertTrue(known > 0 && known < 5, "after " + known);
-    assertEquals(19, of(net, What.DIED).size(), "each of the others sees it die once");
+    assertEquals(19, of(net, Type.DIED).size(), "each of the others sees it die once");
     net.nodes.get("m7").start(net.seeds());
     assertTrue(net.untilAgreed(5) >= 0, "it comes back under its name, inside its own tombstone");
-    assertTrue(of(net, What.DISPLACED).isEmpty());
+    assertTrue(of(net, Type.DISPLACED).isEmpty());
   }
 
   @Test
   void pausesUnderTwoSecondsKillNobody() {
-    MemberNet net = met(20, 2);
+    SimulatedMembershipNetwork net = met(20, 2);
     for (int i = 0; i < 20; i++) {
       net.all().get(i).pause(1_900_000);
       net.pass(4);
     }
-    assertEquals(List.of(), of(net, What.DIED));
+    assertEquals(List.of(), of(net, Type.DIED));
     net.nodes.get("m3").pause(10_000_000);
     net.pass(9);
     assertTrue(
-        of(net, What.DIED).stream().allMatch(one -> one.change().claim().name().equals("m3")));
+        of(net, Type.DIED).stream().allMatch(one -> one.change().claim().name().equals("m3")));
     assertTrue(net.untilAgreed(5) >= 0, "it objects as it wakes, and accuses nobody else");
     assertTrue(
-        of(net, What.DIED).stream().allMatch(one -> one.change().claim().name().equals("m3")));
+        of(net, Type.DIED).stream().allMatch(one -> one.change().claim().name().equals("m3")));
   }
 
   /**
@@ -64,7 +65,7 @@
    */
   @Test
   void whoStopsAgainAndAgainCountsAsFlappingUntilItIsSteady() {
-    MemberNet net = met(20, 9);
+    SimulatedMembershipNetwork net = met(20, 9);
     Node one = net.nodes.get("m3");
     net.nodes.get("m5").end();
     for (int i = 0; i < 12; i++) {
@@ -83,22 +84,22 @@
     }
     net.pass(240);
     assertTrue(others.stream().allMatch(node -> node.member.view().flapping().isEmpty()));
-    assertEquals(of(net, What.FLAPS).size(), of(net, What.STEADIED).size());
+    assertEquals(of(net, Type.FLAPS).size(), of(net, Type.STEADIED).size());
   }
 
   @Test
   void lostMessagesAndOneSidedCutsKillNobodyThatSomebodyHears() {
-    MemberNet net = met(12, 3);
+    SimulatedMembershipNetwork net = met(12, 3);
     net.loss = 0.3;
     net.pass(120);
-    assertEquals(List.of(), of(net, What.DIED), "30% loss");
+    assertEquals(List.of(), of(net, Type.DIED), "30% loss");
     net.loss = 0;
     net.cut = (from, to) -> from.equals("m2") && to.equals("m5");
     net.pass(60);
     net.cut =
         (from, to) -> from.equals("m2") && to.equals("m5") || from.equals("m5") && to.equals("m2");
     net.pass(60);
-    assertEquals(List.of(), of(net, What.DIED), "one direction, then both, others see the two");
+    assertEquals(List.of(), of(net, Type.DIED), "one direction, then both, others see the two");
   }
 
   /**
@@ -107,26 +108,28 @@
    */
   @Test
   void whoIsCutOffKnowsThatItIsAlone() {
-    MemberNet net = met(12, 4);
+    SimulatedMembershipNetwork net = met(12, 4);
     net.cut = (from, to) -> to.equals("m2");
     net.pass(20);
     assertTrue(net.nodes.get("m2").member.view().alone(), "it hears none");
     net.cut = (from, to) -> false;
     assertTrue(net.untilAgreed(15) >= 0);
     net.pass(5);
-    assertEquals(1, of(net, What.ALONE).size());
-    assertEquals(1, of(net, What.CONNECTED).size());
+    assertEquals(1, of(net, Type.ALONE).size());
+    assertEquals(1, of(net, Type.CONNECTED).size());
   }
 
   @Test
   void halvesThatWereCutMeetAgain() {
-    MemberNet net = met(20, 5);
+    SimulatedMembershipNetwork net = met(20, 5);
     net.cut =
         (from, to) ->
             (Integer.parseInt(from.substring(1)) < 10) != (Integer.parseInt(to.substring(1)) < 10);
     net.pass(30);
     assertEquals(
-        10, MemberNet.held(net.nodes.get("m1").member).size(), "each half goes on by itself");
+        10,
+        SimulatedMembershipNetwork.held(net.nodes.get("m1").member).size(),
+        "each half goes on by itself");
     net.cut = (from, to) -> false;
     double met = net.untilAgreed(20);
     assertTrue(met >= 0, "they do not meet again");
@@ -134,23 +137,23 @@
 
   @Test
   void aSuccessorTakesTheNameWithoutADeathAndAStrayDoesNotFlap() {
-    MemberNet net = met(8, 6);
+    SimulatedMembershipNetwork net = met(8, 6);
     Node old = net.nodes.get("m4");
-    mothwing.member.Membership before = old.member;
+    mothwing.membership.Membership before = old.member;
     old.start(
         net.seeds()); // the old process's messages no longer come through, as its address is taken
     assertTrue(net.untilAgreed(5) >= 0);
-    assertEquals(List.of(), of(net, What.DIED));
+    assertEquals(List.of(), of(net, Type.DIED));
     assertTrue(old.member != before);
     net.stray("m5", "elsewhere").start(net.seeds());
     net.pass(10);
-    assertEquals(1, of(net, What.DISPLACED).size(), "one of the two stays, the other is silent");
+    assertEquals(1, of(net, Type.DISPLACED).size(), "one of the two stays, the other is silent");
     net.seen.clear();
     net.pass(60);
     assertEquals(List.of(), net.seen, "and nothing flaps");
     net.nodes.get("m6").member.leave();
     net.pass(1);
-    assertEquals(7, of(net, What.LEFT).size(), "heard by all that speak within a second");
+    assertEquals(7, of(net, Type.LEFT).size(), "heard by all that speak within a second");
   }
 
   /** 300 drawn schedules: after the last fault all that run agree, and no incarnation goes back. */
@@ -159,7 +162,7 @@
     double worst = 0;
     for (long seed = 1; seed <= 300; seed++) {
       Random random = new Random(seed);
-      MemberNet net = met(5 + random.nextInt(8), seed);
+      SimulatedMembershipNetwork net = met(5 + random.nextInt(8), seed);
       for (int step = 0; step < 8; step++) {
         Node some = net.all().get(random.nextInt(net.all().size()));
         Node other = net.all().get(random.nextInt(net.all().size()));
@@ -205,7 +208,7 @@
                   + " but "
                   + net.all().stream()
                       .filter(Node::running)
-                      .map(one -> one.name + MemberNet.held(one.member))
+                      .map(one -> one.name + SimulatedMembershipNetwork.held(one.member))
                       .toList());
       worst = Math.max(worst, took);
       Map<String, Long> last = new HashMap<>();
--- a/src/test/java/mothwing/lab/SystemCallsTest.java
+++ b/src/test/java/mothwing/trial/SystemCallsTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import mothwing.lab.History.End;
+import mothwing.trial.History.End;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
--- a/src/test/java/mothwing/lab/TrialTest.java
+++ b/src/test/java/mothwing/trial/TrialTest.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -17,8 +17,8 @@
 import java.util.TreeMap;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
-import mothwing.lab.History.End;
-import mothwing.lab.Oracles.Verdict;
+import mothwing.trial.History.End;
+import mothwing.trial.Oracles.Verdict;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
@@ -109,7 +109,7 @@
                 fleet(servers = 7, cores = 2, work_ms = 5, deadline_ms = 1000)
                 traffic(rate = 60, orders = 0.5, gateways = 1, heed = 0, retries = 0, patience_ms = 2500)
                 """);
-    Verdict verdict = Oracles.judge(trial, play(trial, folder, "mothwing.lab.FaultyServer"));
+    Verdict verdict = Oracles.judge(trial, play(trial, folder, "mothwing.trial.FaultyServer"));
     Map<String, String> wanted =
         new TreeMap<>(
             Map.of(
@@ -174,7 +174,7 @@
                 """);
     Process rig =
         new ProcessBuilder(
-                Guarded.java(
+                SupervisedProcess.java(
                     List.of("-Xmx128m"), "mothwing.Main", "trial", "run", script.toString()))
             .redirectErrorStream(true)
             .start();
@@ -213,7 +213,7 @@
       History history = new SimulationStage().play(one, line -> {});
       Verdict verdict = Oracles.judge(one, history);
       assertEquals(0, verdict.status(), () -> verdict + "\n" + one.script());
-      Figures figures = Figures.of(one, history);
+      TrialStatistics figures = TrialStatistics.of(one, history);
       served += figures.served();
       lost += figures.tries().get("lost") + figures.tries().get("unreached");
       if (seed % 100 == 0) {
