--- a/src/bench/java/mothwing/net/IdleConnections.java
+++ b/src/bench/java/mothwing/net/IdleConnections.java
@@ -25,16 +25,16 @@
     Idle(long since) {
       super("bench", 1, line -> {}, new Counters());
       this.since = since;
-      introduce();
+      markIdentified();
     }
 
     @Override
-    protected boolean take(ByteBuf in) {
+    protected boolean decode(ByteBuf in) {
       return false;
     }
 
     @Override
-    protected void ended() {
+    protected void onClosed() {
       // nothing is kept of it
     }
   }
@@ -54,7 +54,7 @@
   public void scan() {
     now += STEP;
     for (Idle one : new ArrayList<>(all)) {
-      if (one.overstays(now, PATIENCE) != null || !one.quiet() || now - one.since >= SPAN) {
+      if (one.timeoutReason(now, PATIENCE) != null || !one.isQuiet() || now - one.since >= SPAN) {
         closed++;
       }
     }
@@ -77,12 +77,12 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMillis() {
     return now / 1000;
   }
 
   @Override
-  public void at(long at, Runnable work) {
+  public void schedule(long at, Runnable work) {
     throw new UnsupportedOperationException();
   }
 }
--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -56,12 +56,12 @@
   }
 
   @Override
-  public void start(String id) {
+  public void startRun(String id) {
     named("Start", id);
   }
 
   @Override
-  public void call(String id, long until) {
+  public void startCall(String id, long until) {
     action(
         "AskBelow",
         json -> {
@@ -76,12 +76,12 @@
   }
 
   @Override
-  public void halt(String id) {
+  public void stopRun(String id) {
     named("Preempt", id);
   }
 
   @Override
-  public void refuse(String id, boolean dontRetry, long stayAway) {
+  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
     action(
         "Bounce",
         json -> {
@@ -96,12 +96,12 @@
   }
 
   @Override
-  public void fail(String id) {
+  public void failRequest(String id) {
     named("EndFailed", id);
   }
 
   @Override
-  public void remember(String id, long span) {
+  public void rememberKey(String id, long span) {
     action(
         "Remember",
         json -> {
@@ -111,17 +111,17 @@
   }
 
   @Override
-  public void forget(String id) {
+  public void forgetKey(String id) {
     named("DropKey", id);
   }
 
   @Override
-  public void replay(String id) {
+  public void replayResult(String id) {
     named("Replay", id);
   }
 
   @Override
-  public void timer(long at, String tag) {
+  public void scheduleTimer(long at, String tag) {
     action(
         "Timer",
         json -> {
@@ -131,12 +131,12 @@
   }
 
   @Override
-  public void say(double value) {
+  public void publishFreeValue(double value) {
     action("Stamp", json -> json.name("X").value(value));
   }
 
   @Override
-  public void health(boolean cheap, boolean good) {
+  public void setHealth(boolean cheap, boolean good) {
     action(
         "Health",
         json -> {
@@ -146,7 +146,7 @@
   }
 
   @Override
-  public void trimIdle(long span) {
+  public void closeIdleConnections(long span) {
     action("TrimAfter", json -> json.name("Lifetime").value(span));
   }
 
--- a/src/main/java/mothwing/adapter/Adapter.java
+++ b/src/main/java/mothwing/adapter/Adapter.java
@@ -115,7 +115,7 @@
           new Instance(
               who, SettingsCodec.read(event.whole("Seed", 0), event.requiredInner("Options")));
       instances.put(who, life);
-      guard(who, life, () -> life.controller().started(now));
+      guard(who, life, () -> life.controller().serverStarted(now));
       return;
     }
     Instance life = instances.get(who);
@@ -130,7 +130,7 @@
     if (life == null) {
       return "";
     }
-    guard(who, life, () -> life.controller().settled(now));
+    guard(who, life, () -> life.controller().batchEnded(now));
     return life.actions().take();
   }
 
--- a/src/main/java/mothwing/adapter/Instance.java
+++ b/src/main/java/mothwing/adapter/Instance.java
@@ -45,16 +45,16 @@
   /** Gives one event of this life to the controller. */
   void event(long now, String what, JsonFields event) throws InvalidInputException {
     switch (what) {
-      case "Submit" -> controller.read(now, request(event));
-      case "Abandoned" -> controller.gone(now, event.text("Job"));
-      case "StalledOnCall" -> controller.atCall(now, event.text("Job"));
+      case "Submit" -> controller.requestRead(now, request(event));
+      case "Abandoned" -> controller.requestCancelled(now, event.text("Job"));
+      case "StalledOnCall" -> controller.callAwaited(now, event.text("Job"));
       case "CallResult" ->
           controller.callEnded(now, event.text("Job"), outcome(event), event.whole("Rtt", 0));
       case "Finished" ->
-          controller.finished(now, event.text("Job"), outcome(event), event.whole("Rtt", 0));
+          controller.runEnded(now, event.text("Job"), outcome(event), event.whole("Rtt", 0));
       case "Fired" ->
-          controller.timer(now, event.text("Tag", ""), GaugeSample.of(event.numbers("Stats")));
-      case "Sigterm" -> controller.drain(now, event.whole("ValidUntil"));
+          controller.timerFired(now, event.text("Tag", ""), GaugeSample.of(event.numbers("Stats")));
+      case "Sigterm" -> controller.shutdownRequested(now, event.whole("ValidUntil"));
       default -> throw new InvalidInputException("field what: unknown event " + what);
     }
   }
@@ -88,14 +88,14 @@
   private static RunOutcome outcome(JsonFields event) throws InvalidInputException {
     String verdict = event.text("Verdict");
     return switch (verdict) {
-      case "GOOD" -> RunOutcome.GOOD;
+      case "GOOD" -> RunOutcome.SUCCEEDED;
       case "BAD" -> RunOutcome.FAILED;
-      case "FULL" -> RunOutcome.DECLINED;
+      case "FULL" -> RunOutcome.REJECTED;
       case "LATE" -> RunOutcome.TIMED_OUT;
-      case "NOCONN" -> RunOutcome.UNREACHED;
-      case "RST" -> RunOutcome.CUT;
+      case "NOCONN" -> RunOutcome.UNREACHABLE;
+      case "RST" -> RunOutcome.CONNECTION_LOST;
       case "CXL" -> RunOutcome.STOPPED;
-      case "NOP" -> RunOutcome.MOOT;
+      case "NOP" -> RunOutcome.NOT_STARTED;
       default -> throw new InvalidInputException("field Verdict: unknown outcome " + verdict);
     };
   }
--- a/src/main/java/mothwing/admin/AdminCommand.java
+++ b/src/main/java/mothwing/admin/AdminCommand.java
@@ -38,11 +38,11 @@
 
   private String carriedOut(AdminOperations on) {
     return switch (this) {
-      case HEALTH -> on.serving() ? "YES\n" : no("not taking clients");
-      case DUMP -> on.figures() + "\nEND\n";
+      case HEALTH -> on.isServing() ? "YES\n" : no("not taking clients");
+      case DUMP -> on.statistics() + "\nEND\n";
       case MEMBERS ->
           on.members() == null ? no("no fleet is configured") : on.members() + "\nEND\n";
-      case LEAVE, JOIN -> on.away(this == LEAVE) ? "YES\n" : no("leaving for good");
+      case LEAVE, JOIN -> on.setOutOfRotation(this == LEAVE) ? "YES\n" : no("leaving for good");
     };
   }
 
--- a/src/main/java/mothwing/admin/AdminConnection.java
+++ b/src/main/java/mothwing/admin/AdminConnection.java
@@ -31,12 +31,12 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE) {
       return false;
     }
-    introduce();
+    markIdentified();
     count("calls");
     boolean whole = length >= 0 && length <= MOST_LINE + 1;
     String answer =
@@ -45,7 +45,7 @@
                 in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), on)
             : AdminCommand.no("a line has at most " + MOST_LINE + " bytes");
     count(answer.startsWith("NO ") ? "answered-no" : "answered");
-    ByteBuf out = room(answer.length());
+    ByteBuf out = allocate(answer.length());
     out.writeCharSequence(answer, StandardCharsets.US_ASCII);
     send(out);
     close(CloseReason.ASKED, "");
@@ -53,7 +53,7 @@
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     // nothing is kept of it
   }
 }
--- a/src/main/java/mothwing/admin/AdminOperations.java
+++ b/src/main/java/mothwing/admin/AdminOperations.java
@@ -7,14 +7,14 @@
    *
    * @return true from when it listens for them and its worker pool is up, until the notice to leave
    */
-  boolean serving();
+  boolean isServing();
 
   /**
    * The figures of this moment.
    *
    * @return one JSON object on one line
    */
-  String figures();
+  String statistics();
 
   /**
    * What this server holds of its fleet.
@@ -30,5 +30,5 @@
    * @param away whether gateways are to go
    * @return false where the process is leaving for good, in which case nothing has changed
    */
-  boolean away(boolean away);
+  boolean setOutOfRotation(boolean away);
 }
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -63,8 +63,8 @@
         return;
       }
       open = null;
-      boolean reuse = !broker.draining();
-      ByteBuf out = room(512 + content.length);
+      boolean reuse = !broker.isDraining();
+      ByteBuf out = allocate(512 + content.length);
       Ajp.sendHeaders(out, status, Headers.phrase(status), answer);
       Ajp.sendBody(out, content);
       Ajp.endResponse(out, reuse);
@@ -102,11 +102,13 @@
     void chunk(byte[] more) {
       int before = body.length;
       int room =
-          InboundRequest.MOST_BODY + 1 - before; // one byte over shows that the body is too large
+          InboundRequest.MAX_BODY_BYTES
+              + 1
+              - before; // one byte over shows that the body is too large
       int taken = Math.min(room, more.length);
       body = Arrays.copyOf(body, before + taken);
       System.arraycopy(more, 0, body, before, taken);
-      if (body.length > InboundRequest.MOST_BODY || length > InboundRequest.MOST_BODY) {
+      if (body.length > InboundRequest.MAX_BODY_BYTES || length > InboundRequest.MAX_BODY_BYTES) {
         reading = false;
         reject("oversized-body");
       } else if (more.length == 0 && length > body.length) {
@@ -120,9 +122,9 @@
     }
 
     void ask() {
-      ByteBuf out = room(Ajp.HEAD + 3);
+      ByteBuf out = allocate(Ajp.HEAD + 3);
       long wanted =
-          length == UNTOLD ? InboundRequest.MOST_BODY + 1 - body.length : length - body.length;
+          length == UNTOLD ? InboundRequest.MAX_BODY_BYTES + 1 - body.length : length - body.length;
       Ajp.getBodyChunk(out, (int) wanted);
       send(out);
     }
@@ -130,13 +132,13 @@
     void ready() {
       reading = false;
       count("requests");
-      introduce();
-      whole(path, query, fields, body);
+      markIdentified();
+      handle(path, query, fields, body);
     }
   }
 
   @Override
-  public boolean idle() {
+  public boolean isIdle() {
     return open == null;
   }
 
@@ -146,7 +148,7 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     if (in.readableBytes() < Ajp.HEAD) {
       return false;
     }
@@ -179,8 +181,8 @@
     switch (code) {
       case Ajp.CPING -> {
         count("cpings");
-        introduce();
-        ByteBuf out = room(Ajp.HEAD + 1);
+        markIdentified();
+        ByteBuf out = allocate(Ajp.HEAD + 1);
         Ajp.cpong(out);
         send(out);
       }
@@ -251,11 +253,11 @@
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     Asked left = open;
     open = null;
     if (left != null) {
-      left.leave();
+      left.cancel();
     }
   }
 }
--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -18,7 +18,7 @@
   private final StableIndex<RequestClass> classes = new StableIndex<>(RequestClass::name);
   private final StableIndex<Tenant> tenants = new StableIndex<>(Tenant::name);
   private Settings settings;
-  private boolean cold;
+  private boolean setColdStart;
 
   /**
    * Makes the first settings.
@@ -26,25 +26,25 @@
    * @param told the settings
    */
   ActiveSettings(Settings told) {
-    take(told, Set.of());
+    apply(told, Set.of());
   }
 
   /** Takes new settings; what is open goes on under the class that it was read under. */
-  void take(Settings told, Collection<Exchange> open) {
+  void apply(Settings told, Collection<Exchange> open) {
     BitSet classesUsed = new BitSet();
     BitSet tenantsUsed = new BitSet();
     for (Exchange one : open) {
-      classesUsed.set(one.classPlace()); // what is open has one
-      tenantsUsed.set(one.tenantPlace() + 1); // 0 stands for none
+      classesUsed.set(one.classIndex()); // what is open has one
+      tenantsUsed.set(one.tenantIndex() + 1); // 0 stands for none
     }
-    classes.take(told.classes(), classesUsed::get);
-    tenants.take(told.tenants(), place -> tenantsUsed.get(place + 1));
+    classes.update(told.classes(), classesUsed::get);
+    tenants.update(told.tenants(), place -> tenantsUsed.get(place + 1));
     settings = placed(told);
   }
 
   /** The pool says whether the machine has just started. */
-  void cold(boolean now) {
-    cold = now;
+  void setColdStart(boolean now) {
+    setColdStart = now;
     settings = placed(settings);
   }
 
@@ -52,17 +52,23 @@
     Machine one = told.machine();
     Machine machine =
         new Machine(
-            one.cores(), one.memory(), one.runFactor(), 0, cold, one.gauges(), one.halting());
+            one.cores(),
+            one.memoryKb(),
+            one.runMemoryFactor(),
+            0,
+            setColdStart,
+            one.gaugeNames(),
+            one.stopMode());
     return new Settings(
         told.seed(),
-        told.round(),
-        classes.all(),
-        tenants.all(),
+        told.batchInterval(),
+        classes.entries(),
+        tenants.entries(),
         told.replicas(),
         told.callers(),
-        told.worthByWork(),
-        told.overShareWorth(),
-        told.freshFor(),
+        told.weightByWork(),
+        told.overQuotaWeightRatio(),
+        told.cacheLifetime(),
         told.goal(),
         told.rules(),
         told.dependency(),
@@ -76,30 +82,30 @@
   }
 
   /** The class of a name that is known now, or null. */
-  RequestClass known(String kind) {
-    Integer place = classes.place(kind);
+  RequestClass findClass(String kind) {
+    Integer place = classes.indexOf(kind);
     return place == null ? null : settings.classes().get(place);
   }
 
-  int classPlace(String kind) {
-    Integer place = classes.place(kind);
+  int classIndex(String kind) {
+    Integer place = classes.indexOf(kind);
     return place == null ? -1 : place;
   }
 
-  int tenantPlace(String tenant) {
-    Integer place = tenants.place(tenant);
+  int tenantIndex(String tenant) {
+    Integer place = tenants.indexOf(tenant);
     return place == null ? -1 : place;
   }
 
-  boolean knowsTenant(String tenant) {
-    return tenants.none() || tenants.place(tenant) != null;
+  boolean isKnownTenant(String tenant) {
+    return tenants.isEmpty() || tenants.indexOf(tenant) != null;
   }
 
   /** The names of the classes that are known now. */
-  Set<String> names() {
+  Set<String> classNames() {
     return settings.classes().stream()
         .map(RequestClass::name)
-        .filter(name -> classes.place(name) != null)
+        .filter(name -> classes.indexOf(name) != null)
         .collect(Collectors.toCollection(LinkedHashSet::new));
   }
 }
--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -56,8 +56,8 @@
   private final BiFunction<Settings, ControllerHost, Controller> maker;
   private final WorkerPool workers;
   private final Scheduler timers;
-  private DependencyClient below = DependencyClient.NONE;
-  private RunClaims claims = RunClaims.ALONE;
+  private DependencyClient below = DependencyClient.UNAVAILABLE;
+  private RunClaims claims = RunClaims.UNSHARED;
   private final Counters counters;
   private final EventLog log;
   private final RateLimitedEventLog reasons;
@@ -77,7 +77,7 @@
   private double said;
   private boolean checkCheap;
   private boolean checkGood = true;
-  private final RequestStatistics figures = new RequestStatistics();
+  private final RequestStatistics statistics = new RequestStatistics();
   private final ShutdownState drainState = new ShutdownState();
   private Consumer<Long> trimmer = span -> {};
   private Runnable onReady = () -> {};
@@ -106,11 +106,11 @@
     this.timers = timers;
     this.counters = counters;
     this.log = log;
-    inForce.names().forEach(figures::know);
+    inForce.classNames().forEach(statistics::register);
     reasons = new RateLimitedEventLog(log, timers);
     reconciler =
         new RunReconciler(
-            open, workers, counters, log, () -> told().machine().halting(), new Reconciled());
+            open, workers, counters, log, () -> settings().machine().stopMode(), new Reconciled());
   }
 
   /**
@@ -119,21 +119,21 @@
    *
    * @param settings the new settings of the site
    */
-  public void retune(Settings settings) {
-    FreeValue meant = told().signals().freeValue();
-    inForce.take(settings, open.values());
-    if (told().signals().freeValue()
+  public void applySettings(Settings settings) {
+    FreeValue meant = settings().signals().freeValue();
+    inForce.apply(settings, open.values());
+    if (settings().signals().freeValue()
         != meant) { // what was said would now be read as something else
-      said = told().signals().freeValue() == FreeValue.SHARE ? 1 : 0;
+      said = settings().signals().freeValue() == FreeValue.SHARE ? 1 : 0;
     }
-    inForce.names().forEach(figures::know);
+    inForce.classNames().forEach(statistics::register);
     if (controller != null) {
       Settings now = inForce.settings();
-      event((to, at) -> to.retuned(at, now));
+      enqueue((to, at) -> to.settingsChanged(at, now));
     }
   }
 
-  private Settings told() {
+  private Settings settings() {
     return inForce.settings();
   }
 
@@ -142,7 +142,7 @@
    * on.
    */
   private long longestAdvice() {
-    return told().signals().mayAdvise() ? told().signals().longestAdvice() : 0;
+    return settings().signals().retryAfterHonoured() ? settings().signals().maxRetryAfter() : 0;
   }
 
   /**
@@ -159,7 +159,7 @@
    *
    * @param closer takes the idle span in microseconds
    */
-  public void trimWith(Consumer<Long> closer) {
+  public void setIdleConnectionCloser(Consumer<Long> closer) {
     trimmer = closer;
   }
 
@@ -168,7 +168,7 @@
    *
    * @param asked asked once for each request; true where it is to be refused undecided
    */
-  public void shedWith(BooleanSupplier asked) {
+  public void setOverloadCheck(BooleanSupplier asked) {
     shed = asked;
   }
 
@@ -177,7 +177,7 @@
    *
    * @param tier the tier below
    */
-  public void callWith(DependencyClient tier) {
+  public void setDependencyClient(DependencyClient tier) {
     below = tier;
   }
 
@@ -186,7 +186,7 @@
    *
    * @param shared grants them, among all processes at this address
    */
-  public void claimWith(RunClaims shared) {
+  public void setRunClaims(RunClaims shared) {
     claims = shared;
   }
 
@@ -199,22 +199,22 @@
    *
    * @param path the path it was sent to; what is of no class is never refused so
    * @return the milliseconds to stay away that the refusal advises, or -1 where the request is to
-   *     be {@link #read}
+   *     be {@link #submit}
    */
-  public long sheds(String path) {
+  public long retryAfterIfOverloaded(String path) {
     if (controller == null
-        || drainState.going()
-        || !path.startsWith(InboundRequest.PATH)
+        || drainState.isDraining()
+        || !path.startsWith(InboundRequest.PATH_PREFIX)
         || !shed.getAsBoolean()) {
       return -1;
     }
-    String kind = path.substring(InboundRequest.PATH.length());
-    if (inForce.known(kind) == null) {
+    String kind = path.substring(InboundRequest.PATH_PREFIX.length());
+    if (inForce.findClass(kind) == null) {
       return -1;
     }
     counters.add("read");
     counters.add("refused-behind");
-    figures.ended(kind, RequestStatistics.End.REJECTED);
+    statistics.recordEnd(kind, RequestStatistics.End.REJECTED);
     return longestAdvice() / MILLI;
   }
 
@@ -225,29 +225,29 @@
    * @param caller the way back
    * @return its exchange
    */
-  public Exchange read(InboundRequest arrival, ResponseSink caller) {
+  public Exchange submit(InboundRequest arrival, ResponseSink caller) {
     counters.add("read");
     long now = timers.now();
-    RequestClass kind = inForce.known(arrival.kind());
+    RequestClass kind = inForce.findClass(arrival.className());
     long unread = kind == null ? 0 : unread(arrival, kind);
     Exchange exchange =
         new Exchange(
             arrival,
             caller,
-            kind != null && kind.repeats() == Idempotency.SAFE,
+            kind != null && kind.idempotency() == Idempotency.SAFE,
             now,
             now - unread,
             now - unread + (kind == null ? 0 : waits(arrival, kind)),
-            inForce.classPlace(arrival.kind()),
-            inForce.tenantPlace(arrival.tenant()),
+            inForce.classIndex(arrival.className()),
+            inForce.tenantIndex(arrival.tenant()),
             kind != null
-                    && kind.repeats() == Idempotency.GUARDED
+                    && kind.idempotency() == Idempotency.GUARDED
                     && arrival.idempotencyKey() != null
-                ? kind.window()
+                ? kind.idempotencyWindow()
                 : 0);
     if (kind == null) {
       fail(exchange, "unknown-class");
-    } else if (!inForce.knowsTenant(arrival.tenant())) {
+    } else if (!inForce.isKnownTenant(arrival.tenant())) {
       fail(exchange, "unknown-tenant");
     } else if (open.containsKey(arrival.id())) {
       fail(exchange, "repeated-trace-id");
@@ -259,7 +259,7 @@
       refuse(exchange, "keys-full", false, longestAdvice() / MILLI);
     } else {
       open.put(arrival.id(), exchange);
-      event((to, at) -> give(exchange, to, at));
+      enqueue((to, at) -> deliver(exchange, to, at));
     }
     return exchange;
   }
@@ -270,7 +270,7 @@
    * ahead of it, or older than its class waits in all, says nothing.
    */
   private long unread(InboundRequest arrival, RequestClass kind) {
-    long ms = timers.wallMs() - arrival.acceptedAtMs();
+    long ms = timers.wallClockMillis() - arrival.acceptedAtMs();
     boolean believed = ms >= -MOST_AHEAD_MS && ms <= kind.deadline() / MILLI;
     if (!believed) {
       counters.add("stamps-not-believed");
@@ -284,15 +284,16 @@
    */
   private static long waits(InboundRequest arrival, RequestClass kind) {
     boolean told =
-        arrival.waitMs() != InboundRequest.NOT_TOLD && arrival.waitMs() < kind.deadline() / MILLI;
-    return told ? arrival.waitMs() * MILLI : kind.deadline();
+        arrival.maxWaitMs() != InboundRequest.NOT_STATED
+            && arrival.maxWaitMs() < kind.deadline() / MILLI;
+    return told ? arrival.maxWaitMs() * MILLI : kind.deadline();
   }
 
   /**
    * Which try it repeats is asked only now: those read before it in this round have been decided.
    */
-  private void give(Exchange one, Controller to, long at) {
-    InboundRequest arrival = one.arrival();
+  private void deliver(Exchange one, Controller to, long at) {
+    InboundRequest arrival = one.request();
     IdempotencyKeys.Entry before = keys.repeated(one);
     if (before != null && !before.sameBody(one)) {
       fail(one, "key-of-another");
@@ -303,20 +304,20 @@
       counters.add("repeats");
     }
     one.held();
-    to.read(
+    to.requestRead(
         at,
         new Request(
             arrival.id(),
-            one.classPlace(),
-            one.tenantPlace(),
+            one.classIndex(),
+            one.tenantIndex(),
             0,
             at - one.arrivedAt(),
-            arrival.subject(),
-            arrival.reserveKb(),
+            arrival.cacheKey(),
+            arrival.memoryKb(),
             before == null ? null : before.id(),
             arrival.rank(),
-            arrival.waitMs() == InboundRequest.NOT_TOLD ? 0 : one.dueAt(),
-            !one.repeatable()));
+            arrival.maxWaitMs() == InboundRequest.NOT_STATED ? 0 : one.deadline(),
+            !one.isIdempotent()));
   }
 
   /**
@@ -324,20 +325,20 @@
    *
    * @param exchange the request
    */
-  public void gone(Exchange exchange) {
+  public void cancelled(Exchange exchange) {
     if (!exchange.gone()) {
       return;
     }
     counters.add("gone");
-    String id = exchange.arrival().id();
+    String id = exchange.request().id();
     if (open.get(id) == exchange) {
-      abandon(exchange);
-      event(
+      abandonCall(exchange);
+      enqueue(
           (to, at) -> {
-            if (!exchange.inPool()) {
+            if (!exchange.isInPool()) {
               open.remove(id, exchange);
             }
-            to.gone(at, id);
+            to.requestCancelled(at, id);
           });
     }
   }
@@ -348,22 +349,22 @@
    * @param probe whether the caller wants to know that work gets done
    * @param answer takes whether the check is good, once
    */
-  public void check(boolean probe, Consumer<Boolean> answer) {
+  public void healthCheck(boolean probe, Consumer<Boolean> answer) {
     counters.add("checks");
-    if (controller == null || checkCheap || !probe || !good()) {
-      answer.accept(controller != null && good());
-    } else if (!workers.ready() || checks.size() >= MOST_CHECKS) {
+    if (controller == null || checkCheap || !probe || !isHealthy()) {
+      answer.accept(controller != null && isHealthy());
+    } else if (!workers.isReady() || checks.size() >= MOST_CHECKS) {
       answer.accept(false);
     } else {
       String echo = "c" + ++checksAsked;
       checks.put(echo, new Check(answer, timers.now() + CHECK_WAIT));
-      workers.verify(echo);
+      workers.startHealthCheck(echo);
     }
   }
 
   /** What a health check may say at the best. */
-  private boolean good() {
-    return drainState.good(checkGood);
+  private boolean isHealthy() {
+    return drainState.isHealthy(checkGood);
   }
 
   /**
@@ -373,13 +374,13 @@
    * @param now whether gateways are to go
    * @return false after the notice to leave, in which case nothing has changed
    */
-  public boolean away(boolean now) {
-    boolean before = drainState.away();
-    if (!drainState.away(now)) {
+  public boolean outOfRotation(boolean now) {
+    boolean before = drainState.outOfRotation();
+    if (!drainState.outOfRotation(now)) {
       return false;
     }
     if (now != before) {
-      log.line((now ? "away" : "back") + " owed=" + owed());
+      log.write((now ? "away" : "back") + " owed=" + pendingCount());
     }
     return true;
   }
@@ -389,8 +390,8 @@
    *
    * @return true from the call until the one that ends it
    */
-  public boolean away() {
-    return drainState.away();
+  public boolean outOfRotation() {
+    return drainState.outOfRotation();
   }
 
   /**
@@ -398,8 +399,8 @@
    *
    * @return true if so
    */
-  public boolean serving() {
-    return controller != null && !drainState.going();
+  public boolean isServing() {
+    return controller != null && !drainState.isDraining();
   }
 
   /**
@@ -407,9 +408,9 @@
    *
    * @return the counts by class, and the requests that are owed an answer as {@code pending}
    */
-  public Map<String, Object> figures() {
-    Map<String, Object> all = figures.all();
-    all.put("pending", owed());
+  public Map<String, Object> statistics() {
+    Map<String, Object> all = statistics.snapshot();
+    all.put("pending", pendingCount());
     return all;
   }
 
@@ -419,8 +420,8 @@
    * @return the value, or none where the settings give it no meaning, or one about which the
    *     decisions say nothing: callers would read a 0 as a window for no request at all
    */
-  public OptionalDouble feedback() {
-    FreeValue meaning = told().signals().freeValue();
+  public OptionalDouble freeValue() {
+    FreeValue meaning = settings().signals().freeValue();
     return meaning == FreeValue.LEVEL || meaning == FreeValue.SHARE
         ? OptionalDouble.of(said)
         : OptionalDouble.empty();
@@ -431,8 +432,8 @@
    *
    * @return true if so
    */
-  public boolean draining() {
-    return drainState.going();
+  public boolean isDraining() {
+    return drainState.isDraining();
   }
 
   /**
@@ -440,8 +441,8 @@
    *
    * @return their number
    */
-  public long owed() {
-    return open.values().stream().filter(Exchange::owed).count();
+  public long pendingCount() {
+    return open.values().stream().filter(Exchange::isPending).count();
   }
 
   /**
@@ -450,7 +451,7 @@
    * @return one line of {@code name=value} words
    */
   public String counts() {
-    return "in_hand=" + open.size() + " owed=" + owed() + " " + counters;
+    return "in_hand=" + open.size() + " owed=" + pendingCount() + " " + counters;
   }
 
   /**
@@ -462,22 +463,22 @@
    * @param handover whether another process takes clients at the same address
    */
   public void drain(long noticeAt, long stopAt, boolean handover) {
-    if (drainState.going()) {
+    if (drainState.isDraining()) {
       return;
     }
-    drainState.notice(noticeAt, stopAt, told().rules().drainGrace(), handover);
-    log.line(
+    drainState.begin(noticeAt, stopAt, settings().rules().drainGracePeriod(), handover);
+    log.write(
         "drain owed="
-            + owed()
+            + pendingCount()
             + " stop_ms="
             + (stopAt - noticeAt) / MILLI
             + " handover="
             + handover);
     if (controller != null) { // the notice may come before the pool is up
-      if (drainState.closesAt() > timers.now()) {
-        timers.at(drainState.closesAt(), this::tellLeave);
+      if (drainState.admissionClosesAt() > timers.now()) {
+        timers.schedule(drainState.admissionClosesAt(), this::requestShutdown);
       } else {
-        tellLeave();
+        requestShutdown();
       }
     }
   }
@@ -486,17 +487,17 @@
    * The process ends now: whatever is still owed an answer, late as the controller may be, is
    * failed.
    */
-  public void failOwed() {
+  public void failPending() {
     for (Exchange one : new ArrayList<>(open.values())) {
-      if (one.owed()) {
+      if (one.isPending()) {
         fail(one, "leaving");
         forgetUnlessRunning(one);
       }
     }
   }
 
-  private void tellLeave() {
-    event((to, at) -> to.drain(at, drainState.stopAt()));
+  private void requestShutdown() {
+    enqueue((to, at) -> to.shutdownRequested(at, drainState.stopAt()));
   }
 
   // what the pool brings
@@ -507,18 +508,18 @@
    * @param fresh whether it was cold at its start
    * @param age microseconds since that start
    */
-  public void bound(boolean fresh, long age) {
+  public void poolConnected(boolean fresh, long age) {
     if (controller != null) {
       return;
     }
-    inForce.cold(fresh);
-    controller = maker.apply(told(), this);
+    inForce.setColdStart(fresh);
+    controller = maker.apply(settings(), this);
     sampledAt = timers.now();
-    log.line("ready cold=" + fresh + " age_ms=" + age / MILLI);
-    controller.started(timers.now() - age);
-    timers.at(timers.now() + WATCH, this::watch);
-    if (drainState.going()) {
-      tellLeave();
+    log.write("ready cold=" + fresh + " age_ms=" + age / MILLI);
+    controller.serverStarted(timers.now() - age);
+    timers.schedule(timers.now() + WATCH, this::enforceDeadlines);
+    if (drainState.isDraining()) {
+      requestShutdown();
     }
     onReady.run();
   }
@@ -526,7 +527,7 @@
   /**
    * The missed notices have been read: what may have been lost with the link before is asked about.
    */
-  public void caughtUp() {
+  public void resynchronized() {
     reconciler.caughtUp(timers.now());
   }
 
@@ -534,34 +535,34 @@
     @Override
     public void startAgain(Exchange run) {
       counters.add("spawned-again");
-      reasons.line("started-again", run, "relinked");
-      handOver(run);
+      reasons.write("started-again", run, "relinked");
+      dispatch(run);
     }
 
     @Override
     public void deliverCallResult(Exchange run) {
-      goOn(run, run.result());
+      resume(run, run.result());
     }
 
     @Override
     public void halt(Exchange run) {
-      Broker.this.halt(run.arrival().id());
+      Broker.this.stopRun(run.request().id());
     }
 
     @Override
     public void giveUp(Exchange run) {
-      finished(run.arrival().id(), RunOutcome.MOOT, 0, null);
+      runEnded(run.request().id(), RunOutcome.NOT_STARTED, 0, null);
     }
   }
 
   /** The link to the pool has broken: timers do not wait for gauges any longer, and checks fail. */
-  public void unlinked() {
+  public void poolDisconnected() {
     reconciler.unlinked();
     for (String echo : new ArrayList<>(ticks.keySet())) {
-      tick(echo, unknown());
+      deliverSample(echo, absentSample());
     }
     for (String echo : new ArrayList<>(checks.keySet())) {
-      verified(echo, false);
+      healthCheckEnded(echo, false);
     }
   }
 
@@ -573,42 +574,42 @@
    * @param took microseconds it took
    * @param result the result of a good run
    */
-  public void finished(String id, RunOutcome outcome, long took, byte[] result) {
+  public void runEnded(String id, RunOutcome outcome, long took, byte[] result) {
     counters.add("finished-" + outcome.name().toLowerCase(Locale.ROOT));
     Exchange one = open.get(id);
-    if (one == null || !one.inPool()) {
+    if (one == null || !one.isInPool()) {
       counters.add("finished-unasked");
       return;
     }
-    abandon(one);
+    abandonCall(one);
     if (outcome == RunOutcome.STOPPED
-        && one.owed()
+        && one.isPending()
         && !one.stopping()
-        && told().machine().halting() == StopMode.SUSPEND) {
+        && settings().machine().stopMode() == StopMode.SUSPEND) {
       one.stopped(
           true); // it did run, and was stopped only to find that out: the controller need not know
       one.resumed(reconciler.polls());
-      workers.proceed(id);
+      workers.resumeRun(id);
       return;
     }
     if (outcome == RunOutcome.STOPPED) {
-      one.stopped(told().machine().halting() == StopMode.SUSPEND);
+      one.stopped(settings().machine().stopMode() == StopMode.SUSPEND);
     } else {
       one.left();
     }
-    if (!one.inPool()) {
+    if (!one.isInPool()) {
       keys.ended(one, outcome, result);
     }
-    if (outcome == RunOutcome.GOOD) {
+    if (outcome == RunOutcome.SUCCEEDED) {
       served(one, result);
     } else if (outcome != RunOutcome.STOPPED) {
-      fail(one, outcome == RunOutcome.MOOT ? "stale" : "crashed");
+      fail(one, outcome == RunOutcome.NOT_STARTED ? "stale" : "crashed");
     }
-    if (!one.inPool() && !one.owed()) {
+    if (!one.isInPool() && !one.isPending()) {
       open.remove(id);
     }
-    event((to, at) -> to.finished(at, id, outcome, took));
-    settleReplays();
+    enqueue((to, at) -> to.runEnded(at, id, outcome, took));
+    answerReplays();
   }
 
   /**
@@ -617,16 +618,16 @@
    * @param id the request
    * @param content what it asks of the tier below
    */
-  public void blocked(String id, byte[] content) {
+  public void runAwaitsCall(String id, byte[] content) {
     Exchange one = open.get(id);
-    if (one == null || !one.inPool()) {
+    if (one == null || !one.isInPool()) {
       counters.add("blocked-unasked");
       return;
     }
     counters.add("blocked");
-    abandon(one);
+    abandonCall(one);
     one.atCall(content);
-    event((to, at) -> to.atCall(at, id));
+    enqueue((to, at) -> to.callAwaited(at, id));
   }
 
   /**
@@ -636,37 +637,37 @@
    * @param outcome how it ended
    * @param result what came back, where it succeeded
    */
-  public void callOver(String id, RunOutcome outcome, byte[] result) {
+  public void callEnded(String id, RunOutcome outcome, byte[] result) {
     Exchange one = open.get(id);
     if (one == null || !one.callOver()) {
       counters.add("call-unasked");
       return;
     }
     counters.add("call-" + outcome.name().toLowerCase(Locale.ROOT));
-    if (outcome == RunOutcome.GOOD) {
-      goOn(one, result);
+    if (outcome == RunOutcome.SUCCEEDED) {
+      resume(one, result);
     }
-    event((to, at) -> to.callEnded(at, id, outcome, 0));
+    enqueue((to, at) -> to.callEnded(at, id, outcome, 0));
   }
 
   /**
    * A run that stands at a call goes on with this, or without it for null, now or once the pool can
    * be told.
    */
-  private void goOn(Exchange one, byte[] result) {
-    boolean onLink = workers.ready();
+  private void resume(Exchange one, byte[] result) {
+    boolean onLink = workers.isReady();
     one.supplied(result, reconciler.polls(), onLink);
     if (onLink && result != null) {
-      workers.supply(one.arrival().id(), result);
+      workers.resumeWithResult(one.request().id(), result);
     } else if (onLink) {
-      workers.pass(one.arrival().id());
+      workers.resumeWithoutResult(one.request().id());
     }
   }
 
-  private void abandon(Exchange one) {
+  private void abandonCall(Exchange one) {
     if (one.callOver()) {
       counters.add("call-abandoned");
-      below.abandon(one.arrival().id());
+      below.abandonCall(one.request().id());
     }
   }
 
@@ -676,18 +677,18 @@
    * @param echo the word that was sent along
    * @param meters the gauges
    */
-  public void polled(String echo, double[] meters) {
-    boolean whole = meters.length == told().machine().gauges().size();
+  public void gaugesReceived(String echo, double[] meters) {
+    boolean whole = meters.length == settings().machine().gaugeNames().size();
     if (whole) {
       sampledAt = timers.now();
     }
-    int runnable = told().machine().gauges().indexOf(RUNNABLE);
+    int runnable = settings().machine().gaugeNames().indexOf(RUNNABLE);
     reconciler.answered(echo, whole && runnable >= 0 ? meters[runnable] : -1);
-    tick(echo, whole ? GaugeSample.of(meters) : unknown());
+    deliverSample(echo, whole ? GaugeSample.of(meters) : absentSample());
   }
 
   /** No gauges of this moment are known; they are never those of an answer before. */
-  private GaugeSample unknown() {
+  private GaugeSample absentSample() {
     return GaugeSample.absent(Math.max(0, timers.now() - sampledAt));
   }
 
@@ -697,52 +698,53 @@
    * @param echo the word that was sent along
    * @param good whether the work was done
    */
-  public void verified(String echo, boolean good) {
+  public void healthCheckEnded(String echo, boolean good) {
     Check check = checks.remove(echo);
     if (check != null) {
-      check.answer().accept(good && good());
+      check.answer().accept(good && isHealthy());
     }
   }
 
-  private void tick(String echo, GaugeSample sample) {
+  private void deliverSample(String echo, GaugeSample sample) {
     String tag = ticks.remove(echo);
     if (tag != null) {
-      event((to, at) -> to.timer(at, tag, sample));
+      enqueue((to, at) -> to.timerFired(at, tag, sample));
     }
   }
 
   // batches
 
-  private void event(Event event) {
+  private void enqueue(Event event) {
     events.add(event);
     if (!batchAsked) {
       batchAsked = true;
-      timers.at(Math.max(timers.now(), lastBatch + told().round()), this::batch);
+      timers.schedule(
+          Math.max(timers.now(), lastBatch + settings().batchInterval()), this::deliverBatch);
     }
   }
 
-  private void batch() {
+  private void deliverBatch() {
     batchAsked = false;
     long now = timers.now();
     lastBatch = now;
     Event event;
     while ((event = events.poll()) != null) {
       Event one = event;
-      guarded(() -> one.give(controller, now));
+      runSafely(() -> one.give(controller, now));
     }
-    guarded(() -> controller.settled(now));
+    runSafely(() -> controller.batchEnded(now));
   }
 
   /**
    * A failure of the decision code costs the event in hand, not the process; due times are still
    * kept.
    */
-  private void guarded(Runnable step) {
+  private void runSafely(Runnable step) {
     try {
       step.run();
     } catch (RuntimeException broken) {
       counters.add("controller-faults");
-      log.line(
+      log.write(
           "controller-fault "
               + broken
               + (broken.getStackTrace().length > 0 ? " at=" + broken.getStackTrace()[0] : ""));
@@ -753,47 +755,47 @@
    * Looks for due times: a batch lets the controller answer; what it then still owes is failed
    * here.
    */
-  private void watch() {
+  private void enforceDeadlines() {
     long now = timers.now();
-    timers.at(now + WATCH, this::watch);
+    timers.schedule(now + WATCH, this::enforceDeadlines);
     boolean due = false;
     List<Exchange> silent = new ArrayList<>();
     List<Exchange> overdue = new ArrayList<>();
     for (Exchange one : open.values()) {
-      due |= one.owed() && now >= one.dueAt() - WATCH;
+      due |= one.isPending() && now >= one.deadline() - WATCH;
       if (one.calling() && now >= one.callUntil()) {
         silent.add(one);
       }
-      if (one.owed() && now >= one.dueAt() + told().rules().answerSlack() / 2) {
+      if (one.isPending() && now >= one.deadline() + settings().rules().answerSlack() / 2) {
         overdue.add(one);
       }
     }
     for (Exchange one : silent) {
-      below.abandon(one.arrival().id());
-      callOver(one.arrival().id(), RunOutcome.TIMED_OUT, null);
+      below.abandonCall(one.request().id());
+      callEnded(one.request().id(), RunOutcome.TIMED_OUT, null);
     }
     for (Exchange one : overdue) {
       counters.add("overdue");
-      log.line("overdue id=" + one);
+      log.write("overdue id=" + one);
       fail(one, "overdue");
       forgetUnlessRunning(one);
     }
     reconciler.watch(now);
     if (due) {
-      event((to, at) -> {});
+      enqueue((to, at) -> {});
     }
-    settleReplays();
+    answerReplays();
     keys.expire(now);
     for (Map.Entry<String, Check> one : new ArrayList<>(checks.entrySet())) {
       if (now >= one.getValue().until()) {
-        verified(one.getKey(), false);
+        healthCheckEnded(one.getKey(), false);
       }
     }
   }
 
   private void forgetUnlessRunning(Exchange one) {
-    if (!one.inPool()) {
-      open.remove(one.arrival().id(), one);
+    if (!one.isInPool()) {
+      open.remove(one.request().id(), one);
     }
   }
 
@@ -809,45 +811,45 @@
   private void refuse(Exchange one, String code, boolean last, long holdOffMs) {
     if (one.refuse(last, holdOffMs)) {
       counters.add("refused-" + code);
-      reasons.line("refused", one, code);
+      reasons.write("refused", one, code);
       count(one, RequestStatistics.End.REJECTED);
     }
   }
 
   private void fail(Exchange one, String code) {
     if (one.fail(code)) {
-      abandon(one);
+      abandonCall(one);
       counters.add("failed-" + code);
-      reasons.line("failed", one, code);
+      reasons.write("failed", one, code);
       count(one, RequestStatistics.End.FAILED);
     }
   }
 
   private void count(Exchange one, RequestStatistics.End end) {
-    if (one.classPlace() >= 0) { // names that nobody knows must not fill the table
-      figures.ended(one.arrival().kind(), end);
+    if (one.classIndex() >= 0) { // names that nobody knows must not fill the table
+      statistics.recordEnd(one.request().className(), end);
     }
   }
 
-  private void handOver(Exchange one) {
+  private void dispatch(Exchange one) {
     keys.begins(one);
-    if (one.started(reconciler.polls(), workers.spawn(one))) {
-      figures.handedOver(one.arrival().kind());
+    if (one.started(reconciler.polls(), workers.startRun(one))) {
+      statistics.recordDispatch(one.request().className());
     }
   }
 
   // actions of the controller
 
   @Override
-  public void start(String id) {
+  public void startRun(String id) {
     Exchange one = open.get(id);
-    if (one == null || !one.owed() || one.state() == Exchange.State.RUNNING) {
+    if (one == null || !one.isPending() || one.state() == Exchange.State.RUNNING) {
       return;
     }
     if (one.state() == Exchange.State.PAUSED) {
       one.resumed(reconciler.polls());
-      workers.proceed(id);
-    } else if (one.ran() && !one.repeatable()) {
+      workers.resumeRun(id);
+    } else if (one.hasRun() && !one.isIdempotent()) {
       fail(one, "ran-before"); // a stop threw its work away: it may have had its effect
       forgetUnlessRunning(one);
     } else if (keys.ranBefore(one)) {
@@ -856,26 +858,26 @@
           "ran-before"); // whatever the controller says: a repeat is answered from the run there
       // was
       notStarted(id);
-    } else if (!drainState.mayRun(one.readAt())) {
-      refuse(one, "drained", false, drainState.advice(longestAdvice()) / MILLI);
+    } else if (!drainState.mayStillRun(one.readAt())) {
+      refuse(one, "drained", false, drainState.retryAfter(longestAdvice()) / MILLI);
       notStarted(id);
     } else if (!claimed(one)) {
       notStarted(id);
     } else {
       counters.add("spawned");
-      handOver(one);
+      dispatch(one);
     }
   }
 
   /** The controller counts what it starts as running until it hears of an end. */
   private void notStarted(String id) {
     open.remove(id);
-    event((to, at) -> to.finished(at, id, RunOutcome.MOOT, 0));
+    enqueue((to, at) -> to.runEnded(at, id, RunOutcome.NOT_STARTED, 0));
   }
 
   /** Whether this process may run a guarded request; where it may not, its caller has been told. */
   private boolean claimed(Exchange one) {
-    if (!one.guarded()) {
+    if (!one.hasIdempotencyKey()) {
       return true;
     }
     long span = one.arrivedAt() + one.window() + IdempotencyKeys.READ_LATE - timers.now();
@@ -890,31 +892,31 @@
   }
 
   @Override
-  public void halt(String id) {
+  public void stopRun(String id) {
     Exchange one = open.get(id);
-    if (one != null && one.inPool() && !one.stopping()) {
+    if (one != null && one.isInPool() && !one.stopping()) {
       one.stop(timers.now() + RunReconciler.STOP_AGAIN);
       counters.add("suspended");
-      workers.suspend(id);
+      workers.stopRun(id);
     }
   }
 
   @Override
-  public void refuse(String id, boolean dontRetry, long stayAway) {
+  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
     Exchange one = open.get(id);
     if (one == null) {
       return;
     }
-    if (one.ran() && !one.repeatable()) {
+    if (one.hasRun() && !one.isIdempotent()) {
       fail(one, "ran-before"); // a refusal promises that nothing ran
     } else {
-      refuse(one, "decided", dontRetry, (drainState.advice(stayAway) + MILLI - 1) / MILLI);
+      refuse(one, "decided", dontRetry, (drainState.retryAfter(stayAway) + MILLI - 1) / MILLI);
     }
     forgetUnlessRunning(one);
   }
 
   @Override
-  public void fail(String id) {
+  public void failRequest(String id) {
     Exchange one = open.get(id);
     if (one != null) {
       fail(one, "decided");
@@ -923,65 +925,65 @@
   }
 
   @Override
-  public void timer(long at, String tag) {
-    timers.at(at, () -> timerDue(tag));
+  public void scheduleTimer(long at, String tag) {
+    timers.schedule(at, () -> timerDue(tag));
   }
 
   /** The gauges of the moment go with a timer, or the age of the last ones that were known. */
   private void timerDue(String tag) {
-    if (!workers.ready()) {
-      GaugeSample none = unknown();
-      event((to, at) -> to.timer(at, tag, none));
+    if (!workers.isReady()) {
+      GaugeSample none = absentSample();
+      enqueue((to, at) -> to.timerFired(at, tag, none));
       return;
     }
     String echo = reconciler.nextPoll();
     ticks.put(echo, tag);
-    workers.poll(echo);
-    timers.at(
+    workers.requestGauges(echo);
+    timers.schedule(
         timers.now() + GAUGES_WAIT,
         () -> {
           if (ticks.containsKey(echo)) {
             counters.add("gauges-late");
-            tick(echo, unknown());
+            deliverSample(echo, absentSample());
           }
         });
   }
 
   @Override
-  public void say(double value) {
+  public void publishFreeValue(double value) {
     if (!drainState
-        .handsOver()) { // the free value would be taken for that of the process that follows
+        .isHandingOver()) { // the free value would be taken for that of the process that follows
       said = value;
     }
   }
 
   @Override
-  public void health(boolean cheap, boolean good) {
+  public void setHealth(boolean cheap, boolean good) {
     checkCheap = cheap;
     checkGood = good;
   }
 
   @Override
-  public void trimIdle(long span) {
+  public void closeIdleConnections(long span) {
     trimmer.accept(span);
   }
 
   @Override
   public void log(String text) {
-    log.line("controller " + text);
+    log.write("controller " + text);
   }
 
   @Override
-  public void call(String id, long until) {
+  public void startCall(String id, long until) {
     Exchange one = open.get(id);
-    if (one == null || !one.owed() || one.asked() == null || one.calling()) {
+    if (one == null || !one.isPending() || one.asked() == null || one.calling()) {
       return;
     }
     long limit = Math.max(MILLI, until - timers.now());
     one.calls(timers.now() + limit + CALL_SLACK);
     counters.add("calls");
-    if (!below.make(id, limit / MILLI, one.asked())) {
-      callOver(id, RunOutcome.UNREACHED, null);
+    if (!below.startCall(id, limit / MILLI, one.asked())) {
+      callEnded(id, RunOutcome.UNREACHABLE, null);
     }
   }
 
@@ -990,12 +992,12 @@
     Exchange one = open.get(id);
     if (one != null && one.asked() != null && !one.calling()) {
       counters.add("calls-left-out");
-      goOn(one, null);
+      resume(one, null);
     }
   }
 
   @Override
-  public void remember(String id, long span) {
+  public void rememberKey(String id, long span) {
     Exchange one = open.get(id);
     if (one != null) {
       keys.keep(one, timers.now() + span);
@@ -1003,7 +1005,7 @@
   }
 
   @Override
-  public void forget(String id) {
+  public void forgetKey(String id) {
     Exchange one = open.get(id);
     if (one != null) {
       keys.forget(one);
@@ -1011,12 +1013,12 @@
   }
 
   @Override
-  public void replay(String id) {
+  public void replayResult(String id) {
     Exchange one = open.get(id);
-    IdempotencyKeys.Entry before = one == null || !one.owed() ? null : keys.repeated(one);
+    IdempotencyKeys.Entry before = one == null || !one.isPending() ? null : keys.repeated(one);
     if (before != null) {
       replays.put(id, before);
-      settleReplays();
+      answerReplays();
     }
   }
 
@@ -1024,15 +1026,15 @@
    * Answers repeats whose run is over; those of a try that never ran are refused, as nothing of it
    * ran here.
    */
-  private void settleReplays() {
+  private void answerReplays() {
     for (Map.Entry<String, IdempotencyKeys.Entry> each : new ArrayList<>(replays.entrySet())) {
       IdempotencyKeys.Entry before = each.getValue();
       Exchange one = open.get(each.getKey());
-      if (one != null && one.owed() && before.pending()) {
+      if (one != null && one.isPending() && before.pending()) {
         continue;
       }
       replays.remove(each.getKey());
-      if (one == null || !one.owed()) {
+      if (one == null || !one.isPending()) {
         continue;
       }
       counters.add("replayed");
@@ -1046,7 +1048,7 @@
       }
       String id = each.getKey();
       open.remove(id);
-      event((to, at) -> to.finished(at, id, good ? RunOutcome.GOOD : RunOutcome.FAILED, 0));
+      enqueue((to, at) -> to.runEnded(at, id, good ? RunOutcome.SUCCEEDED : RunOutcome.FAILED, 0));
     }
   }
 }
--- a/src/main/java/mothwing/broker/EventLog.java
+++ b/src/main/java/mothwing/broker/EventLog.java
@@ -8,5 +8,5 @@
    *
    * @param line its text
    */
-  void line(String line);
+  void write(String line);
 }
--- a/src/main/java/mothwing/broker/Exchange.java
+++ b/src/main/java/mothwing/broker/Exchange.java
@@ -23,19 +23,19 @@
     GONE
   }
 
-  private final InboundRequest arrival;
+  private final InboundRequest request;
   private final ResponseSink caller;
-  private final boolean repeatable;
+  private final boolean isIdempotent;
   private final long readAt;
   private final long arrivedAt;
-  private final long dueAt;
-  private final int classPlace;
-  private final int tenantPlace;
+  private final long deadline;
+  private final int classIndex;
+  private final int tenantIndex;
   private final long window;
   private IdempotencyKeys.Entry entry;
   private State state = State.READ;
-  private boolean ran;
-  private boolean inPool;
+  private boolean hasRun;
+  private boolean isInPool;
   private boolean handedOver;
   private boolean stopping;
   private boolean begun;
@@ -60,14 +60,14 @@
       int classPlace,
       int tenantPlace,
       long window) {
-    this.arrival = arrival;
+    this.request = arrival;
     this.caller = caller;
-    this.repeatable = repeatable;
+    this.isIdempotent = repeatable;
     this.readAt = readAt;
     this.arrivedAt = arrivedAt;
-    this.dueAt = dueAt;
-    this.classPlace = classPlace;
-    this.tenantPlace = tenantPlace;
+    this.deadline = dueAt;
+    this.classIndex = classPlace;
+    this.tenantIndex = tenantPlace;
     this.window = window;
   }
 
@@ -76,8 +76,8 @@
    *
    * @return the request
    */
-  public InboundRequest arrival() {
-    return arrival;
+  public InboundRequest request() {
+    return request;
   }
 
   /**
@@ -94,7 +94,7 @@
    *
    * @return true if so
    */
-  public boolean owed() {
+  public boolean isPending() {
     return state != State.ANSWERED && state != State.GONE;
   }
 
@@ -103,16 +103,16 @@
    *
    * @return true from its start until its end
    */
-  public boolean inPool() {
-    return inPool;
+  public boolean isInPool() {
+    return isInPool;
   }
 
-  boolean ran() {
-    return ran;
+  boolean hasRun() {
+    return hasRun;
   }
 
-  boolean repeatable() {
-    return repeatable;
+  boolean isIdempotent() {
+    return isIdempotent;
   }
 
   /**
@@ -140,7 +140,7 @@
   }
 
   /** Whether it has an idempotency key that counts. */
-  boolean guarded() {
+  boolean hasIdempotencyKey() {
     return window > 0;
   }
 
@@ -148,18 +148,18 @@
     return arrivedAt;
   }
 
-  long dueAt() {
-    return dueAt;
+  long deadline() {
+    return deadline;
   }
 
   /** The place of its class in the settings, or -1 where its name is unknown. */
-  int classPlace() {
-    return classPlace;
+  int classIndex() {
+    return classIndex;
   }
 
   /** The place of its tenant in the settings, or -1 where there is none. */
-  int tenantPlace() {
-    return tenantPlace;
+  int tenantIndex() {
+    return tenantIndex;
   }
 
   /** Whether its start was ever put on a link: if not, the pool cannot have run it. */
@@ -188,8 +188,8 @@
   boolean started(long polls, boolean onLink) {
     boolean first = onLink && !handedOver;
     state = State.RUNNING;
-    ran = true;
-    inPool = true;
+    hasRun = true;
+    isInPool = true;
     handedOver |= onLink;
     pollsBefore = polls;
     return first;
@@ -317,8 +317,8 @@
     stopping = false;
     begun = kept;
     doubted = false;
-    inPool = kept && owed();
-    if (owed()) {
+    isInPool = kept && isPending();
+    if (isPending()) {
       state = kept ? State.PAUSED : State.HELD;
     }
   }
@@ -326,27 +326,27 @@
   /** The pool holds nothing of it any longer. */
   void left() {
     noCall();
-    inPool = false;
+    isInPool = false;
     stopping = false;
     doubted = false;
   }
 
   /** The caller left. Says whether an answer was still owed. */
   boolean gone() {
-    boolean was = owed();
+    boolean was = isPending();
     state = was ? State.GONE : state;
     return was;
   }
 
   private boolean answer() {
-    boolean was = owed();
+    boolean was = isPending();
     state = was ? State.ANSWERED : state;
     return was;
   }
 
   boolean serve(byte[] result) {
     if (answer()) {
-      caller.served(result);
+      caller.sendResult(result);
       return true;
     }
     return false;
@@ -354,7 +354,7 @@
 
   boolean refuse(boolean last, long holdOffMs) {
     if (answer()) {
-      caller.refused(last, holdOffMs);
+      caller.sendRejection(last, holdOffMs);
       return true;
     }
     return false;
@@ -362,7 +362,7 @@
 
   boolean fail(String code) {
     if (answer()) {
-      caller.failed(code);
+      caller.sendFailure(code);
       return true;
     }
     return false;
@@ -370,6 +370,6 @@
 
   @Override
   public String toString() {
-    return arrival.id() + " " + state.name().toLowerCase(Locale.ROOT);
+    return request.id() + " " + state.name().toLowerCase(Locale.ROOT);
   }
 }
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -40,7 +40,7 @@
     private Entry(String key, Exchange holder, byte[] digest) {
       this.key = key;
       this.holder = holder;
-      id = holder.arrival().id();
+      id = holder.request().id();
       this.digest = digest;
     }
 
@@ -56,12 +56,12 @@
 
     /** Whether an end is still to come: it is open, or its run goes on. */
     boolean pending() {
-      return holder != null && (holder.owed() || holder.inPool());
+      return holder != null && (holder.isPending() || holder.isInPool());
     }
 
     /** What a good run made, or null: it did not end well, or its result found no room. */
     byte[] result() {
-      return end == RunOutcome.GOOD ? result : null;
+      return end == RunOutcome.SUCCEEDED ? result : null;
     }
 
     /** Whether a repeat asks for the same. */
@@ -80,16 +80,16 @@
 
   /** The key of a try with all that it belongs to. */
   static String key(Exchange one) {
-    return one.arrival().tenant()
+    return one.request().tenant()
         + '\n'
-        + one.arrival().kind()
+        + one.request().className()
         + '\n'
-        + one.arrival().idempotencyKey();
+        + one.request().idempotencyKey();
   }
 
   private static byte[] digest(Exchange one) {
     try {
-      return MessageDigest.getInstance("SHA-256").digest(one.arrival().body());
+      return MessageDigest.getInstance("SHA-256").digest(one.request().body());
     } catch (NoSuchAlgorithmException none) {
       throw new IllegalStateException(none); // every Java runtime has it
     }
@@ -99,7 +99,7 @@
    * The entry that a try repeats: its window was open when this one reached the machine; or null.
    */
   Entry repeated(Exchange one) {
-    Entry entry = one.guarded() ? all.get(key(one)) : null;
+    Entry entry = one.hasIdempotencyKey() ? all.get(key(one)) : null;
     return entry != null && entry != one.entry() && entry.stands() && one.arrivedAt() < entry.until
         ? entry
         : null;
@@ -113,14 +113,14 @@
 
   /** Whether a try has an entry, or there is room for one. */
   boolean room(Exchange one) {
-    return !one.guarded()
+    return !one.hasIdempotencyKey()
         || all.containsKey(key(one))
         || all.size() < MOST && bytes + LARGEST <= MOST_BYTES;
   }
 
   /** Lets a try stand for its key until a time at the least. */
   void keep(Exchange one, long until) {
-    if (!one.guarded()) {
+    if (!one.hasIdempotencyKey()) {
       return;
     }
     if (one.entry() == null) {
@@ -161,7 +161,7 @@
     entry.end = outcome;
     entry.holder = null;
     entry.result =
-        outcome == RunOutcome.GOOD && bytes - entry.bytes + result.length <= MOST_BYTES
+        outcome == RunOutcome.SUCCEEDED && bytes - entry.bytes + result.length <= MOST_BYTES
             ? result
             : null;
     int size = entry.result == null ? 0 : result.length;
--- a/src/main/java/mothwing/broker/InboundRequest.java
+++ b/src/main/java/mothwing/broker/InboundRequest.java
@@ -9,37 +9,37 @@
  * @param id its name, new with every try
  * @param acceptedAtMs when it came to the machine, in Unix milliseconds
  * @param tenant the tenant's name, or an empty word
- * @param kind the name of its class
- * @param reserveKb memory booked for it while it is held
+ * @param className the name of its class
+ * @param memoryKb memory booked for it while it is held
  * @param rank its rank, from 0 to under 1
- * @param subject what a read is about, or null
+ * @param cacheKey what a read is about, or null
  * @param idempotencyKey what all tries of a guarded request have in common, or null
- * @param waitMs how long its caller waits from when it came to the machine, in milliseconds, or
- *     {@link #NOT_TOLD}
+ * @param maxWaitMs how long its caller waits from when it came to the machine, in milliseconds, or
+ *     {@link #NOT_STATED}
  * @param body the body as it came
  */
 public record InboundRequest(
     String id,
     long acceptedAtMs,
     String tenant,
-    String kind,
-    double reserveKb,
+    String className,
+    double memoryKb,
     double rank,
-    String subject,
+    String cacheKey,
     String idempotencyKey,
-    long waitMs,
+    long maxWaitMs,
     byte[] body) {
   /** Where a request does not tell how long its caller waits. */
-  public static final long NOT_TOLD = -1;
+  public static final long NOT_STATED = -1;
 
   /** Most characters of an idempotency key. */
-  public static final int MOST_KEY = 128;
+  public static final int MAX_KEY_CHARS = 128;
 
   /** Most bytes of a body. */
-  public static final int MOST_BODY = 2048;
+  public static final int MAX_BODY_BYTES = 2048;
 
   /** What stands before the name of a class in the path. */
-  public static final String PATH = "/call/";
+  public static final String PATH_PREFIX = "/call/";
 
   private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
   private static final Pattern WHOLE = Pattern.compile("[0-9]{1,15}");
@@ -98,8 +98,8 @@
      * @return the request
      * @throws Bad where a field is missing or makes no sense
      */
-    public InboundRequest at(String path, byte[] body) throws InvalidRequestException {
-      if (!path.startsWith(PATH)) {
+    public InboundRequest toRequest(String path, byte[] body) throws InvalidRequestException {
+      if (!path.startsWith(PATH_PREFIX)) {
         throw new InvalidRequestException("bad-path");
       }
       if (!ID.matcher(id).matches()) {
@@ -120,7 +120,7 @@
         throw new InvalidRequestException("bad-standing");
       }
       if (idempotencyKey != null
-          && (idempotencyKey.isEmpty() || idempotencyKey.length() > MOST_KEY)) {
+          && (idempotencyKey.isEmpty() || idempotencyKey.length() > MAX_KEY_CHARS)) {
         throw new InvalidRequestException("bad-replay-key");
       }
       if (wait != null && !WHOLE.matcher(wait).matches()) {
@@ -130,12 +130,12 @@
           id,
           Long.parseLong(accepted),
           tenant,
-          path.substring(PATH.length()),
+          path.substring(PATH_PREFIX.length()),
           kb,
           standing,
           subject,
           idempotencyKey,
-          wait == null ? NOT_TOLD : Long.parseLong(wait),
+          wait == null ? NOT_STATED : Long.parseLong(wait),
           body);
     }
 
--- a/src/main/java/mothwing/broker/RateLimitedEventLog.java
+++ b/src/main/java/mothwing/broker/RateLimitedEventLog.java
@@ -37,24 +37,24 @@
    * @param request the request
    * @param reason why, a code of the counters
    */
-  void line(String event, Exchange request, String reason) {
+  void write(String event, Exchange request, String reason) {
     long now = Math.floorDiv(timers.now(), SECOND);
     if (now != second) {
       second = now;
       lines = 0;
       if (suppressed > 0) {
-        log.line("reasons-suppressed lines=" + suppressed);
+        log.write("reasons-suppressed lines=" + suppressed);
         suppressed = 0;
       }
     }
     if (lines < MOST_A_SECOND) {
       lines++;
-      log.line(
+      log.write(
           event
               + " id="
-              + request.arrival().id()
+              + request.request().id()
               + " class="
-              + request.arrival().kind()
+              + request.request().className()
               + " reason="
               + reason);
     } else {
--- a/src/main/java/mothwing/broker/RequestStatistics.java
+++ b/src/main/java/mothwing/broker/RequestStatistics.java
@@ -40,20 +40,20 @@
   }
 
   /** A class is known from now on, with counts of 0 where it is new. */
-  void know(String kind) {
+  void register(String kind) {
     row(kind);
   }
 
-  void ended(String kind, End end) {
+  void recordEnd(String kind, End end) {
     row(kind).ends[end.ordinal()]++;
   }
 
-  void handedOver(String kind) {
+  void recordDispatch(String kind) {
     row(kind).runs++;
   }
 
   /** All counts by name and class, in the order in which the classes came. */
-  Map<String, Object> all() {
+  Map<String, Object> snapshot() {
     Map<String, Object> all = new LinkedHashMap<>();
     for (End end : End.values()) {
       all.put(end.name().toLowerCase(Locale.ROOT), byClass(row -> row.ends[end.ordinal()]));
--- a/src/main/java/mothwing/broker/ResponseSink.java
+++ b/src/main/java/mothwing/broker/ResponseSink.java
@@ -7,7 +7,7 @@
    *
    * @param result its bytes, unchanged
    */
-  void served(byte[] result);
+  void sendResult(byte[] result);
 
   /**
    * The request never ran.
@@ -15,12 +15,12 @@
    * @param last whether no other server should be tried
    * @param holdOffMs how long to stay away, or 0
    */
-  void refused(boolean last, long holdOffMs);
+  void sendRejection(boolean last, long holdOffMs);
 
   /**
    * The request failed and may have taken effect.
    *
    * @param code the reason
    */
-  void failed(String code);
+  void sendFailure(String code);
 }
--- a/src/main/java/mothwing/broker/RunClaims.java
+++ b/src/main/java/mothwing/broker/RunClaims.java
@@ -7,7 +7,7 @@
 @FunctionalInterface
 public interface RunClaims {
   /** A process that shares its clients with no other. */
-  RunClaims ALONE = (key, span) -> Claim.GRANTED;
+  RunClaims UNSHARED = (key, span) -> Claim.GRANTED;
 
   /** What became of a claim. */
   enum Claim {
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -141,9 +141,9 @@
     for (Exchange run : open.values()) {
       inDoubt += reconcile(run) ? 1 : 0;
     }
-    log.line(
+    log.write(
         "pool-caught-up in_pool="
-            + open.values().stream().filter(Exchange::inPool).count()
+            + open.values().stream().filter(Exchange::isInPool).count()
             + " in_doubt="
             + inDoubt);
     if (inDoubt > 0) {
@@ -157,20 +157,20 @@
    */
   private boolean reconcile(Exchange run) {
     boolean mayBeLost = run.pollsBefore() >= answeredPolls;
-    if (run.inPool() && run.stopping()) {
+    if (run.isInPool() && run.stopping()) {
       return doubt(run);
     } else if (run.unsent()) {
       actions.deliverCallResult(run);
     } else if (run.asked() != null) {
       counters.add("relinked-at-call"); // nothing was said since it told of the call
     } else if (run.supplied() && mayBeLost) {
-      if (run.repeatable() && halting.get() == StopMode.ABORT) {
+      if (run.isIdempotent() && halting.get() == StopMode.ABORT) {
         actions.halt(
             run); // the result is not said again: the run may stand at its next call by now
       }
-    } else if (run.inPool() && run.state() == Exchange.State.RUNNING && mayBeLost) {
+    } else if (run.isInPool() && run.state() == Exchange.State.RUNNING && mayBeLost) {
       return reconcileRunning(run);
-    } else if (run.inPool() && !run.owed() && mayBeLost) {
+    } else if (run.isInPool() && !run.isPending() && mayBeLost) {
       return doubt(run); // runs cannot be stopped here, and its start may have been lost
     }
     return false;
@@ -179,8 +179,8 @@
   private boolean reconcileRunning(Exchange run) {
     if (run.begun()) {
       run.resumed(polls);
-      workers.proceed(run.arrival().id());
-    } else if (run.repeatable() || !run.handedOver()) {
+      workers.resumeRun(run.request().id());
+    } else if (run.isIdempotent() || !run.handedOver()) {
       actions.startAgain(run);
     } else if (halting.get() == StopMode.SUSPEND) {
       return doubt(run);
@@ -191,7 +191,7 @@
   private boolean doubt(Exchange run) {
     run.doubt(true);
     if (halting.get() != StopMode.NONE) {
-      workers.suspend(run.arrival().id());
+      workers.stopRun(run.request().id());
     }
     return true;
   }
@@ -200,7 +200,7 @@
     asking = true;
     askedAt = now;
     askedBehind = polls;
-    workers.poll(BEHIND_DOUBTS);
+    workers.requestGauges(BEHIND_DOUBTS);
   }
 
   /**
@@ -238,7 +238,7 @@
         continue;
       }
       run.doubt(false);
-      if (run.owed()) {
+      if (run.isPending()) {
         actions.startAgain(run);
       } else {
         probe(run);
@@ -252,15 +252,15 @@
    */
   private void probe(Exchange run) {
     counters.add("runs-probed");
-    log.line("run-in-doubt id=" + run);
+    log.write("run-in-doubt id=" + run);
     boolean runsOnceAtMost =
-        run.repeatable()
+        run.isIdempotent()
             || halting.get() != StopMode.ABORT; // an abort that is on its way threw work away
     if (runsOnceAtMost) {
-      workers.spawn(run);
+      workers.startRun(run);
     }
     if (halting.get() != StopMode.NONE) {
-      workers.suspend(run.arrival().id());
+      workers.stopRun(run.request().id());
     }
   }
 
@@ -274,38 +274,38 @@
 
   /** Looks for questions without an answer, stops without effect and runs whose end is lost. */
   void watch(long now) {
-    if (!workers.ready()) {
+    if (!workers.isReady()) {
       return;
     }
     if (asking && now - askedAt >= ASK_AGAIN) {
       askedAt = now;
-      workers.poll(BEHIND_DOUBTS);
+      workers.requestGauges(BEHIND_DOUBTS);
     }
     lostRuns = 0;
     for (Exchange run : new ArrayList<>(open.values())) {
-      if (run.inPool() && run.stopping() && now >= run.stopAgainAt()) {
+      if (run.isInPool() && run.stopping() && now >= run.stopAgainAt()) {
         run.stopAgainAt(now + STOP_AGAIN);
-        workers.suspend(run.arrival().id());
+        workers.stopRun(run.request().id());
       }
-      if (!run.owed() && now >= run.dueAt() + END_LOST) {
+      if (!run.isPending() && now >= run.deadline() + END_LOST) {
         lostEnd(run, now);
       }
     }
     if (lostRuns > 0 && now - lookedAt >= LOOK) {
       lookedAt = now;
-      workers.poll(IDLE_LOOK);
+      workers.requestGauges(IDLE_LOOK);
     }
   }
 
   private void lostEnd(Exchange run, long now) {
     if (idleLooks >= IDLE_LOOKS) {
       counters.add("lost-runs");
-      log.line("lost-run id=" + run);
+      log.write("lost-run id=" + run);
       actions.giveUp(run);
       return;
     }
     lostRuns++;
-    if (now >= run.dueAt() + END_LOST + PROBE_AGAIN && now >= run.probeAt()) {
+    if (now >= run.deadline() + END_LOST + PROBE_AGAIN && now >= run.probeAt()) {
       run.probeAt(now + PROBE_AGAIN);
       probe(run);
     }
--- a/src/main/java/mothwing/broker/Scheduler.java
+++ b/src/main/java/mothwing/broker/Scheduler.java
@@ -8,7 +8,7 @@
   long now();
 
   /** Unix milliseconds of the wall clock. */
-  long wallMs();
+  long wallClockMillis();
 
   /**
    * Runs work at a time of the monotonic clock, or as soon as possible where that has passed; never
@@ -17,5 +17,5 @@
    * @param at the time
    * @param work what to do
    */
-  void at(long at, Runnable work);
+  void schedule(long at, Runnable work);
 }
--- a/src/main/java/mothwing/broker/ShutdownState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -17,30 +17,30 @@
   }
 
   private Mode way = Mode.NONE;
-  private boolean away;
+  private boolean outOfRotation;
   private long noticeAt;
   private long stopAt;
   private long grace;
 
   /** Sends gateways away, or ends that. Says false after the notice, when nothing changes. */
-  boolean away(boolean now) {
-    if (going()) {
+  boolean outOfRotation(boolean now) {
+    if (isDraining()) {
       return false;
     }
-    away = now;
+    outOfRotation = now;
     return true;
   }
 
-  boolean away() {
-    return away;
+  boolean outOfRotation() {
+    return outOfRotation;
   }
 
   /**
    * The notice to leave came; what arrives in the grace after it may still run. Only the first one
    * counts.
    */
-  void notice(long at, long stop, long spanOfGrace, boolean handover) {
-    if (!going()) {
+  void begin(long at, long stop, long spanOfGrace, boolean handover) {
+    if (!isDraining()) {
       way = handover ? Mode.HANDING_OVER : Mode.LEAVING;
       noticeAt = at;
       stopAt = stop;
@@ -48,11 +48,11 @@
     }
   }
 
-  boolean going() {
+  boolean isDraining() {
     return way != Mode.NONE;
   }
 
-  boolean handsOver() {
+  boolean isHandingOver() {
     return way == Mode.HANDING_OVER;
   }
 
@@ -64,28 +64,28 @@
    * When the controller is to turn away what comes: at once, or, handing over, after half of the
    * time that is left.
    */
-  long closesAt() {
-    return handsOver() ? noticeAt + Math.min(grace, (stopAt - noticeAt) / 2) : noticeAt;
+  long admissionClosesAt() {
+    return isHandingOver() ? noticeAt + Math.min(grace, (stopAt - noticeAt) / 2) : noticeAt;
   }
 
   /**
    * Whether what was read whole then may still be run: what a gateway says of its arrival proves
    * nothing.
    */
-  boolean mayRun(long readAt) {
-    return !going() || readAt <= noticeAt + grace;
+  boolean mayStillRun(long readAt) {
+    return !isDraining() || readAt <= noticeAt + grace;
   }
 
   /** The best that a check may say, where the controller says so much. */
-  boolean good(boolean controller) {
-    return !away && (controller || handsOver());
+  boolean isHealthy(boolean controller) {
+    return !outOfRotation && (controller || isHandingOver());
   }
 
   /**
    * The span to stay away that a refusal may advise: those who hand over do not speak for the next
    * one.
    */
-  long advice(long span) {
-    return handsOver() ? 0 : span;
+  long retryAfter(long span) {
+    return isHandingOver() ? 0 : span;
   }
 }
--- a/src/main/java/mothwing/broker/StableIndex.java
+++ b/src/main/java/mothwing/broker/StableIndex.java
@@ -17,7 +17,7 @@
  */
 final class StableIndex<T> {
   private final Function<T, String> name;
-  private final List<T> all = new ArrayList<>();
+  private final List<T> entries = new ArrayList<>();
   private final Map<String, Integer> known = new HashMap<>();
 
   /**
@@ -35,11 +35,11 @@
    * @param parts the parts, each name once
    * @param used whether anything refers to a place
    */
-  void take(List<T> parts, IntPredicate used) {
+  void update(List<T> parts, IntPredicate used) {
     known.clear();
     List<T> rest = new ArrayList<>();
     for (T part : parts) {
-      int place = placed(name.apply(part));
+      int place = previousIndexOf(name.apply(part));
       if (place >= 0) {
         put(place, part);
       } else {
@@ -48,17 +48,17 @@
     }
     int next = 0;
     for (T part : rest) {
-      while (next < all.size()
-          && (used.test(next) || Objects.equals(known.get(name.apply(all.get(next))), next))) {
+      while (next < entries.size()
+          && (used.test(next) || Objects.equals(known.get(name.apply(entries.get(next))), next))) {
         next++;
       }
       put(next, part);
     }
   }
 
-  private int placed(String wanted) {
-    for (int i = 0; i < all.size(); i++) {
-      if (name.apply(all.get(i)).equals(wanted)) {
+  private int previousIndexOf(String wanted) {
+    for (int i = 0; i < entries.size(); i++) {
+      if (name.apply(entries.get(i)).equals(wanted)) {
         return i;
       }
     }
@@ -66,26 +66,26 @@
   }
 
   private void put(int place, T part) {
-    if (place == all.size()) {
-      all.add(part);
+    if (place == entries.size()) {
+      entries.add(part);
     } else {
-      all.set(place, part);
+      entries.set(place, part);
     }
     known.put(name.apply(part), place);
   }
 
   /** The place of a name that the settings have now, or null. */
-  Integer place(String wanted) {
+  Integer indexOf(String wanted) {
     return known.get(wanted);
   }
 
   /** Whether the settings have no parts of this kind. */
-  boolean none() {
+  boolean isEmpty() {
     return known.isEmpty();
   }
 
   /** What stands at all places, dropped parts included. */
-  List<T> all() {
-    return List.copyOf(all);
+  List<T> entries() {
+    return List.copyOf(entries);
   }
 }
--- a/src/main/java/mothwing/cli/Dns.java
+++ b/src/main/java/mothwing/cli/Dns.java
@@ -15,7 +15,7 @@
     DnsService service = new DnsService(settings, log);
     String noHangups = Hangup.handle(service::reload);
     if (noHangups != null) {
-      log.line("no-reloads what=\"" + noHangups + "\"");
+      log.write("no-reloads what=\"" + noHangups + "\"");
     }
     service.start();
     Foreground.leaveOnSignal(service, log);
--- a/src/main/java/mothwing/cli/Foreground.java
+++ b/src/main/java/mothwing/cli/Foreground.java
@@ -24,7 +24,7 @@
       }
       service.drain();
       service.await();
-      log.line(service.counts());
+      log.write(service.counts());
       log.close();
     } catch (InterruptedException broken) {
       Thread.currentThread().interrupt();
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -27,7 +27,7 @@
     Config config = Config.read(path);
     AsyncLogWriter log = new AsyncLogWriter(out);
     if (noHangups != null) {
-      log.line("no-reloads what=\"" + noHangups + "\"");
+      log.write("no-reloads what=\"" + noHangups + "\"");
     }
     Site site = siteFile == null ? new Site(null, null, null) : Config.readSite(Path.of(siteFile));
     Server server = new Server(config, site.ajp(), log);
--- a/src/main/java/mothwing/control/GaugeSample.java
+++ b/src/main/java/mothwing/control/GaugeSample.java
@@ -41,7 +41,7 @@
    *
    * @return true if so
    */
-  public boolean known() {
+  public boolean isKnown() {
     return !gauges.isEmpty();
   }
 }
--- a/src/main/java/mothwing/control/Machine.java
+++ b/src/main/java/mothwing/control/Machine.java
@@ -6,18 +6,18 @@
  * The machine and what it can do.
  *
  * @param cores number of cores
- * @param memory kilobytes in all
- * @param runFactor memory of a running request as a multiple of that of a held one
- * @param entryMemory kilobytes of a remembered key
- * @param cold whether it has just started
- * @param gauges names of the gauges that come with timers, in order
- * @param halting what can be done to running work
+ * @param memoryKb kilobytes in all
+ * @param runMemoryFactor memory of a running request as a multiple of that of a held one
+ * @param keyMemoryKb kilobytes of a remembered key
+ * @param coldStart whether it has just started
+ * @param gaugeNames names of the gauges that come with timers, in order
+ * @param stopMode what can be done to running work
  */
 public record Machine(
     int cores,
-    double memory,
-    double runFactor,
-    double entryMemory,
-    boolean cold,
-    List<String> gauges,
-    StopMode halting) {}
+    double memoryKb,
+    double runMemoryFactor,
+    double keyMemoryKb,
+    boolean coldStart,
+    List<String> gaugeNames,
+    StopMode stopMode) {}
--- a/src/main/java/mothwing/control/RunOutcome.java
+++ b/src/main/java/mothwing/control/RunOutcome.java
@@ -3,26 +3,26 @@
 /** How a run or a call ended. */
 public enum RunOutcome {
   /** It succeeded. */
-  GOOD(false),
+  SUCCEEDED(false),
   /** It failed and may have taken effect. */
   FAILED(false),
   /** The callee declined it unseen. */
-  DECLINED(true),
+  REJECTED(true),
   /** It was given up and may have taken effect. */
   TIMED_OUT(false),
   /** The callee was not reached. */
-  UNREACHED(true),
+  UNREACHABLE(true),
   /** It was cut short and may have taken effect. */
-  CUT(false),
+  CONNECTION_LOST(false),
   /** The run was stopped, or ended at a call after its answer. */
   STOPPED(false),
   /** Nothing was started. */
-  MOOT(true);
+  NOT_STARTED(true);
 
-  private final boolean neverRan;
+  private final boolean provesNoEffect;
 
   RunOutcome(boolean neverRan) {
-    this.neverRan = neverRan;
+    this.provesNoEffect = neverRan;
   }
 
   /**
@@ -30,7 +30,7 @@
    *
    * @return true if so
    */
-  public boolean neverRan() {
-    return neverRan;
+  public boolean provesNoEffect() {
+    return provesNoEffect;
   }
 }
--- a/src/main/java/mothwing/control/Settings.java
+++ b/src/main/java/mothwing/control/Settings.java
@@ -6,14 +6,14 @@
  * All settings of one controller.
  *
  * @param seed seed of its random numbers
- * @param round least span between two batches of events
+ * @param batchInterval least span between two batches of events
  * @param classes the classes of requests
  * @param tenants the tenants, possibly none
  * @param replicas servers of this kind at the start
  * @param callers callers of this kind of server at the start
- * @param worthByWork whether worth counts by work rather than by request
- * @param overShareWorth share of the worth that traffic beyond a tenant's quota keeps
- * @param freshFor span for which the answer to a read may serve others
+ * @param weightByWork whether worth counts by work rather than by request
+ * @param overQuotaWeightRatio share of the worth that traffic beyond a tenant's quota keeps
+ * @param cacheLifetime span for which the answer to a read may serve others
  * @param goal the users' goal
  * @param rules the figures of the rules
  * @param dependency the shared dependency
@@ -22,14 +22,14 @@
  */
 public record Settings(
     long seed,
-    long round,
+    long batchInterval,
     List<RequestClass> classes,
     List<Tenant> tenants,
     int replicas,
     int callers,
-    boolean worthByWork,
-    double overShareWorth,
-    long freshFor,
+    boolean weightByWork,
+    double overQuotaWeightRatio,
+    long cacheLifetime,
     Goal goal,
     Rules rules,
     Dependency dependency,
--- a/src/main/java/mothwing/control/Tenant.java
+++ b/src/main/java/mothwing/control/Tenant.java
@@ -4,6 +4,6 @@
  * One that shares the fleet with others.
  *
  * @param name its name
- * @param quota requests a second over the whole fleet within its share
+ * @param requestsPerSecond requests a second over the whole fleet within its share
  */
-public record Tenant(String name, double quota) {}
+public record Tenant(String name, double requestsPerSecond) {}
--- a/src/main/java/mothwing/dependency/DependencyConnection.java
+++ b/src/main/java/mothwing/dependency/DependencyConnection.java
@@ -50,19 +50,19 @@
   }
 
   @Override
-  protected void opened() {
+  protected void onOpened() {
     ledger.opened(this, dial);
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     List<String> all = new ArrayList<>(out.keySet());
     out.clear();
     ledger.ended(this, all);
   }
 
   @Override
-  public boolean idle() {
+  public boolean isIdle() {
     return out.isEmpty();
   }
 
@@ -71,7 +71,7 @@
    * be made here.
    */
   boolean mayStillAnswer(String id) {
-    return closed() || abandoned.contains(id) || abandoned.size() >= MOST_ABANDONED;
+    return isClosed() || abandoned.contains(id) || abandoned.size() >= MOST_ABANDONED;
   }
 
   void post(String id, long limitMs, byte[] content) {
@@ -109,7 +109,7 @@
   }
 
   private void say(String line, byte[] block) {
-    ByteBuf bytes = room(line.length() + 2 * END.length() + (block == null ? 0 : block.length));
+    ByteBuf bytes = allocate(line.length() + 2 * END.length() + (block == null ? 0 : block.length));
     bytes.writeCharSequence(line, StandardCharsets.US_ASCII);
     bytes.writeCharSequence(END, StandardCharsets.US_ASCII);
     if (block != null) {
@@ -120,7 +120,7 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE) {
       return false;
@@ -165,11 +165,11 @@
 
   private static RunOutcome outcome(String word) throws ProtocolException {
     return switch (word) {
-      case "posted" -> RunOutcome.GOOD;
-      case "queue_full" -> RunOutcome.DECLINED;
+      case "posted" -> RunOutcome.SUCCEEDED;
+      case "queue_full" -> RunOutcome.REJECTED;
       case "error" -> RunOutcome.FAILED;
       case "expired" -> RunOutcome.TIMED_OUT;
-      case "moot" -> RunOutcome.MOOT;
+      case "moot" -> RunOutcome.NOT_STARTED;
       default -> throw new ProtocolException(CloseReason.MALFORMED, "a call ended as " + word);
     };
   }
--- a/src/main/java/mothwing/dependency/DependencyConnectionManager.java
+++ b/src/main/java/mothwing/dependency/DependencyConnectionManager.java
@@ -65,9 +65,9 @@
    *
    * @param to takes how they end
    */
-  public void serve(Broker to) {
+  public void attach(Broker to) {
     broker = to;
-    to.callWith(this);
+    to.setDependencyClient(this);
   }
 
   /**
@@ -75,7 +75,7 @@
    *
    * @param elsewhere opens links to the new address
    */
-  public void moved(Connector elsewhere) {
+  public void changeAddress(Connector elsewhere) {
     dialer = elsewhere;
     retire();
     if (dialing) {
@@ -84,7 +84,7 @@
   }
 
   @Override
-  public boolean make(String id, long limitMs, byte[] content) {
+  public boolean startCall(String id, long limitMs, byte[] content) {
     boolean silent =
         link != null
             && left.size() < MOST_LEFT
@@ -105,7 +105,7 @@
   }
 
   @Override
-  public void abandon(String id) {
+  public void abandonCall(String id) {
     if (waiting.remove(id) != null) {
       return;
     }
@@ -132,7 +132,7 @@
     dialing = true;
     int mine = ++dials;
     Supplier<Connection> maker = () -> new DependencyConnection(this, mine, log, counters);
-    dialer.dial(maker, () -> failed(mine));
+    dialer.connect(maker, () -> failed(mine));
   }
 
   private void failed(int dial) {
@@ -142,7 +142,7 @@
     dialing = false;
     List<String> all = new ArrayList<>(waiting.keySet());
     waiting.clear();
-    all.forEach(id -> broker.callOver(id, RunOutcome.UNREACHED, null));
+    all.forEach(id -> broker.callEnded(id, RunOutcome.UNREACHABLE, null));
   }
 
   /** A link is open; one of a dial that a later one has overtaken is not wanted. */
@@ -159,7 +159,7 @@
 
   void over(String id, RunOutcome outcome, byte[] result, long span) {
     took += (span - took) * LEARN;
-    broker.callOver(id, outcome, result);
+    broker.callEnded(id, outcome, result);
   }
 
   /** A link has ended, with these calls out on it. */
@@ -168,6 +168,6 @@
       link = null;
     }
     left.remove(which);
-    out.forEach(id -> broker.callOver(id, RunOutcome.CUT, null));
+    out.forEach(id -> broker.callEnded(id, RunOutcome.CONNECTION_LOST, null));
   }
 }
--- a/src/main/java/mothwing/discovery/LoadReportConnection.java
+++ b/src/main/java/mothwing/discovery/LoadReportConnection.java
@@ -30,12 +30,12 @@
   }
 
   @Override
-  protected void opened() {
+  protected void onOpened() {
     announcer.opened(this, address);
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     announcer.ended(this);
   }
 
@@ -55,14 +55,14 @@
             + body.length()
             + END_OF_HEAD
             + body;
-    ByteBuf out = room(call.length());
+    ByteBuf out = allocate(call.length());
     out.writeCharSequence(call, StandardCharsets.US_ASCII);
     count("reports");
     send(out);
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     String text = in.toString(StandardCharsets.ISO_8859_1);
     int end = text.indexOf(END_OF_HEAD);
     if (end < 0) {
--- a/src/main/java/mothwing/discovery/LoadReporter.java
+++ b/src/main/java/mothwing/discovery/LoadReporter.java
@@ -59,7 +59,7 @@
   /** Reports now, and every second from now on. */
   public void start() {
     if (!stopped) {
-      timers.at(timers.now() + PERIOD, this::start);
+      timers.schedule(timers.now() + PERIOD, this::start);
       report();
     }
   }
@@ -86,7 +86,7 @@
   private void dial() {
     dialing++;
     int mine = address;
-    dialer.dial(
+    dialer.connect(
         () -> new LoadReportConnection(this, mine, name, log, counters),
         () -> {
           counters.add("announce-unreached");
@@ -101,7 +101,7 @@
    *
    * @param elsewhere opens connections to the new address
    */
-  public void moved(Connector elsewhere) {
+  public void changeAddress(Connector elsewhere) {
     dialer = elsewhere;
     address++;
     dialing = 0;
--- a/src/main/java/mothwing/dns/server/DnsEngine.java
+++ b/src/main/java/mothwing/dns/server/DnsEngine.java
@@ -140,23 +140,23 @@
       counters.add("dns-updates-unsigned");
       request.error(Rcode.REFUSED, AnswerWriter.PROHIBITED, "updates must be signed");
     } else if (query.opcode() == Opcode.QUERY && !control && !query.signed()) {
-      request.served(answer(query, request.limit()));
+      request.sendResult(answer(query, request.limit()));
     } else {
       String id = HexFormat.of().toHexDigits(++ids);
       request.id(id);
       requests.put(id, request);
       request.exchange(
-          broker.read(
+          broker.submit(
               new InboundRequest(
                   id,
-                  timers.wallMs(),
+                  timers.wallClockMillis(),
                   "",
                   query.opcode() == Opcode.UPDATE ? DnsDecisions.UPDATE : DnsDecisions.QUERY,
                   1 + query.bytes().length / 1024.0,
                   0.5,
                   null,
                   null,
-                  InboundRequest.NOT_TOLD,
+                  InboundRequest.NOT_STATED,
                   query.bytes()),
               request));
     }
@@ -170,7 +170,7 @@
   /** Whoever sent a request has left. */
   void gone(DnsRequest request) {
     if (request.exchange() != null) {
-      broker.gone(request.exchange());
+      broker.cancelled(request.exchange());
       answered(request);
     }
   }
@@ -178,13 +178,13 @@
   // the worker
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return true;
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
-    started.add(requests.get(exchange.arrival().id()));
+  public boolean startRun(Exchange exchange) {
+    started.add(requests.get(exchange.request().id()));
     if (!scheduled) {
       scheduled = true;
       loop.execute(this::run);
@@ -207,8 +207,11 @@
 
   private void finish(DnsRequest request, byte[] answer) {
     running--;
-    broker.finished(
-        request.id(), RunOutcome.GOOD, Math.max(1, timers.now() - request.startedAt()), answer);
+    broker.runEnded(
+        request.id(),
+        RunOutcome.SUCCEEDED,
+        Math.max(1, timers.now() - request.startedAt()),
+        answer);
   }
 
   private ZoneKeeper find(DomainName name) {
@@ -256,7 +259,7 @@
       finish(request, AnswerWriter.error(request.query(), Rcode.FORMERR, AnswerWriter.OTHER, null));
       return;
     }
-    long now = timers.wallMs() / MILLIS;
+    long now = timers.wallClockMillis() / MILLIS;
     Signer.Signed signed = signer.check(message, request.query().bytes(), now);
     if (signed.error() != Rcode.NOERROR) {
       counters.add(
@@ -276,7 +279,7 @@
       finish(request, answer.toWire(request.limit()));
     } catch (IOException | RuntimeException broken) {
       counters.add("faults");
-      log.line("fault side=dns what=\"" + broken + "\"");
+      log.write("fault side=dns what=\"" + broken + "\"");
       reply(request, signed, Rcode.SERVFAIL, "");
     }
   }
@@ -299,7 +302,7 @@
           now,
           (rcode, reason) -> {
             if (rcode != Rcode.NOERROR) {
-              log.line(
+              log.write(
                   "update-refused zone="
                       + keeper.origin()
                       + " key="
@@ -328,15 +331,15 @@
       answer = message.toWire(AnswerWriter.TCP);
     } catch (RuntimeException broken) {
       counters.add("faults");
-      log.line("fault side=dns what=\"" + broken + "\"");
+      log.write("fault side=dns what=\"" + broken + "\"");
       answer = AnswerWriter.error(request.query(), rcode, AnswerWriter.OTHER, null);
     }
     finish(request, answer);
   }
 
   @Override
-  public void poll(String echo) {
-    loop.execute(() -> broker.polled(echo, gauges()));
+  public void requestGauges(String echo) {
+    loop.execute(() -> broker.gaugesReceived(echo, gauges()));
   }
 
   private double[] gauges() {
@@ -354,17 +357,17 @@
   }
 
   @Override
-  public void suspend(String id) {
+  public void stopRun(String id) {
     // the settings say that nothing that runs is stopped
   }
 
   @Override
-  public void proceed(String id) {
+  public void resumeRun(String id) {
     // as nothing is ever stopped
   }
 
   @Override
-  public void verify(String echo) {
-    loop.execute(() -> broker.verified(echo, true));
+  public void startHealthCheck(String echo) {
+    loop.execute(() -> broker.healthCheckEnded(echo, true));
   }
 }
--- a/src/main/java/mothwing/dns/server/DnsFront.java
+++ b/src/main/java/mothwing/dns/server/DnsFront.java
@@ -96,7 +96,7 @@
     engine = new DnsEngine(loop, timers, limits, this::connections, counters, log);
     broker =
         new Broker(
-            DnsDecisions.settings(timers.wallMs()),
+            DnsDecisions.settings(timers.wallClockMillis()),
             OverloadController::new,
             engine,
             timers,
@@ -158,7 +158,7 @@
             counters,
             log);
     Path folder = site.state().resolve(zone.name().replace('/', '_'));
-    keeper.open(Disk.of(folder), writer, timers.wallMs() / SECOND_MS);
+    keeper.open(Disk.of(folder), writer, timers.wallClockMillis() / SECOND_MS);
     return keeper;
   }
 
@@ -172,7 +172,7 @@
     for (Site.Zone zone : site.zones()) {
       engine.add(open(zone));
     }
-    loop.submit(() -> broker.bound(false, AGE)).awaitUninterruptibly();
+    loop.submit(() -> broker.poolConnected(false, AGE)).awaitUninterruptibly();
     bound(tcp.listen(loop, allocator, site.listen()));
     InetSocketAddress address =
         new InetSocketAddress(site.listen().getAddress(), tcp.address().getPort());
@@ -197,7 +197,7 @@
     bound(listening);
     udp = listening.channel();
     trim();
-    log.line("dns-ready listen=" + address + " zones=" + engine.zones().size());
+    log.write("dns-ready listen=" + address + " zones=" + engine.zones().size());
   }
 
   private void bound(Future<?> listening) throws IOException {
@@ -258,14 +258,14 @@
             if (!wanted.containsKey(one)) {
               ZoneKeeper left = engine.zone(one);
               engine.remove(one);
-              left.close(() -> log.line("zone-closed zone=" + one));
+              left.close(() -> log.write("zone-closed zone=" + one));
             }
           }
           boolean restart =
               !now.listen().equals(site.listen())
                   || !now.limits().equals(site.limits())
                   || !now.state().equals(site.state());
-          log.line(
+          log.write(
               "dns-reload zones="
                   + now.zones().size()
                   + " keys="
@@ -304,7 +304,7 @@
    */
   public boolean drained(boolean last) {
     tcp.trim(last ? 0 : LATER_MS * MICROS, CloseReason.DRAIN);
-    return broker.owed() == 0
+    return broker.pendingCount() == 0
         && tcp.open() == 0
         && engine.zones().stream().noneMatch(ZoneKeeper::busy);
   }
--- a/src/main/java/mothwing/dns/server/DnsRequest.java
+++ b/src/main/java/mothwing/dns/server/DnsRequest.java
@@ -67,17 +67,17 @@
   }
 
   @Override
-  public void served(byte[] result) {
+  public void sendResult(byte[] result) {
     way.send(this, result);
   }
 
   @Override
-  public void refused(boolean last, long holdOffMs) {
+  public void sendRejection(boolean last, long holdOffMs) {
     error(Rcode.REFUSED, AnswerWriter.OTHER, "overloaded");
   }
 
   @Override
-  public void failed(String code) {
+  public void sendFailure(String code) {
     error(Rcode.SERVFAIL, AnswerWriter.OTHER, code);
   }
 }
--- a/src/main/java/mothwing/dns/server/DnsTcp.java
+++ b/src/main/java/mothwing/dns/server/DnsTcp.java
@@ -30,7 +30,7 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     if (in.readableBytes() < LENGTH
         || in.readableBytes() < LENGTH + in.getUnsignedShort(in.readerIndex())) {
       return false;
@@ -42,7 +42,7 @@
       throw new ProtocolException(
           CloseReason.MALFORMED, "a message of " + bytes.length + " bytes that is no query");
     }
-    introduce();
+    markIdentified();
     DnsRequest request = new DnsRequest(query, AnswerWriter.TCP, this::answer);
     open.add(request);
     if (open.size() > mostOpen) {
@@ -56,20 +56,20 @@
 
   private void answer(DnsRequest request, byte[] answer) {
     engine.answered(request);
-    if (open.remove(request) && !closed()) {
-      ByteBuf out = room(LENGTH + answer.length);
+    if (open.remove(request) && !isClosed()) {
+      ByteBuf out = allocate(LENGTH + answer.length);
       out.writeShort(answer.length).writeBytes(answer);
       send(out);
     }
   }
 
   @Override
-  public boolean idle() {
+  public boolean isIdle() {
     return open.isEmpty();
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     for (DnsRequest one : new ArrayList<>(open)) {
       engine.gone(one);
     }
--- a/src/main/java/mothwing/dns/server/DnsUdp.java
+++ b/src/main/java/mothwing/dns/server/DnsUdp.java
@@ -48,7 +48,7 @@
       return;
     }
     InetSocketAddress from = packet.sender();
-    cookies.check(query, from.getAddress(), timers.wallMs() / SECOND_MS);
+    cookies.check(query, from.getAddress(), timers.wallClockMillis() / SECOND_MS);
     engine.read(
         new DnsRequest(
             query,
@@ -93,7 +93,7 @@
     if (!(cause instanceof IOException)) {
       counters.add("faults");
       StackTraceElement[] stack = cause.getStackTrace();
-      log.line(
+      log.write(
           "fault side=dns-udp what=\""
               + cause
               + "\""
--- a/src/main/java/mothwing/dns/server/ZoneKeeper.java
+++ b/src/main/java/mothwing/dns/server/ZoneKeeper.java
@@ -119,11 +119,11 @@
                   history.take(record);
                 }
               },
-              log::line);
+              log::write);
     } catch (CorruptRecordException damaged) {
       damage = damaged.getMessage();
       counters.add("dns-journals-damaged");
-      log.line("journal-damaged zone=" + origin + " what=\"" + damage + "\"");
+      log.write("journal-damaged zone=" + origin + " what=\"" + damage + "\"");
     }
     history.forget(now);
     repeats.putAll(history.repeats());
@@ -158,7 +158,7 @@
     tip = published;
     tipBase = base;
     committer = journal == null ? null : new GroupCommitter(journal, owner, helper, MOST_WAITING);
-    log.line(
+    log.write(
         "zone-open zone="
             + origin
             + " serial="
@@ -176,7 +176,7 @@
       report(result);
       return result;
     } catch (IOException unread) {
-      log.line("zone-unread zone=" + origin + " what=\"" + unread.getMessage() + "\"");
+      log.write("zone-unread zone=" + origin + " what=\"" + unread.getMessage() + "\"");
       return null;
     }
   }
@@ -184,10 +184,10 @@
   private void report(ZoneFile.Result result) {
     faults = result.faults();
     for (Fault fault : faults.subList(0, Math.min(MOST_LOGGED, faults.size()))) {
-      log.line("zone-fault zone=" + origin + " what=\"" + fault + "\"");
+      log.write("zone-fault zone=" + origin + " what=\"" + fault + "\"");
     }
     if (faults.size() > MOST_LOGGED) {
-      log.line(
+      log.write(
           "zone-fault zone=" + origin + " what=\"and " + (faults.size() - MOST_LOGGED) + " more\"");
     }
   }
@@ -297,7 +297,7 @@
       generation++;
       tip = published;
       tipBase = base;
-      log.line("zone-write-failed zone=" + origin + " what=\"" + why.getMessage() + "\"");
+      log.write("zone-write-failed zone=" + origin + " what=\"" + why.getMessage() + "\"");
     }
   }
 
@@ -315,7 +315,7 @@
   /** Reads the file again, on a thread of its own; updates go on meanwhile. */
   void reload() {
     if (committer == null) {
-      log.line("zone-reload-refused zone=" + origin + " what=\"" + damage + "\"");
+      log.write("zone-reload-refused zone=" + origin + " what=\"" + damage + "\"");
       return;
     }
     if (reading) {
@@ -351,7 +351,7 @@
 
   private void reloadFailed(String what) {
     counters.add("dns-reloads-failed");
-    log.line(
+    log.write(
         "zone-reload-failed zone=" + origin + " serial=" + serial() + " what=\"" + what + "\"");
   }
 
@@ -375,7 +375,7 @@
   private void merge(Merge.Edits edits) {
     Merge merge = Merge.of(edits, tip);
     if (edits.changes().isEmpty()) {
-      log.line("zone-reload zone=" + origin + " serial=" + serial() + " changes=0" + health());
+      log.write("zone-reload zone=" + origin + " serial=" + serial() + " changes=0" + health());
       return;
     }
     int mine = generation;
@@ -407,9 +407,9 @@
     counters.add("dns-reloads");
     for (String conflict :
         merge.conflicts().subList(0, Math.min(MOST_LOGGED, merge.conflicts().size()))) {
-      log.line("zone-conflict zone=" + origin + " what=\"" + conflict + "\"");
+      log.write("zone-conflict zone=" + origin + " what=\"" + conflict + "\"");
     }
-    log.line(
+    log.write(
         "zone-reload zone="
             + origin
             + " serial="
@@ -441,7 +441,7 @@
         false,
         failed -> {
           compacting = false;
-          log.line(
+          log.write(
               failed == null
                   ? "zone-compacted zone=" + origin + " journal=" + committer.size()
                   : "zone-compact-failed zone=" + origin + " what=\"" + failed.getMessage() + "\"");
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -85,7 +85,7 @@
               .append("\r\n");
       fields.forEach(one -> head.append(one[0]).append(": ").append(one[1]).append("\r\n"));
       byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-      ByteBuf out = room(first.length + content.length + 5 * FastCgi.HEADER);
+      ByteBuf out = allocate(first.length + content.length + 5 * FastCgi.HEADER);
       FastCgi.stream(out, FastCgi.STDOUT, id, first, content);
       FastCgi.end(out, id, FastCgi.REQUEST_COMPLETE);
       count("answered-" + status);
@@ -98,7 +98,7 @@
     /** The last byte of the request is there. */
     void whole() {
       count("requests");
-      introduce();
+      markIdentified();
       passedOver = 0;
       if (!paramsWhole) {
         reject("params-not-ended");
@@ -123,7 +123,7 @@
         return;
       }
       params = NOTHING;
-      whole(of[0], of[1], fields, body);
+      handle(of[0], of[1], fields, body);
     }
 
     /** A part of it is larger than may be. */
@@ -136,13 +136,13 @@
      */
     void abort() {
       count("aborted");
-      leave();
-      failed("aborted");
+      cancel();
+      sendFailure("aborted");
     }
   }
 
   @Override
-  public boolean idle() {
+  public boolean isIdle() {
     return open.isEmpty();
   }
 
@@ -156,7 +156,7 @@
   }
 
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     if (skip > 0) {
       int part = Math.min(skip, in.readableBytes());
       in.skipBytes(part);
@@ -207,7 +207,7 @@
     } else if (asked != null
         && !asked.read
         && type == FastCgi.STDIN
-        && asked.body.length + length > InboundRequest.MOST_BODY) {
+        && asked.body.length + length > InboundRequest.MAX_BODY_BYTES) {
       asked.oversized("body");
     } else if (asked != null) {
       return false;
@@ -235,10 +235,10 @@
   }
 
   private void management(int type, ByteBuf content) throws ProtocolException {
-    ByteBuf out = room(128);
+    ByteBuf out = allocate(128);
     if (type == FastCgi.GET_VALUES) {
-      introduce();
-      ByteBuf pairs = room(96);
+      markIdentified();
+      ByteBuf pairs = allocate(96);
       FastCgi.pairs(
           content,
           (name, value) -> {
@@ -270,7 +270,7 @@
     open.put(id, asked);
     if (content.getUnsignedShort(0) != FastCgi.RESPONDER) {
       open.remove(id);
-      ByteBuf out = room(2 * FastCgi.HEADER);
+      ByteBuf out = allocate(2 * FastCgi.HEADER);
       FastCgi.end(out, id, FastCgi.UNKNOWN_ROLE);
       count("unknown-role");
       send(out);
@@ -307,9 +307,9 @@
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     List<Asked> left = new ArrayList<>(open.values());
     open.clear();
-    left.forEach(Asked::leave);
+    left.forEach(Asked::cancel);
   }
 }
--- a/src/main/java/mothwing/membership/MemberRecord.java
+++ b/src/main/java/mothwing/membership/MemberRecord.java
@@ -10,7 +10,7 @@
  * @param zone where it stands
  * @param incarnation raised by the member alone, each time that it objects; never goes back
  * @param state what is said of it
- * @param by who says so
+ * @param reportedBy who says so
  */
 public record MemberRecord(
     String name,
@@ -19,11 +19,11 @@
     String zone,
     long incarnation,
     MemberState state,
-    String by) {
+    String reportedBy) {
   private static final int FIXED = 36; // bytes of numbers, keys and lengths on the wire
 
   /** Whether this holds against another claim on the same name. */
-  public boolean beats(MemberRecord other) {
+  public boolean supersedes(MemberRecord other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
@@ -34,12 +34,12 @@
     return new MemberRecord(name, start, address, zone, incarnation, now, who);
   }
 
-  MemberRecord raised(long to) {
-    return new MemberRecord(name, start, address, zone, to, state, by);
+  MemberRecord withIncarnation(long to) {
+    return new MemberRecord(name, start, address, zone, to, state, reportedBy);
   }
 
   /** What it takes on the wire, at most. */
   public int bytes() {
-    return FIXED + name.length() + address.length() + zone.length() + by.length();
+    return FIXED + name.length() + address.length() + zone.length() + reportedBy.length();
   }
 }
--- a/src/main/java/mothwing/membership/MemberState.java
+++ b/src/main/java/mothwing/membership/MemberState.java
@@ -15,7 +15,7 @@
   LEFT;
 
   /** Whether it counts as there. */
-  public boolean there() {
+  public boolean isPresent() {
     return this == ALIVE || this == SUSPECT;
   }
 }
--- a/src/main/java/mothwing/membership/Membership.java
+++ b/src/main/java/mothwing/membership/Membership.java
@@ -141,7 +141,7 @@
     rumours.add(me);
     join();
     beatDue = now + (long) (pace.beat() * random.nextDouble());
-    timers.at(beatDue, this::beat);
+    timers.schedule(beatDue, this::beat);
   }
 
   /** Withdraws: others take it for gone at once. It answers on until its process ends. */
@@ -183,7 +183,7 @@
     }
     host.stream(seeds.get(random.nextInt(seeds.size())), message(Kind.SYNC, ++seq, "", all()));
     retry = joined ? LAST_RETRY : Math.min(LAST_RETRY, 2 * retry);
-    timers.at(timers.now() + (long) (retry * random.nextDouble()) + 1, this::join);
+    timers.schedule(timers.now() + (long) (retry * random.nextDouble()) + 1, this::join);
   }
 
   private List<MemberRecord> all() {
@@ -210,7 +210,7 @@
       enoughAt += late;
     }
     beatDue = now + pace.beat();
-    timers.at(beatDue, this::beat);
+    timers.schedule(beatDue, this::beat);
     if (silent) {
       return;
     }
@@ -263,7 +263,7 @@
   private List<Entry> there() {
     List<Entry> all = new ArrayList<>();
     for (Entry one : others.values()) {
-      if (one.claim.state().there()) {
+      if (one.claim.state().isPresent()) {
         all.add(one);
       }
     }
@@ -273,7 +273,7 @@
   private Entry nextOfRound() {
     while (!round.isEmpty()) {
       Entry one = round.remove(round.size() - 1);
-      if (one.claim.state().there() && others.get(one.claim.name()) == one) {
+      if (one.claim.state().isPresent() && others.get(one.claim.name()) == one) {
         return one;
       }
     }
@@ -313,7 +313,7 @@
     target.probe = probe;
     probes.put(probe.seq, probe);
     send(Kind.PING, target.claim.address(), probe.seq, "", suspicion(target));
-    timers.at(timers.now() + pace.ackWait() * (1 + doubt), () -> askOthers(probe));
+    timers.schedule(timers.now() + pace.ackWait() * (1 + doubt), () -> askOthers(probe));
   }
 
   /** Whoever is suspected is told so with each probe, so that it can object. */
@@ -322,7 +322,7 @@
   }
 
   private boolean waits(Probe probe) {
-    return !silent && probes.get(probe.seq) == probe && probe.target.claim.state().there();
+    return !silent && probes.get(probe.seq) == probe && probe.target.claim.state().isPresent();
   }
 
   private void askOthers(Probe probe) {
@@ -343,7 +343,7 @@
     }
     host.stream(
         probe.target.claim.address(), message(Kind.PING, probe.seq, "", suspicion(probe.target)));
-    timers.at(timers.now() + pace.askWait() * (1 + doubt), () -> concluded(probe));
+    timers.schedule(timers.now() + pace.askWait() * (1 + doubt), () -> concluded(probe));
   }
 
   private void concluded(Probe probe) {
@@ -400,7 +400,7 @@
   private void awaitDeath(Entry one) {
     MemberRecord accused = one.claim;
     long due = one.suspectedAt + patience(one);
-    timers.at(
+    timers.schedule(
         due,
         () -> {
           if (silent
@@ -412,7 +412,7 @@
           if (one.suspectedAt + patience(one) > now) {
             awaitDeath(one);
           } else if (panics(one, now)) {
-            timers.at(now + pace.beat(), () -> awaitDeath(one));
+            timers.schedule(now + pace.beat(), () -> awaitDeath(one));
           } else {
             apply(one.claim.with(MemberState.DEAD, me.name()));
           }
@@ -447,7 +447,7 @@
     }
     others
         .values()
-        .removeIf(one -> !one.claim.state().there() && now - one.buriedAt > pace.tombstone());
+        .removeIf(one -> !one.claim.state().isPresent() && now - one.buriedAt > pace.tombstone());
   }
 
   private void lookAlone(long now) {
@@ -545,7 +545,7 @@
     Probe probe = new Probe(++seq, target, message.self(), message.seq());
     probes.put(probe.seq, probe);
     send(Kind.PING, target.claim.address(), probe.seq, "", suspicion(target));
-    timers.at(
+    timers.schedule(
         timers.now() + pace.askWait() / 2,
         () -> {
           if (probes.remove(probe.seq, probe) && !silent) {
@@ -566,7 +566,7 @@
       one = new Entry(claim);
       others.put(claim.name(), one);
       entered(one, null);
-    } else if (claim.beats(one.claim)) {
+    } else if (claim.supersedes(one.claim)) {
       MemberRecord before = one.claim;
       one.claim = claim;
       entered(one, before);
@@ -574,7 +574,7 @@
         && one.claim.state() == MemberState.SUSPECT
         && claim.incarnation() == one.claim.incarnation()
         && one.accusers.size() <= pace.enough()
-        && one.accusers.add(claim.by())) {
+        && one.accusers.add(claim.reportedBy())) {
       rumours.add(claim); // one accuser more is news
       awaitDeath(one);
     }
@@ -584,8 +584,8 @@
   private void entered(Entry one, MemberRecord before) {
     MemberRecord now = one.claim;
     rumours.add(now);
-    boolean was = before != null && before.state().there();
-    if (was != now.state().there()) {
+    boolean was = before != null && before.state().isPresent();
+    if (was != now.state().isPresent()) {
       living += was ? -1 : 1;
       ring = List.of();
       one.probe = null;
@@ -602,7 +602,7 @@
         }
       }
       case SUSPECT -> {
-        one.accusers = new HashSet<>(Set.of(now.by()));
+        one.accusers = new HashSet<>(Set.of(now.reportedBy()));
         one.suspectedAt = timers.now();
         change(Type.SUSPECTED, now);
         awaitDeath(one);
@@ -629,7 +629,7 @@
       return;
     }
     urging = true;
-    timers.at(
+    timers.schedule(
         Math.max(timers.now(), nextBurst),
         () -> {
           urging = false;
@@ -670,7 +670,7 @@
       }
     } else if (claim.incarnation() < me.incarnation()) {
       rumours.add(me);
-    } else if (!joined || !claim.state().there() || claim.address().equals(me.address())) {
+    } else if (!joined || !claim.state().isPresent() || claim.address().equals(me.address())) {
       raise(claim.incarnation() + 1); // a start before this one: its name is taken over
     } else if (challenged.add(claim.start())) {
       challenge(claim);
@@ -685,7 +685,7 @@
     long number = ++seq;
     rivals.add(number);
     send(Kind.PING, claim.address(), number, "", List.of());
-    timers.at(
+    timers.schedule(
         timers.now() + pace.ackWait() + pace.askWait(),
         () -> {
           challenged.remove(claim.start());
@@ -718,7 +718,7 @@
   }
 
   private void raise(long to) {
-    me = me.raised(to);
+    me = me.withIncarnation(to);
     rumours.add(me);
   }
 
--- a/src/main/java/mothwing/membership/MembershipEvent.java
+++ b/src/main/java/mothwing/membership/MembershipEvent.java
@@ -4,10 +4,10 @@
  * One change of a member's view; all changes of one member come in one order.
  *
  * @param version of the view from this change on
- * @param what what has changed
- * @param claim the claim that made it, on the member it is about
+ * @param type what has changed
+ * @param member the claim that made it, on the member it is about
  */
-public record MembershipEvent(long version, Type what, MemberRecord claim) {
+public record MembershipEvent(long version, Type type, MemberRecord member) {
   /** What can change. */
   public enum Type {
     /** A member is new, or back. */
--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -39,9 +39,9 @@
   private CloseReason reason = CloseReason.PEER_CLOSED;
   private String detail = "";
   private boolean closing;
-  private boolean ended;
+  private boolean onClosed;
   private boolean handledEnd;
-  private boolean lingers;
+  private boolean isLingering;
   private int dropped;
   private long bytesIn;
   private long bytesOut;
@@ -72,7 +72,7 @@
   }
 
   /** The connection is open. */
-  protected void opened() {}
+  protected void onOpened() {}
 
   /**
    * Takes a whole piece off the bytes that came.
@@ -81,17 +81,17 @@
    * @return false where no whole piece is there, in which case nothing was taken
    * @throws Malformed where the bytes are not the protocol
    */
-  protected abstract boolean take(ByteBuf in) throws ProtocolException;
+  protected abstract boolean decode(ByteBuf in) throws ProtocolException;
 
   /** The connection has ended; called once. */
-  protected abstract void ended();
+  protected abstract void onClosed();
 
   /**
    * Whether nothing is open on it.
    *
    * @return true if it may be closed
    */
-  public boolean idle() {
+  public boolean isIdle() {
     return true;
   }
 
@@ -110,34 +110,34 @@
    * read: then it may be closed. Who does not read is not read from, so that what it asked for may
    * lie in its socket.
    */
-  final boolean quiet() {
-    return idle() && pieceSince == NEVER && !awaits && deafSince == NEVER;
+  final boolean isQuiet() {
+    return isIdle() && pieceSince == NEVER && !awaits && deafSince == NEVER;
   }
 
   /** Whether what came on it waits for this process to take it. */
-  final boolean awaitsTurn() {
+  final boolean isAwaitingBudget() {
     return awaits;
   }
 
   /** Lets it take pieces in turns. */
-  final void inTurns(ReadBudget all) {
+  final void limitReads(ReadBudget all) {
     turns = all;
   }
 
   /** Its turn has come. */
-  final void goOn() {
+  final void resumeReading() {
     awaits = false;
-    if (closed()) {
+    if (isClosed()) {
       return;
     }
     takeAll();
-    if (!awaits && !closed()) {
+    if (!awaits && !isClosed()) {
       context.channel().config().setAutoRead(context.channel().isWritable());
     }
   }
 
   /** Tells the time to a connection, and whom to tell when something came or left on it. */
-  final void watched(Scheduler time, Runnable watcher) {
+  final void superviseWith(Scheduler time, Runnable watcher) {
     clock = time;
     openedAt = time.now();
     stirred = watcher;
@@ -153,18 +153,18 @@
   }
 
   /** Marks it as that of a party that speaks the protocol: a whole request was read. */
-  protected final void introduce() {
+  protected final void markIdentified() {
     introduced = true;
   }
 
   /** Whether no whole request was ever read on it. */
-  final boolean stranger() {
+  final boolean isUnidentified() {
     return !introduced;
   }
 
   /** Why it may not stay as it is, or null where it may. */
-  final CloseReason overstays(long now, long patience) {
-    if (now <= overstaysAt(patience)) {
+  final CloseReason timeoutReason(long now, long patience) {
+    if (now <= timeoutAt(patience)) {
       return null;
     } else if (deafSince < now - patience) {
       return CloseReason.NOT_READ;
@@ -175,13 +175,13 @@
   }
 
   /** Until when it may stay as it is, or {@link #NEVER} where nothing is missing. */
-  final long overstaysAt(long patience) {
+  final long timeoutAt(long patience) {
     long since = deafSince;
     if (!closing && !awaits) { // what it waits for is this side
       since =
           Math.min(
               since,
-              Math.min(Math.min(pieceSince, halfReadSince()), stranger() ? openedAt : NEVER));
+              Math.min(Math.min(pieceSince, halfReadSince()), isUnidentified() ? openedAt : NEVER));
     }
     return since == NEVER ? NEVER : since + patience;
   }
@@ -201,7 +201,7 @@
    * @param size a guess of their number
    * @return an empty buffer
    */
-  protected final ByteBuf room(int size) {
+  protected final ByteBuf allocate(int size) {
     return context.alloc().buffer(size);
   }
 
@@ -240,7 +240,7 @@
    * @param what more on it, or an empty text
    */
   public final void close(CloseReason why, String what) {
-    if (closing || ended) {
+    if (closing || onClosed) {
       return;
     }
     closing = true;
@@ -268,7 +268,7 @@
       context.close();
       return;
     }
-    lingers = true;
+    isLingering = true;
     handleEnd();
     stirred.run();
     if (context.channel().isOpen()) {
@@ -278,8 +278,8 @@
   }
 
   /** Whether this side is shut, and only the other one's close is waited for. */
-  final boolean lingers() {
-    return lingers;
+  final boolean isLingering() {
+    return isLingering;
   }
 
   /** Closes it now. */
@@ -292,7 +292,7 @@
    * on it. Not from within a read of this connection.
    */
   void readNow() {
-    if (!closed()
+    if (!isClosed()
         && context.channel().config().isAutoRead()
         && context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe socket) {
       socket.read();
@@ -304,22 +304,22 @@
    *
    * @return true if nothing can be sent
    */
-  protected final boolean closed() {
-    return closing || ended;
+  protected final boolean isClosed() {
+    return closing || onClosed;
   }
 
   @Override
   public final void channelActive(ChannelHandlerContext ctx) {
     context = ctx;
     count("opened");
-    opened();
+    onOpened();
   }
 
   @Override
   public final void channelRead(ChannelHandlerContext ctx, Object message) {
     ByteBuf came = (ByteBuf) message;
     bytesIn += came.readableBytes();
-    if (lingers) {
+    if (isLingering) {
       dropped += came.readableBytes();
       came.release();
       if (dropped > MOST_DROPPED) {
@@ -341,19 +341,19 @@
   private void takeAll() {
     try {
       boolean whole = true;
-      while (whole && !closed() && !awaits && gathered.isReadable()) {
-        if (turns != null && !turns.open()) {
+      while (whole && !isClosed() && !awaits && gathered.isReadable()) {
+        if (turns != null && !turns.hasBudget()) {
           awaits = true;
-          turns.await(this);
+          turns.enqueue(this);
           context.channel().config().setAutoRead(false);
-        } else if (take(gathered)) {
+        } else if (decode(gathered)) {
           pieces++;
           pieceSince = now();
         } else {
           whole = false;
         }
       }
-      if (!closed() && !awaits && gathered.readableBytes() > mostGathered) {
+      if (!isClosed() && !awaits && gathered.readableBytes() > mostGathered) {
         throw new ProtocolException(
             CloseReason.OVERSIZED, "over " + mostGathered + " bytes without an end");
       }
@@ -363,7 +363,7 @@
     } catch (RuntimeException broken) {
       fault(broken);
     }
-    if (gathered != null && (!gathered.isReadable() || closed())) {
+    if (gathered != null && (!gathered.isReadable() || isClosed())) {
       drop();
     }
     if (gathered == null) {
@@ -400,7 +400,7 @@
   }
 
   /** Closes it without waiting for what was sent to leave. */
-  final void cut(CloseReason why) {
+  final void closeNow(CloseReason why) {
     if (!closing) {
       closing = true;
       reason = why;
@@ -411,7 +411,7 @@
   private void fault(Throwable broken) {
     counters.add("faults");
     StackTraceElement[] stack = broken.getStackTrace();
-    log.line(
+    log.write(
         "fault side="
             + side
             + " what=\""
@@ -439,25 +439,25 @@
     }
     handledEnd = true;
     try {
-      ended();
+      onClosed();
     } catch (RuntimeException broken) {
       counters.add("faults");
-      log.line("fault side=" + side + " what=\"" + broken + "\"");
+      log.write("fault side=" + side + " what=\"" + broken + "\"");
     }
   }
 
   @Override
   public final void channelInactive(ChannelHandlerContext ctx) {
-    if (ended) {
+    if (onClosed) {
       return;
     }
-    ended = true;
+    onClosed = true;
     if (gathered != null) {
       drop();
     }
     handleEnd();
     count("ended-" + reason.code());
-    log.line(
+    log.write(
         "end side="
             + side
             + " reason="
--- a/src/main/java/mothwing/net/ConnectionTable.java
+++ b/src/main/java/mothwing/net/ConnectionTable.java
@@ -54,28 +54,28 @@
 
     /** Something came or left on it. */
     void stirred() {
-      if (connection.lingers()) {
+      if (connection.isLingering()) {
         linger(connection);
         return;
       }
       long now = timers.now();
-      quietSince = connection.quiet() ? now : Connection.NEVER;
+      quietSince = connection.isQuiet() ? now : Connection.NEVER;
       if (why == CloseReason.DRAIN
-          && connection.quiet()
-          && !connection.stranger()
+          && connection.isQuiet()
+          && !connection.isUnidentified()
           && !unread
           && !late(now)
           && !closes) {
         closes =
             true; // right behind its last answer: who asks one thing after the other is never idle
-        timers.at(
+        timers.schedule(
             now,
             () -> {
               closes = false;
               closeIfQuiet();
             });
       }
-      if (strangers.remove(connection) != null && connection.stranger()) {
+      if (strangers.remove(connection) != null && connection.isUnidentified()) {
         strangers.put(connection, this);
       }
       arm(now);
@@ -84,7 +84,7 @@
     void arm(long now) {
       long at =
           Math.min(
-              connection.overstaysAt(patience),
+              connection.timeoutAt(patience),
               quietSince == Connection.NEVER ? now + rest() : quietSince + rest());
       if (at < due()) {
         wheel.put(this, at);
@@ -96,9 +96,9 @@
      * for it.
      */
     private void closeIfQuiet() {
-      if (all.containsKey(connection) && connection.quiet()) {
+      if (all.containsKey(connection) && connection.isQuiet()) {
         connection.readNow();
-        if (connection.quiet()) {
+        if (connection.isQuiet()) {
           connection.close(why, "");
         }
       }
@@ -108,16 +108,16 @@
      * The span for which it may be quiet; one that has just come has its first request on its way.
      */
     private long rest() {
-      return span > 0 && connection.stranger() ? Math.max(span, NEWCOMER) : span;
+      return span > 0 && connection.isUnidentified() ? Math.max(span, NEWCOMER) : span;
     }
 
     void judge(long now) {
-      CloseReason bad = connection.overstays(now, patience);
+      CloseReason bad = connection.timeoutReason(now, patience);
       if (bad == CloseReason.NOT_READ) {
-        connection.cut(bad);
+        connection.closeNow(bad);
       } else if (bad != null) {
         connection.close(bad, "");
-      } else if (!connection.quiet()) {
+      } else if (!connection.isQuiet()) {
         quietSince = Connection.NEVER;
       } else if (quietSince == Connection.NEVER) {
         quietSince = now;
@@ -154,7 +154,7 @@
     Place place = new Place(connection, timers.now());
     all.put(connection, place);
     strangers.put(connection, place);
-    connection.watched(timers, place::stirred);
+    connection.superviseWith(timers, place::stirred);
     place.arm(timers.now());
   }
 
@@ -214,13 +214,13 @@
 
   private Place least() {
     for (Place one : strangers.values()) {
-      if (!one.connection.closed() && !one.connection.awaitsTurn()) {
+      if (!one.connection.isClosed() && !one.connection.isAwaitingBudget()) {
         return one;
       }
     }
     Place least = null;
     for (Place one : all.values()) {
-      boolean quiet = !one.connection.closed() && one.connection.quiet();
+      boolean quiet = !one.connection.isClosed() && one.connection.isQuiet();
       if (quiet && (least == null || one.quietSince < least.quietSince)) {
         least = one;
       }
--- a/src/main/java/mothwing/net/Connector.java
+++ b/src/main/java/mothwing/net/Connector.java
@@ -11,5 +11,5 @@
    * @param maker makes its state once it is open
    * @param failed what to do where it cannot be opened
    */
-  void dial(Supplier<? extends Connection> maker, Runnable failed);
+  void connect(Supplier<? extends Connection> maker, Runnable failed);
 }
--- a/src/main/java/mothwing/net/FrontRequest.java
+++ b/src/main/java/mothwing/net/FrontRequest.java
@@ -52,22 +52,24 @@
    * @param fields its fields
    * @param body its body
    */
-  protected final void whole(String path, String query, InboundRequest.Fields fields, byte[] body) {
+  protected final void handle(
+      String path, String query, InboundRequest.Fields fields, byte[] body) {
     if (path.equals("/ping")) {
-      broker.check(Headers.probes(query), good -> answer(good ? 200 : 503, List.of(), NOTHING));
+      broker.healthCheck(
+          Headers.probes(query), good -> answer(good ? 200 : 503, List.of(), NOTHING));
       return;
     }
     if (path.equals("/counts")) {
       answer(200, List.of(), (broker.counts() + "\n").getBytes(StandardCharsets.UTF_8));
       return;
     }
-    long advice = broker.sheds(path);
+    long advice = broker.retryAfterIfOverloaded(path);
     if (advice >= 0) {
-      refused(false, advice);
+      sendRejection(false, advice);
       return;
     }
     try {
-      exchange = broker.read(fields.at(path, body), this);
+      exchange = broker.submit(fields.toRequest(path, body), this);
     } catch (InboundRequest.InvalidRequestException bad) {
       reject(bad.getMessage());
     }
@@ -87,32 +89,32 @@
   }
 
   /** Its caller has left. */
-  public final void leave() {
+  public final void cancel() {
     if (exchange != null) {
-      broker.gone(exchange);
+      broker.cancelled(exchange);
     }
   }
 
   private void answer(int status, List<String[]> more, byte[] content) {
     List<String[]> fields = new ArrayList<>(more);
-    broker.feedback().ifPresent(value -> fields.add(Headers.feedback(value)));
+    broker.freeValue().ifPresent(value -> fields.add(Headers.feedback(value)));
     fields.add(new String[] {"Content-Type", "application/octet-stream"});
     fields.add(new String[] {"Content-Length", Integer.toString(content.length)});
     write(status, fields, content);
   }
 
   @Override
-  public final void served(byte[] result) {
+  public final void sendResult(byte[] result) {
     answer(200, List.of(), result);
   }
 
   @Override
-  public final void refused(boolean last, long holdOffMs) {
+  public final void sendRejection(boolean last, long holdOffMs) {
     answer(503, Headers.refusal(last, holdOffMs), NOTHING);
   }
 
   @Override
-  public final void failed(String code) {
+  public final void sendFailure(String code) {
     answer(500, List.of(), code.getBytes(StandardCharsets.ISO_8859_1));
   }
 }
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -328,7 +328,7 @@
       return;
     }
     Connection connection = maker.get();
-    connection.inTurns(turns);
+    connection.limitReads(turns);
     table.add(connection);
     accepted.closeFuture().addListener(closed -> table.remove(connection));
     accepted.pipeline().addLast(connection);
--- a/src/main/java/mothwing/net/ReadBudget.java
+++ b/src/main/java/mothwing/net/ReadBudget.java
@@ -48,12 +48,12 @@
     seenAt = timers.now();
   }
 
-  /** Whether a connection may take a further piece now, or is to {@link #await} its turn. */
-  boolean open() {
+  /** Whether a connection may take a further piece now, or is to {@link #enqueue} its turn. */
+  boolean hasBudget() {
     if (!asked) { // the first piece of this turn
       asked = true;
       until = timers.now() + SPAN;
-      timers.at(timers.now() + PAUSE, this::next);
+      timers.schedule(timers.now() + PAUSE, this::next);
       return true;
     }
     return (going || waiting.isEmpty()) && timers.now() < until;
@@ -63,7 +63,7 @@
    * Takes a connection that has something to take, and reads nothing from its other end until its
    * turn comes.
    */
-  void await(Connection connection) {
+  void enqueue(Connection connection) {
     waiting.add(connection);
   }
 
@@ -73,7 +73,7 @@
    *
    * @return true for the share that this process cannot decide
    */
-  public boolean sheds() {
+  public boolean isOverloaded() {
     owed += share;
     if (owed < 1) {
       return false;
@@ -85,8 +85,8 @@
   private void next() {
     asked = false;
     going = true;
-    for (int left = waiting.size(); left > 0 && open(); left--) {
-      waiting.remove().goOn();
+    for (int left = waiting.size(); left > 0 && hasBudget(); left--) {
+      waiting.remove().resumeReading();
     }
     going = false;
     look(timers.now());
--- a/src/main/java/mothwing/net/TcpConnector.java
+++ b/src/main/java/mothwing/net/TcpConnector.java
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void dial(Supplier<? extends Connection> maker, Runnable failed) {
+  public void connect(Supplier<? extends Connection> maker, Runnable failed) {
     new Bootstrap()
         .group(loop)
         .channelFactory(RetryingSocketChannel::new)
--- a/src/main/java/mothwing/overload/BackpressureSignal.java
+++ b/src/main/java/mothwing/overload/BackpressureSignal.java
@@ -83,7 +83,8 @@
         && (share != said || meaning != saidAs)) {
       said = share;
       saidAs = meaning;
-      host.say(meaning == FreeValue.LEVEL ? (share >= 1 ? 0 : Math.min(0.95, 1 - share)) : share);
+      host.publishFreeValue(
+          meaning == FreeValue.LEVEL ? (share >= 1 ? 0 : Math.min(0.95, 1 - share)) : share);
     }
   }
 
@@ -95,10 +96,10 @@
     double rate = Math.max(2 * settings.get().machine().cores(), reads * SECOND / age);
     boolean storm = refusedWork > readWork * (trimmed ? STORM : STORM_OVER);
     boolean seldom = settings.get().callers() > REUSE_SECONDS * rate && !storm;
-    long idle = settings.get().signals().idle();
+    long idle = settings.get().signals().idleTimeout();
     if (idle > TRIM_LEAST && seldom != trimmed) {
       trimmed = seldom;
-      host.trimIdle(seldom ? TRIM_LEAST : idle);
+      host.closeIdleConnections(seldom ? TRIM_LEAST : idle);
     }
   }
 }
--- a/src/main/java/mothwing/overload/OverloadController.java
+++ b/src/main/java/mothwing/overload/OverloadController.java
@@ -132,7 +132,7 @@
     }
 
     boolean guarded() {
-      return kind.repeats() == Idempotency.GUARDED;
+      return kind.idempotency() == Idempotency.GUARDED;
     }
   }
 
@@ -215,17 +215,17 @@
     Settings before = settings;
     settings = to;
     cores = Math.max(1, to.machine().cores());
-    long round = Math.max(1, to.round());
+    long round = Math.max(1, to.batchInterval());
     sample = (SAMPLE + round - 1) / round * round;
     margin = DUE_MARGIN * sample;
-    planned = to.machine().memory() * MEMORY_SHARE;
+    planned = to.machine().memoryKb() * MEMORY_SHARE;
     dearestCaller =
         to.classes().stream()
-            .filter(RequestClass::calls)
-            .mapToDouble(RequestClass::worth)
+            .filter(RequestClass::callsDependency)
+            .mapToDouble(RequestClass::priorityWeight)
             .max()
             .orElse(0);
-    double part = to.dependency().share();
+    double part = to.dependency().concurrencyQuota();
     callsMost = part > 0 ? Math.ceil(Math.max(1, 2 * part)) : MANY;
     callTimeMost = CALLS_BURST * (part > 0 ? part * to.dependency().window() : MANY * MANY);
     callFlow = part > 0 ? part * CALLS_FLOW : MANY;
@@ -243,7 +243,7 @@
       if (i >= known || !kind.name().equals(before.classes().get(i).name())) {
         pace[i] = paceOfAll;
         runs[i] = 0;
-        callsPer[i] = kind.calls() ? 1 : 0;
+        callsPer[i] = kind.callsDependency() ? 1 : 0;
         for (double[] ofAnother : List.of(tokens, offered, coming)) {
           Arrays.fill(ofAnother, 2 * i, 2 * i + 2, 0);
         }
@@ -259,36 +259,40 @@
   }
 
   @Override
-  public void retuned(long at, Settings to) {
+  public void settingsChanged(long at, Settings to) {
     advance(at);
     take(to);
   }
 
   @Override
-  public void started(long at) {
+  public void serverStarted(long at) {
     now = at;
     startedAt = at;
     lastSample = at;
     ladder.started(at);
-    host.health(true, true);
-    host.timer(at + sample, TICK);
+    host.setHealth(true, true);
+    host.scheduleTimer(at + sample, TICK);
   }
 
   // reading
 
   @Override
-  public void read(long at, Request request) {
+  public void requestRead(long at, Request request) {
     advance(at);
-    RequestClass kind = settings.classes().get(request.requestClass());
-    TrackedRequest job = new TrackedRequest(request, kind, at - request.unread());
-    long due = request.waitsUntil() > 0 ? request.waitsUntil() : job.arrived + kind.deadline();
+    RequestClass kind = settings.classes().get(request.classIndex());
+    TrackedRequest job = new TrackedRequest(request, kind, at - request.queueingDelay());
+    long due =
+        request.callerDeadline() > 0 ? request.callerDeadline() : job.arrived + kind.deadline();
     job.due = draining ? Math.min(due, stopAt) : due;
-    job.unit = request.cost() > 0 ? request.cost() : kind.aim() * PRIOR_WORK;
-    job.aimBy = job.arrived + kind.aim();
-    job.overShare = request.tenant() >= 0 && quotaTokens[request.tenant()] < 0;
+    job.unit =
+        request.estimatedCoreTime() > 0
+            ? request.estimatedCoreTime()
+            : kind.latencyObjective() * PRIOR_WORK;
+    job.aimBy = job.arrived + kind.latencyObjective();
+    job.overShare = request.tenantIndex() >= 0 && quotaTokens[request.tenantIndex()] < 0;
     job.worth = worth(job);
     open.put(request.id(), job);
-    memory += request.memory();
+    memory += request.memoryKb();
     offered[bucket(job)] += expected(job);
     coming[bucket(job)] += job.unit;
     callers.read(expected(job));
@@ -310,7 +314,7 @@
       turnAway(job);
       return;
     }
-    int tenant = job.request.tenant();
+    int tenant = job.request.tenantIndex();
     if (tenant >= 0) {
       quotaTokens[tenant] = Math.max(-quota(tenant), quotaTokens[tenant] - 1);
     }
@@ -321,16 +325,16 @@
 
   /** A repeat whose forerunner is held or ran follows it; it is never run or turned away. */
   private boolean followsForerunner(TrackedRequest job) {
-    String before = job.request.forerunner();
+    String before = job.request.originalId();
     if (before == null || refusedNow.contains(before)) {
       return false;
     }
-    if (job.guarded() || settings.freshFor() > 0 || open.containsKey(before)) {
+    if (job.guarded() || settings.cacheLifetime() > 0 || open.containsKey(before)) {
       if (now + margin >= job.due || memory > planned) { // waiting repeats must not fill the memory
         answerFailed(job);
       } else {
         job.state = State.REPLAYING;
-        host.replay(job.request.id());
+        host.replayResult(job.request.id());
       }
       return true;
     }
@@ -341,12 +345,12 @@
    * Every read must leave room for its run, for the runs planned and for a batch of further reads.
    */
   private boolean roomFor(TrackedRequest job) {
-    double entry = job.guarded() ? settings.machine().entryMemory() : 0;
+    double entry = job.guarded() ? settings.machine().keyMemoryKb() : 0;
     return memory + entry + Math.max(0, running.limit() - onCores) * extra(job) <= planned;
   }
 
   private double extra(TrackedRequest job) {
-    return job.request.memory() * (settings.machine().runFactor() - 1);
+    return job.request.memoryKb() * (settings.machine().runMemoryFactor() - 1);
   }
 
   private boolean takeTokens(TrackedRequest job) {
@@ -366,9 +370,9 @@
    * A failing server looks quick and idle, a failing dependency wastes core time: little is tried.
    */
   private boolean faulty(TrackedRequest job) {
-    boolean dear = job.kind.worth() >= dearestCaller;
+    boolean dear = job.kind.priorityWeight() >= dearestCaller;
     return faults[RUNS] > FAULTS
-        || job.kind.calls() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2);
+        || job.kind.callsDependency() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2);
   }
 
   private void account(int place, boolean good) {
@@ -393,10 +397,12 @@
           return false; // in a crowd that is most of them: no need to add up the rest
         }
       }
-      calls += job.kind.calls() && first && !other.answered ? callsLeft(other) : 0;
+      calls += job.kind.callsDependency() && first && !other.answered ? callsLeft(other) : 0;
     }
     return spare >= 0
-        && (!job.kind.calls() || job.kind.skipWorth() > 0 || calls / callFlow <= spare);
+        && (!job.kind.callsDependency()
+            || job.kind.degradedWeightRatio() > 0
+            || calls / callFlow <= spare);
   }
 
   /**
@@ -407,8 +413,8 @@
     for (int i = 0; i < coming.length; i++) {
       RequestClass kind = settings.classes().get(i / 2);
       double cost = pace[i / 2] * strain;
-      double value = kind.worth() * (i % 2 == 0 ? 1 : settings.overShareWorth());
-      double worth = settings.worthByWork() ? value : value / (job.unit * cost);
+      double value = kind.priorityWeight() * (i % 2 == 0 ? 1 : settings.overQuotaWeightRatio());
+      double worth = settings.weightByWork() ? value : value / (job.unit * cost);
       work += worth > BETTER * job.worth ? coming[i] * cost : 0;
     }
     return Math.min(
@@ -418,7 +424,7 @@
   /** Call time that a request is still expected to take from the dependency. */
   private double callsLeft(TrackedRequest job) {
     int waiting = job.state == State.AT_CALL || job.state == State.CALLING ? 1 : 0;
-    double left = callsPer[job.request.requestClass()] - job.stood + waiting;
+    double left = callsPer[job.request.classIndex()] - job.stood + waiting;
     return job.state == State.REPLAYING ? 0 : callPace * Math.max(waiting, left);
   }
 
@@ -440,7 +446,7 @@
 
   /** Until when an answer has any worth. */
   private long worthUntil(TrackedRequest job) {
-    return job.kind.lateWorth() > 0 ? job.due : Math.min(job.aimBy, job.due);
+    return job.kind.lateWeightRatio() > 0 ? job.due : Math.min(job.aimBy, job.due);
   }
 
   /** Worth for expected core time, then arrival. */
@@ -451,8 +457,9 @@
   // what a request is worth and costs
 
   private double worth(TrackedRequest job) {
-    double value = job.kind.worth() * (job.overShare ? settings.overShareWorth() : 1);
-    return settings.worthByWork() ? value : value / expected(job);
+    double value =
+        job.kind.priorityWeight() * (job.overShare ? settings.overQuotaWeightRatio() : 1);
+    return settings.weightByWork() ? value : value / expected(job);
   }
 
   private double expected(TrackedRequest job) {
@@ -460,7 +467,7 @@
   }
 
   private double usual(TrackedRequest job) {
-    return job.unit * pace[job.request.requestClass()];
+    return job.unit * pace[job.request.classIndex()];
   }
 
   private double left(TrackedRequest job) {
@@ -473,11 +480,13 @@
   }
 
   private double quota(int tenant) {
-    return settings.tenants().get(tenant).quota() / Math.max(1, settings.replicas()) * QUOTA_LEEWAY;
+    return settings.tenants().get(tenant).requestsPerSecond()
+        / Math.max(1, settings.replicas())
+        * QUOTA_LEEWAY;
   }
 
   private int bucket(TrackedRequest job) {
-    return 2 * job.request.requestClass() + (job.overShare ? 1 : 0);
+    return 2 * job.request.classIndex() + (job.overShare ? 1 : 0);
   }
 
   // answers
@@ -487,14 +496,15 @@
    * own.
    */
   private void turnAway(TrackedRequest job) {
-    boolean cold = settings.machine().cold() && now < startedAt + settings.rules().warmAfter();
+    boolean cold =
+        settings.machine().coldStart() && now < startedAt + settings.rules().warmUpDuration();
     boolean own = draining || faults[RUNS] > FAULTS || cold || stuck();
-    long longest = settings.signals().mayAdvise() ? settings.signals().longestAdvice() : 0;
+    long longest = settings.signals().retryAfterHonoured() ? settings.signals().maxRetryAfter() : 0;
     long byFilter = longest * ladder.filter() / (2 * FilterLadder.INNER_FILTERS);
-    host.refuse(job.request.id(), !own, own ? longest : byFilter);
+    host.rejectRequest(job.request.id(), !own, own ? longest : byFilter);
     refusedNow.add(job.request.id());
     if (dropKey(job.request.id())) {
-      host.forget(job.request.id());
+      host.forgetKey(job.request.id());
     }
     close(job);
   }
@@ -511,11 +521,11 @@
 
   /** Answers with a failure; running work is stopped in the same reply where that is possible. */
   private void answerFailed(TrackedRequest job) {
-    host.fail(job.request.id());
+    host.failRequest(job.request.id());
     job.answered = true;
     stop(job);
     if (job.state == State.CALLING) {
-      lingering.add(now + settings.dependency().linger());
+      lingering.add(now + settings.dependency().abandonedCallDuration());
       job.state = State.AT_CALL;
       calling--;
     } else if (job.state != State.RUNNING && job.state != State.AT_CALL) {
@@ -524,8 +534,8 @@
   }
 
   private void stop(TrackedRequest job) {
-    if (job.state == State.RUNNING && settings.machine().halting() != StopMode.NONE) {
-      host.halt(job.request.id());
+    if (job.state == State.RUNNING && settings.machine().stopMode() != StopMode.NONE) {
+      host.stopRun(job.request.id());
     }
   }
 
@@ -537,9 +547,9 @@
     leaveCore(job);
     if (job.state == State.CALLING) { // its caller left: the dependency does not know yet
       calling--;
-      lingering.add(now + settings.dependency().linger());
+      lingering.add(now + settings.dependency().abandonedCallDuration());
     }
-    memory -= job.request.memory() + (job.ran ? extra(job) : 0);
+    memory -= job.request.memoryKb() + (job.ran ? extra(job) : 0);
   }
 
   private void leaveCore(TrackedRequest job) {
@@ -556,23 +566,23 @@
   }
 
   private void remember(TrackedRequest job) {
-    long until = Math.max(now + sample, job.arrived + job.kind.window() + sample);
-    host.remember(job.request.id(), until - now);
+    long until = Math.max(now + sample, job.arrived + job.kind.idempotencyWindow() + sample);
+    host.rememberKey(job.request.id(), until - now);
     keys.add(job.request.id());
     expiry.add(new Expiry(until, job.request.id()));
-    memory += settings.machine().entryMemory();
+    memory += settings.machine().keyMemoryKb();
   }
 
   private boolean dropKey(String id) {
     boolean live = keys.remove(id);
-    memory -= live ? settings.machine().entryMemory() : 0;
+    memory -= live ? settings.machine().keyMemoryKb() : 0;
     return live;
   }
 
   // running
 
   @Override
-  public void gone(long at, String id) {
+  public void requestCancelled(long at, String id) {
     advance(at);
     TrackedRequest job = open.get(id);
     if (job == null) {
@@ -586,7 +596,7 @@
   }
 
   @Override
-  public void atCall(long at, String id) {
+  public void callAwaited(long at, String id) {
     advance(at);
     TrackedRequest job = open.get(id);
     if (job == null) {
@@ -598,7 +608,7 @@
     job.calls = 0;
     job.callAgain = now;
     if (job.answered) {
-      host.fail(id);
+      host.failRequest(id);
     }
   }
 
@@ -611,21 +621,21 @@
     }
     calling--;
     callPace += (now - job.calledAt - callPace) * CALL_LEARN;
-    account(CALLS, outcome == RunOutcome.GOOD);
-    if (outcome == RunOutcome.GOOD) {
+    account(CALLS, outcome == RunOutcome.SUCCEEDED);
+    if (outcome == RunOutcome.SUCCEEDED) {
       enterCore(job);
       return;
     }
     // given up, or cut off with its link
-    boolean mayRunOn = !outcome.neverRan() && outcome != RunOutcome.FAILED;
+    boolean mayRunOn = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
     if (mayRunOn) {
-      lingering.add(now + settings.dependency().linger());
+      lingering.add(now + settings.dependency().abandonedCallDuration());
     }
     job.state = State.AT_CALL;
     job.callAgain = now + (sample << Math.min(job.calls, 2 * CALL_TRIES));
-    boolean again = outcome.neverRan() || job.kind.repeats() == Idempotency.SAFE;
+    boolean again = outcome.provesNoEffect() || job.kind.idempotency() == Idempotency.SAFE;
     boolean over = (!again || job.calls >= CALL_TRIES) && !job.answered;
-    if (over && job.kind.skipWorth() > 0) {
+    if (over && job.kind.degradedWeightRatio() > 0) {
       job.calls = CALL_TRIES; // the poorer answer is left
     } else if (over) {
       answerFailed(job);
@@ -633,7 +643,7 @@
   }
 
   @Override
-  public void finished(long at, String id, RunOutcome outcome, long took) {
+  public void runEnded(long at, String id, RunOutcome outcome, long took) {
     advance(at);
     TrackedRequest job = open.get(id);
     if (job == null) {
@@ -642,13 +652,13 @@
     boolean replayed = job.state == State.REPLAYING;
     if (outcome == RunOutcome.STOPPED && !job.answered) {
       leaveCore(job);
-      job.state = settings.machine().halting() == StopMode.SUSPEND ? State.PAUSED : State.HELD;
+      job.state = settings.machine().stopMode() == StopMode.SUSPEND ? State.PAUSED : State.HELD;
       return;
     }
     close(job);
     job.used =
         took > 0 && job.used - took > sample ? took : job.used; // the rest: we heard of it late
-    if (!replayed && outcome == RunOutcome.GOOD) {
+    if (!replayed && outcome == RunOutcome.SUCCEEDED) {
       account(RUNS, true);
       learn(job);
     } else if (!replayed && outcome == RunOutcome.FAILED) {
@@ -658,7 +668,7 @@
 
   /** Learns core time for a unit of expected work, by class; the first runs count in full. */
   private void learn(TrackedRequest job) {
-    int place = job.request.requestClass();
+    int place = job.request.classIndex();
     weigh(job, job.used);
     done += usual(job);
     doneWork += expected(job);
@@ -676,7 +686,7 @@
   private void fadePaces(double span) {
     callPace *= calling > 0 ? 1 : Math.max(0, 1 - span / STRAIN_SECONDS);
     for (int i = 0; i < pace.length; i++) {
-      double aim = settings.classes().get(i).aim();
+      double aim = settings.classes().get(i).latencyObjective();
       if (runs[i] > 0 && now - learnedAt[i] > STALE * aim) {
         pace[i] += (paceOfAll - pace[i]) * Math.min(1, span * SECOND / aim);
       }
@@ -706,7 +716,7 @@
   }
 
   @Override
-  public void drain(long at, long stop) {
+  public void shutdownRequested(long at, long stop) {
     advance(at);
     draining = true;
     noticeAt = at;
@@ -714,12 +724,12 @@
     for (TrackedRequest job : open.values()) {
       job.due = Math.min(job.due, stopAt);
     }
-    host.health(true, false);
+    host.setHealth(true, false);
     callers.leave();
   }
 
   @Override
-  public void settled(long at) {
+  public void batchEnded(long at) {
     advance(at);
     sweep();
     startWork();
@@ -747,7 +757,8 @@
     List<TrackedRequest> waiting = new ArrayList<>();
     for (TrackedRequest job : open.values()) {
       if (!job.answered && (job.state == State.HELD || job.state == State.PAUSED)) {
-        job.worth = worth(job) * (now + expected(job) <= job.aimBy ? 1 : job.kind.lateWorth());
+        job.worth =
+            worth(job) * (now + expected(job) <= job.aimBy ? 1 : job.kind.lateWeightRatio());
         waiting.add(job);
       }
     }
@@ -763,7 +774,7 @@
   }
 
   private void start(TrackedRequest job) {
-    host.start(job.request.id());
+    host.startRun(job.request.id());
     if (!job.ran) {
       job.ran = true;
       memory += extra(job);
@@ -774,11 +785,13 @@
   /** The crowd that this server survives now: a cold one survives less. */
   private double survivable() {
     double speed = 1;
-    if (settings.machine().cold() && settings.rules().warmAfter() > 0) {
-      double age = (double) (now - startedAt) / settings.rules().warmAfter();
-      speed = Math.min(1, settings.rules().coldSpeed() + (1 - settings.rules().coldSpeed()) * age);
+    if (settings.machine().coldStart() && settings.rules().warmUpDuration() > 0) {
+      double age = (double) (now - startedAt) / settings.rules().warmUpDuration();
+      speed =
+          Math.min(
+              1, settings.rules().coldSpeedRatio() + (1 - settings.rules().coldSpeedRatio()) * age);
     }
-    return (1 + (settings.rules().crowdPerCore() - 1) * speed) * cores;
+    return (1 + (settings.rules().concurrencyPerCore() - 1) * speed) * cores;
   }
 
   private int runningBound() {
@@ -809,7 +822,7 @@
           job.calls >= CALL_TRIES || now + callPace + left(job) + margin > worthUntil(job);
       if (onCores + calling >= Math.max(1, crowdCeiling())) {
         return; // what returns takes a core again
-      } else if (late && job.kind.skipWorth() > 0) {
+      } else if (late && job.kind.degradedWeightRatio() > 0) {
         host.skipCall(job.request.id());
         enterCore(job);
       } else if (mine && callRoom > 0) {
@@ -821,7 +834,7 @@
             Math.min(
                 Math.min(job.due - 2 * margin, worthUntil(job)),
                 now + (long) (callTime / callsMost));
-        host.call(job.request.id(), Math.max(now + settings.round(), until));
+        host.startCall(job.request.id(), Math.max(now + settings.batchInterval(), until));
       }
     }
   }
@@ -840,7 +853,8 @@
     }
     coreClock += span * Math.min(1, (double) cores / Math.max(1, onCores));
     crowd +=
-        (onCores - crowd) * (1 - Math.exp(-span / Math.max(1, settings.rules().crowdWindow())));
+        (onCores - crowd)
+            * (1 - Math.exp(-span / Math.max(1, settings.rules().concurrencyWindow())));
     double rate = callFlow - callsInHand();
     callTime = Math.min(callTimeMost, callTime + rate * span);
     callRoom = Math.min(callFlow * VOLUME * SECOND, callRoom + rate * span);
@@ -854,9 +868,9 @@
   }
 
   @Override
-  public void timer(long at, String tag, GaugeSample sampled) {
+  public void timerFired(long at, String tag, GaugeSample sampled) {
     advance(at);
-    host.timer(at + sample, TICK);
+    host.scheduleTimer(at + sample, TICK);
     boolean stalled = at - lastSample > STALL * sample && !late;
     late = at - lastSample > STALL * sample; // again and again: it is short of processor time
     double span = (at - lastSample) / SECOND;
@@ -872,7 +886,7 @@
       observe(sampled, span);
     }
     int steps = (int) Math.max(1, Math.min(LoadIndex.HISTORY, span * SECOND / sample));
-    if (sampled.known() || settings.machine().gauges().isEmpty()) {
+    if (sampled.isKnown() || settings.machine().gaugeNames().isEmpty()) {
       boolean waits =
           onCores >= running.limit()
               && open.values().stream().anyMatch(job -> job.state == State.HELD && !job.answered);
@@ -938,8 +952,9 @@
 
   private double weight(int bucket) {
     RequestClass kind = settings.classes().get(bucket / 2);
-    double unit = settings.worthByWork() ? 1 : pace[bucket / 2] * kind.aim();
-    double value = kind.worth() / unit * (bucket % 2 == 1 ? settings.overShareWorth() : 1);
+    double unit = settings.weightByWork() ? 1 : pace[bucket / 2] * kind.latencyObjective();
+    double value =
+        kind.priorityWeight() / unit * (bucket % 2 == 1 ? settings.overQuotaWeightRatio() : 1);
     return value * value;
   }
 
@@ -950,7 +965,7 @@
     int index =
         loadIndex.take(
             busy,
-            memory / Math.max(1, settings.machine().memory()),
+            memory / Math.max(1, settings.machine().memoryKb()),
             gauge(sampled, "runnable", onCores) / survivable(),
             holdWait());
     doneRate += (doneWork / SECOND / span - doneRate) * Math.min(1, span / 2);
@@ -966,7 +981,7 @@
    * A gauge of this moment; where it is not known, what this server's own book of runs makes of it.
    */
   private double gauge(GaugeSample sampled, String name, double byOwnBook) {
-    int place = settings.machine().gauges().indexOf(name);
+    int place = settings.machine().gaugeNames().indexOf(name);
     return place >= 0 && place < sampled.gauges().size() ? sampled.gauges().get(place) : byOwnBook;
   }
 
--- a/src/main/java/mothwing/peer/MembershipMessageCodec.java
+++ b/src/main/java/mothwing/peer/MembershipMessageCodec.java
@@ -93,7 +93,7 @@
     out.packInt(Keys.ZONE).packString(one.zone());
     out.packInt(Keys.INCARNATION).packLong(one.incarnation());
     out.packInt(Keys.STATE).packInt(one.state().ordinal());
-    out.packInt(Keys.BY).packString(one.by());
+    out.packInt(Keys.BY).packString(one.reportedBy());
   }
 
   /**
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -162,7 +162,7 @@
                   return;
                 }
                 datagrams = second.channel();
-                log.line(
+                log.write(
                     "fleet-joins fleet="
                         + fleet.name()
                         + " listen="
@@ -181,14 +181,14 @@
   private void again(Throwable why) {
     if (!complained) {
       complained = true;
-      log.line(
+      log.write(
           "fleet-waits listen="
               + Addresses.text(fleet.listen())
               + " what=\""
               + why.getMessage()
               + "\"");
     }
-    timers.at(timers.now() + BIND_AGAIN, this::start);
+    timers.schedule(timers.now() + BIND_AGAIN, this::start);
   }
 
   /**
@@ -249,7 +249,7 @@
     all.put("zone", one.zone());
     all.put("start", Long.toHexString(one.start()));
     all.put("incarnation", one.incarnation());
-    all.put("by", one.by());
+    all.put("by", one.reportedBy());
     all.put("flapping", flaps);
     return all;
   }
@@ -307,7 +307,7 @@
   private void kept(Channel one) {
     streams.add(one);
     one.closeFuture().addListener(closed -> streams.remove(one));
-    timers.at(timers.now() + STREAM_PATIENCE, one::close);
+    timers.schedule(timers.now() + STREAM_PATIENCE, one::close);
   }
 
   private InetSocketAddress address(String text) {
@@ -321,11 +321,11 @@
 
   @Override
   public void changed(MembershipEvent change) {
-    MemberRecord of = change.claim();
-    counters.add("member-" + change.what().name().toLowerCase(Locale.ROOT));
-    log.line(
+    MemberRecord of = change.member();
+    counters.add("member-" + change.type().name().toLowerCase(Locale.ROOT));
+    log.write(
         "member what="
-            + change.what().name().toLowerCase(Locale.ROOT)
+            + change.type().name().toLowerCase(Locale.ROOT)
             + " name="
             + of.name()
             + " address="
@@ -337,7 +337,7 @@
             + " incarnation="
             + of.incarnation()
             + " by="
-            + of.by()
+            + of.reportedBy()
             + " version="
             + change.version());
   }
@@ -361,7 +361,7 @@
       membership.received(message);
     } catch (RuntimeException broken) {
       counters.add("faults");
-      log.line(
+      log.write(
           "fault side=peer what=\""
               + broken
               + "\""
--- a/src/main/java/mothwing/pool/WorkerPoolClient.java
+++ b/src/main/java/mothwing/pool/WorkerPoolClient.java
@@ -53,7 +53,7 @@
   private final EventLog log;
   private Connector dialer;
   private Broker broker;
-  private WorkerPoolConnection link;
+  private WorkerPoolConnection attach;
   private WorkerPoolConnection former;
   private long last;
   private long wait;
@@ -84,7 +84,7 @@
    *
    * @param to takes what the pool says
    */
-  public void link(Broker to) {
+  public void attach(Broker to) {
     broker = to;
     dial();
     look();
@@ -102,13 +102,13 @@
     long now = timers.now();
     boolean stoodStill = now - lookedAt > 2 * LOOK;
     lookedAt = now;
-    timers.at(now + LOOK, this::look);
-    if (link != null) {
-      link.askAgain();
+    timers.schedule(now + LOOK, this::look);
+    if (attach != null) {
+      attach.askAgain();
     }
-    if (!stoodStill && !dialing && link != null && link.silentFor(now) > patience) {
+    if (!stoodStill && !dialing && attach != null && attach.silentFor(now) > patience) {
       counters.add("pool-silent-link");
-      log.line("pool-silent ms=" + link.silentFor(now) / MILLI);
+      log.write("pool-silent ms=" + attach.silentFor(now) / MILLI);
       patience =
           Math.min(
               8 * SILENT,
@@ -122,7 +122,7 @@
    *
    * @param elsewhere opens links to the new address
    */
-  public void moved(Connector elsewhere) {
+  public void changeAddress(Connector elsewhere) {
     dialer = elsewhere;
     wait = 0;
     if (broker != null) {
@@ -137,7 +137,7 @@
     dialing = true;
     int mine = ++dials;
     Supplier<Connection> maker = () -> new WorkerPoolConnection(this, mine, broker, log, counters);
-    dialer.dial(maker, () -> again(mine));
+    dialer.connect(maker, () -> again(mine));
   }
 
   /**
@@ -150,7 +150,7 @@
     }
     dialing = true;
     counters.add("pool-relinks");
-    timers.at(
+    timers.schedule(
         timers.now() + wait,
         () -> {
           if (mine == dials) {
@@ -169,10 +169,10 @@
     }
     dialing = false;
     leaveFormer();
-    former = link;
-    link = opened;
+    former = attach;
+    attach = opened;
     if (former != null) {
-      broker.unlinked();
+      broker.poolDisconnected();
     }
     return true;
   }
@@ -208,7 +208,7 @@
       return false;
     }
     if (place > last + 1) {
-      log.line("pool-gap after=" + last + " next=" + place);
+      log.write("pool-gap after=" + last + " next=" + place);
       if (gapAfter != last) {
         gapAfter = last;
         on.close(CloseReason.MISSED, "");
@@ -234,19 +234,19 @@
   }
 
   void ended(WorkerPoolConnection which) {
-    if (link == which) {
-      link = null;
+    if (attach == which) {
+      attach = null;
       if (which.caughtUp()) {
         wait = waitAfter(timers.now() - which.openedAt());
       }
-      log.line(
+      log.write(
           "pool-link-lost lived_ms="
               + (timers.now() - which.openedAt()) / MILLI
               + " caught_up="
               + which.caughtUp()
               + " next_ms="
               + wait / MILLI);
-      broker.unlinked();
+      broker.poolDisconnected();
       if (!dialing) {
         again(dials);
       }
@@ -262,54 +262,54 @@
   }
 
   @Override
-  public boolean ready() {
-    return link != null && link.ready();
+  public boolean isReady() {
+    return attach != null && attach.isReady();
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
-    return ready() && link.spawn(exchange);
+  public boolean startRun(Exchange exchange) {
+    return isReady() && attach.startRun(exchange);
   }
 
   @Override
-  public void suspend(String id) {
-    if (ready()) {
-      link.suspend(id);
+  public void stopRun(String id) {
+    if (isReady()) {
+      attach.stopRun(id);
     }
   }
 
   @Override
-  public void proceed(String id) {
-    if (ready()) {
-      link.proceed(id);
+  public void resumeRun(String id) {
+    if (isReady()) {
+      attach.resumeRun(id);
     }
   }
 
   @Override
-  public void supply(String id, byte[] result) {
-    if (ready()) {
-      link.supply(id, result);
+  public void resumeWithResult(String id, byte[] result) {
+    if (isReady()) {
+      attach.resumeWithResult(id, result);
     }
   }
 
   @Override
-  public void pass(String id) {
-    if (ready()) {
-      link.pass(id);
+  public void resumeWithoutResult(String id) {
+    if (isReady()) {
+      attach.resumeWithoutResult(id);
     }
   }
 
   @Override
-  public void poll(String echo) {
-    if (ready()) {
-      link.poll(echo);
+  public void requestGauges(String echo) {
+    if (isReady()) {
+      attach.requestGauges(echo);
     }
   }
 
   @Override
-  public void verify(String echo) {
-    if (ready()) {
-      link.verify(echo);
+  public void startHealthCheck(String echo) {
+    if (isReady()) {
+      attach.startHealthCheck(echo);
     }
   }
 }
--- a/src/main/java/mothwing/pool/WorkerPoolConnection.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -63,13 +63,13 @@
 
   /** Asks again whether all that was missed has been read, where the pool has not answered yet. */
   void askAgain() {
-    if (ready() && !caughtUp) {
-      poll(CAUGHT_UP);
+    if (isReady() && !caughtUp) {
+      requestGauges(CAUGHT_UP);
     }
   }
 
   @Override
-  protected void opened() {
+  protected void onOpened() {
     if (pool.opened(this, dial)) {
       ask("{\"action\":\"bind\",\"pos\":" + pool.lastNotice() + "}");
     } else {
@@ -78,7 +78,7 @@
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     bound = false;
     pool.ended(this);
   }
@@ -88,7 +88,7 @@
    * link, for ever.
    */
   @Override
-  protected boolean take(ByteBuf in) throws ProtocolException {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     waitsSince = NEVER;
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE && passedOver == 0) {
@@ -122,7 +122,7 @@
 
   private void bad(String why) {
     count("bad-notices");
-    log.line("pool-bad-notice what=\"" + why + "\"");
+    log.write("pool-bad-notice what=\"" + why + "\"");
   }
 
   /** For how long nothing has come though something was asked. */
@@ -141,27 +141,29 @@
       case "bound" -> {
         bound = true;
         pool.bound();
-        broker.bound(notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
-        poll(CAUGHT_UP);
+        broker.poolConnected(
+            notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
+        requestGauges(CAUGHT_UP);
       }
       case "finished" -> finished(notice);
-      case "blocked" -> broker.blocked(notice.text("uid"), decoded(notice.text("content", "")));
+      case "blocked" ->
+          broker.runAwaitsCall(notice.text("uid"), decoded(notice.text("content", "")));
       case "polled" -> {
         if (!caughtUp) { // any answer: all missed notices come before it
           caughtUp = true;
           pool.caughtUp();
-          broker.caughtUp();
+          broker.resynchronized();
         }
         if (!notice.text("echo", "").equals(CAUGHT_UP)) {
-          broker.polled(notice.text("echo", ""), notice.numbers("meters"));
+          broker.gaugesReceived(notice.text("echo", ""), notice.numbers("meters"));
         }
       }
       case "verified" ->
-          broker.verified(notice.text("echo", ""), notice.text("code", "").equals("done"));
+          broker.healthCheckEnded(notice.text("echo", ""), notice.text("code", "").equals("done"));
       case "unknown" -> {
-        log.line("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
+        log.write("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
         if (notice.text("code", "").equals("spawn")) {
-          broker.finished(notice.text("uid", ""), RunOutcome.MOOT, 0, null);
+          broker.runEnded(notice.text("uid", ""), RunOutcome.NOT_STARTED, 0, null);
         }
       }
       default -> {}
@@ -174,16 +176,16 @@
       String code = notice.text("code");
       RunOutcome outcome =
           switch (code) {
-            case "done" -> RunOutcome.GOOD;
+            case "done" -> RunOutcome.SUCCEEDED;
             case "crashed" -> RunOutcome.FAILED;
             case "aborted" -> RunOutcome.STOPPED;
-            case "stale" -> RunOutcome.MOOT;
+            case "stale" -> RunOutcome.NOT_STARTED;
             default -> throw new ProtocolException(CloseReason.MALFORMED, "finished as " + code);
           };
-      byte[] result = outcome == RunOutcome.GOOD ? decoded(notice.text("content", "")) : null;
-      broker.finished(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
+      byte[] result = outcome == RunOutcome.SUCCEEDED ? decoded(notice.text("content", "")) : null;
+      broker.runEnded(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
     } catch (IOException | ProtocolException unreadable) { // it is over, and its result is lost
-      broker.finished(id, RunOutcome.FAILED, 0, null);
+      broker.runEnded(id, RunOutcome.FAILED, 0, null);
       throw unreadable;
     }
   }
@@ -202,26 +204,26 @@
   }
 
   private void command(String line) {
-    ByteBuf out = room(line.length() + 1);
+    ByteBuf out = allocate(line.length() + 1);
     out.writeCharSequence(line, StandardCharsets.UTF_8);
     out.writeByte('\n');
     send(out);
   }
 
   @Override
-  public boolean ready() {
-    return bound && !closed();
+  public boolean isReady() {
+    return bound && !isClosed();
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
+  public boolean startRun(Exchange exchange) {
     command(
         "{\"action\":\"spawn\",\"uid\":\""
-            + exchange.arrival().id()
+            + exchange.request().id()
             + "\",\"lane\":"
-            + GSON.toJson(exchange.arrival().kind())
+            + GSON.toJson(exchange.request().className())
             + ",\"content\":\""
-            + Base64.getEncoder().encodeToString(exchange.arrival().body())
+            + Base64.getEncoder().encodeToString(exchange.request().body())
             + "\"}");
     return true;
   }
@@ -231,17 +233,17 @@
   }
 
   @Override
-  public void suspend(String id) {
+  public void stopRun(String id) {
     named("suspend", "uid", id);
   }
 
   @Override
-  public void proceed(String id) {
+  public void resumeRun(String id) {
     named("proceed", "uid", id);
   }
 
   @Override
-  public void supply(String id, byte[] result) {
+  public void resumeWithResult(String id, byte[] result) {
     command(
         "{\"action\":\"supply\",\"uid\":\""
             + id
@@ -251,17 +253,17 @@
   }
 
   @Override
-  public void pass(String id) {
+  public void resumeWithoutResult(String id) {
     named("pass", "uid", id);
   }
 
   @Override
-  public void poll(String echo) {
+  public void requestGauges(String echo) {
     ask("{\"action\":\"poll\",\"echo\":\"" + echo + "\"}");
   }
 
   @Override
-  public void verify(String echo) {
+  public void startHealthCheck(String echo) {
     named("verify", "echo", echo);
   }
 }
--- a/src/main/java/mothwing/server/AsyncLogWriter.java
+++ b/src/main/java/mothwing/server/AsyncLogWriter.java
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void line(String line) {
+  public void write(String line) {
     if (!waiting.offer(System.currentTimeMillis() + " " + line)) {
       dropped.incrementAndGet();
     }
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -94,7 +94,7 @@
           try {
             front.reload(dns(settings));
           } catch (IOException | RuntimeException bad) {
-            log.line("reload-failed what=\"" + bad.getMessage() + "\"");
+            log.write("reload-failed what=\"" + bad.getMessage() + "\"");
           }
         });
   }
@@ -124,7 +124,7 @@
   private void leave() {
     boolean last = System.nanoTime() >= stopAt;
     if (front.drained(last) || last) {
-      log.line("leave");
+      log.write("leave");
       front.close(ended::countDown);
     } else {
       loop.schedule(this::leave, LEAVE_PERIOD_MS, TimeUnit.MILLISECONDS);
--- a/src/main/java/mothwing/server/EventLoopScheduler.java
+++ b/src/main/java/mothwing/server/EventLoopScheduler.java
@@ -21,12 +21,12 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMillis() {
     return System.currentTimeMillis();
   }
 
   @Override
-  public void at(long at, Runnable work) {
+  public void schedule(long at, Runnable work) {
     long wait = at - now();
     if (wait <= 0) {
       loop.execute(work);
--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -151,21 +151,21 @@
     long now = timers.now();
     if (now - stepAt > STOOD_STILL) {
       readUntil = now + TO_READ;
-      log.line("stood-still late_ms=" + (now - stepAt) / MILLI);
+      log.write("stood-still late_ms=" + (now - stepAt) / MILLI);
     }
     stepAt = now + PERIOD;
     boolean last = now >= Math.max(stopAt - LAST_MOMENT, readUntil);
     if (last && lastUntil == Long.MAX_VALUE) {
       lastUntil = now + TO_CLOSE;
-      broker.failOwed();
+      broker.failPending();
     }
     listeners.forEach(one -> one.trim(last ? 0 : PERIOD, CloseReason.DRAIN));
     if (now >= lastUntil
-        || broker.owed() == 0 && listeners.stream().allMatch(one -> one.open() == 0)) {
-      log.line("leave owed=" + broker.owed());
+        || broker.pendingCount() == 0 && listeners.stream().allMatch(one -> one.open() == 0)) {
+      log.write("leave owed=" + broker.pendingCount());
       loop.execute(done); // behind what was answered in this turn
     } else {
-      timers.at(stepAt, this::step);
+      timers.schedule(stepAt, this::step);
     }
   }
 }
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -100,15 +100,15 @@
         new LoadReporter(
             dialer(config.announce()),
             config.name(),
-            () -> !broker.draining() && !broker.away(),
+            () -> !broker.isDraining() && !broker.outOfRotation(),
             timers,
             counters,
             log);
     if (config.ledger() != null) {
       callBelow();
     }
-    idleSpan = config.settings().signals().idle();
-    broker.trimWith(span -> idleSpan = span);
+    idleSpan = config.settings().signals().idleTimeout();
+    broker.setIdleConnectionCloser(span -> idleSpan = span);
   }
 
   /**
@@ -132,7 +132,7 @@
 
   private void callBelow() {
     ledger = new DependencyConnectionManager(dialer(config.ledger()), timers, counters, log);
-    ledger.serve(broker);
+    ledger.attach(broker);
   }
 
   private TcpConnector dialer(InetSocketAddress to) {
@@ -164,7 +164,7 @@
               ajp));
     }
     ReadBudget turns = new ReadBudget(timers);
-    broker.shedWith(turns::sheds);
+    broker.setOverloadCheck(turns::isOverloaded);
     fronts.forEach(one -> one.listener().inTurns(turns));
     if (config.management() == null) {
       listenNow(fronts);
@@ -183,7 +183,7 @@
     }
     loop.execute(
         () -> {
-          pool.link(broker);
+          pool.attach(broker);
           announcer.start();
           if (peer != null) {
             peer.start();
@@ -191,7 +191,7 @@
           trim();
           bindingOver();
         });
-    log.line(
+    log.write(
         "start name="
             + config.name()
             + " listen="
@@ -217,7 +217,7 @@
       ClaimTable table =
           ClaimTable.open(
               file, new SecureRandom().nextLong(), boot, () -> System.nanoTime() / MILLI);
-      broker.claimWith(
+      broker.setRunClaims(
           (key, span) ->
               switch (table.claim(key, span)) {
                 case GRANTED -> RunClaims.Claim.GRANTED;
@@ -226,7 +226,7 @@
                 case UNKNOWN -> RunClaims.Claim.UNKNOWN;
               });
     } catch (IOException | RuntimeException none) {
-      log.line("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
+      log.write("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
     }
   }
 
@@ -262,11 +262,11 @@
               bound -> {
                 if (bound.isSuccess()) {
                   listeners.add(one.listener());
-                  log.line("takes-clients listen=" + one.address());
+                  log.write("takes-clients listen=" + one.address());
                   bindingOver();
                 } else {
                   failed = true;
-                  log.line(
+                  log.write(
                       "listen-failed address="
                           + one.address()
                           + " what=\""
@@ -283,13 +283,13 @@
     private final Gson json = new Gson();
 
     @Override
-    public boolean serving() {
-      return broker.serving() && listeners.size() == fronts.size();
+    public boolean isServing() {
+      return broker.isServing() && listeners.size() == fronts.size();
     }
 
     @Override
-    public String figures() {
-      Map<String, Object> all = broker.figures();
+    public String statistics() {
+      Map<String, Object> all = broker.statistics();
       all.put("config_reloads", reloads);
       all.put("config_reload_errors", reloadErrors);
       return json.toJson(all);
@@ -301,8 +301,8 @@
     }
 
     @Override
-    public boolean away(boolean away) {
-      return broker.away(away);
+    public boolean setOutOfRotation(boolean away) {
+      return broker.outOfRotation(away);
     }
   }
 
@@ -320,7 +320,7 @@
           Config before = config;
           config = before.moved(now);
           String waits = config.differences(now);
-          log.line(
+          log.write(
               "reload pool="
                   + config.pool()
                   + " announce="
@@ -332,20 +332,21 @@
                       .map(RequestClass::name)
                       .collect(Collectors.joining(","))
                   + (waits.isEmpty() ? "" : " needs-restart=" + waits));
-          broker.retune(config.settings());
-          if (config.settings().signals().idle() != before.settings().signals().idle()) {
-            idleSpan = config.settings().signals().idle();
+          broker.applySettings(config.settings());
+          if (config.settings().signals().idleTimeout()
+              != before.settings().signals().idleTimeout()) {
+            idleSpan = config.settings().signals().idleTimeout();
           }
           if (!config.pool().equals(before.pool())) {
-            pool.moved(dialer(config.pool()));
+            pool.changeAddress(dialer(config.pool()));
           }
           if (ledger == null && config.ledger() != null) {
             callBelow();
           } else if (config.ledger() != null && !config.ledger().equals(before.ledger())) {
-            ledger.moved(dialer(config.ledger()));
+            ledger.changeAddress(dialer(config.ledger()));
           }
           if (!config.announce().equals(before.announce())) {
-            announcer.moved(dialer(config.announce()));
+            announcer.changeAddress(dialer(config.announce()));
           }
         });
   }
@@ -360,12 +361,12 @@
     loop.execute(
         () -> {
           reloadErrors++;
-          log.line("reload-failed what=\"" + why + "\"");
+          log.write("reload-failed what=\"" + why + "\"");
         });
   }
 
   private void trim() {
-    timers.at(timers.now() + TRIM_PERIOD, this::trim);
+    timers.schedule(timers.now() + TRIM_PERIOD, this::trim);
     if (door != null) {
       door.trim(DOOR_PATIENCE, CloseReason.IDLE);
     }
--- a/src/main/java/mothwing/trial/BrokerFixture.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -134,16 +134,16 @@
 
   /** The pool takes the link. */
   public BrokerFixture bound() {
-    broker.bound(false, 3600 * SECOND);
+    broker.poolConnected(false, 3600 * SECOND);
     return this;
   }
 
   /** A request is read, as a front would bring it; its answer goes to the caller. */
   public Exchange ask(String id, String kind, byte[] body, ResponseSink caller) {
     InboundRequest.Fields fields = new InboundRequest.Fields();
-    Gateway.fields(id, wallMs()).forEach(fields::set);
+    Gateway.fields(id, wallClockMillis()).forEach(fields::set);
     try {
-      return broker.read(fields.at("/call/" + kind, body), caller);
+      return broker.submit(fields.toRequest("/call/" + kind, body), caller);
     } catch (InboundRequest.InvalidRequestException bad) {
       throw new IllegalArgumentException(bad.getMessage(), bad);
     }
@@ -182,7 +182,7 @@
   /** Ends a run of the pool. */
   public void finish(String id, RunOutcome outcome) {
     byte[] result = running.remove(id);
-    broker.finished(id, outcome, 1000, outcome == RunOutcome.GOOD ? result : null);
+    broker.runEnded(id, outcome, 1000, outcome == RunOutcome.SUCCEEDED ? result : null);
   }
 
   /** The name of some run, or null where there is none. */
@@ -201,23 +201,23 @@
   }
 
   @Override
-  public long wallMs() {
-    return time.wallMs();
+  public long wallClockMillis() {
+    return time.wallClockMillis();
   }
 
   @Override
-  public void at(long at, Runnable work) {
-    time.at(at, work);
+  public void schedule(long at, Runnable work) {
+    time.schedule(at, work);
   }
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return linked;
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
-    String id = exchange.arrival().id();
+  public boolean startRun(Exchange exchange) {
+    String id = exchange.request().id();
     if (!linked) {
       return false;
     }
@@ -227,35 +227,37 @@
   }
 
   @Override
-  public void suspend(String id) {
+  public void stopRun(String id) {
     if (running.remove(id) != null) {
-      at(now(), () -> broker.finished(id, RunOutcome.STOPPED, 1000, null));
+      schedule(now(), () -> broker.runEnded(id, RunOutcome.STOPPED, 1000, null));
     }
   }
 
   @Override
-  public void proceed(String id) {
+  public void resumeRun(String id) {
     running.put(id, result(id));
   }
 
   @Override
-  public void supply(String id, byte[] result) {
+  public void resumeWithResult(String id, byte[] result) {
     supplied.computeIfAbsent(id, none -> new ArrayList<>()).add(result);
   }
 
   @Override
-  public void pass(String id) {
-    supply(id, null);
+  public void resumeWithoutResult(String id) {
+    resumeWithResult(id, null);
   }
 
   @Override
-  public void poll(String echo) {
+  public void requestGauges(String echo) {
     double busy = Math.min(1, running.size() / 2.0);
-    at(now() + 200, () -> broker.polled(echo, new double[] {busy, running.size(), 0.1, 1}));
+    schedule(
+        now() + 200,
+        () -> broker.gaugesReceived(echo, new double[] {busy, running.size(), 0.1, 1}));
   }
 
   @Override
-  public void verify(String echo) {
-    at(now() + 200, () -> broker.verified(echo, true));
+  public void startHealthCheck(String echo) {
+    schedule(now() + 200, () -> broker.healthCheckEnded(echo, true));
   }
 }
--- a/src/main/java/mothwing/trial/Callers.java
+++ b/src/main/java/mothwing/trial/Callers.java
@@ -45,7 +45,7 @@
                 * SECOND
                 / trial.load().rate()); // a late one delays none
     if (nextAt < until) {
-      timers.at(
+      timers.schedule(
           nextAt,
           () -> {
             ask();
@@ -83,7 +83,8 @@
                 return;
               }
               long wait = (long) (trial.load().backoffMs() * MILLI * (0.5 + pauses.nextDouble()));
-              timers.at(timers.now() + wait, () -> once(order, attempt + 1, kind, rank, gateway));
+              timers.schedule(
+                  timers.now() + wait, () -> once(order, attempt + 1, kind, rank, gateway));
             });
   }
 
--- a/src/main/java/mothwing/trial/Deployment.java
+++ b/src/main/java/mothwing/trial/Deployment.java
@@ -196,7 +196,7 @@
         speeds.length,
         load,
         tier.name().toLowerCase(Locale.ROOT),
-        settings.machine().halting(),
-        settings.worthByWork() ? "worth by work" : "worth by request");
+        settings.machine().stopMode(),
+        settings.weightByWork() ? "worth by work" : "worth by request");
   }
 }
--- a/src/main/java/mothwing/trial/DeploymentSimulation.java
+++ b/src/main/java/mothwing/trial/DeploymentSimulation.java
@@ -87,7 +87,7 @@
       next(kind, end);
     }
     if (servers.size() > 1) {
-      time.at((long) (end * NOTICE), () -> servers.get(0).leave());
+      time.schedule((long) (end * NOTICE), () -> servers.get(0).leave());
     }
     tier.befall(end);
     servers.forEach(Server::look);
@@ -115,7 +115,7 @@
   private void next(int kind, long end) {
     long at = time.now() + (long) (-Math.log(1 - random.nextDouble()) / of.rates()[kind] * SECOND);
     if (at < end) {
-      time.at(
+      time.schedule(
           at,
           () -> {
             ask(kind);
@@ -125,8 +125,8 @@
   }
 
   private double worth(int kind) {
-    double worth = of.settings().classes().get(kind).worth();
-    return of.settings().worthByWork() ? worth * of.kinds().get(kind).meanMs() : worth;
+    double worth = of.settings().classes().get(kind).priorityWeight();
+    return of.settings().weightByWork() ? worth * of.kinds().get(kind).meanMs() : worth;
   }
 
   private void ask(int kind) {
@@ -136,17 +136,17 @@
     Asked one = new Asked(String.format("%016x", ++number), kind, server, time.now());
     asked.put(one.id, one);
     offered += worth(kind);
-    server.broker.read(
+    server.broker.submit(
         new InboundRequest(
             one.id,
-            time.wallMs(),
+            time.wallClockMillis(),
             tenants == 0 ? "" : of.settings().tenants().get(random.nextInt(tenants)).name(),
             of.settings().classes().get(kind).name(),
             of.kb(),
             random.nextDouble(),
             null,
             null,
-            InboundRequest.NOT_TOLD,
+            InboundRequest.NOT_STATED,
             new byte[0]),
         one);
   }
@@ -181,20 +181,20 @@
         breach("answered late " + id);
       }
       paused = false;
-      time.at(time.now(), () -> server.cores.over(id));
+      time.schedule(time.now(), () -> server.cores.over(id));
     }
 
     @Override
-    public void served(byte[] result) {
+    public void sendResult(byte[] result) {
       long took = time.now() - at;
-      boolean late = took > told().aim();
-      gained += took > told().deadline() ? 0 : worth(kind) * (late ? told().lateWorth() : 1);
+      boolean late = took > told().latencyObjective();
+      gained += took > told().deadline() ? 0 : worth(kind) * (late ? told().lateWeightRatio() : 1);
       answered();
     }
 
     @Override
-    public void refused(boolean last, long holdOffMs) {
-      if (runs > 0 && told().repeats() != Idempotency.SAFE) {
+    public void sendRejection(boolean last, long holdOffMs) {
+      if (runs > 0 && told().idempotency() != Idempotency.SAFE) {
         breach("ran and was refused " + id);
       }
       refused++;
@@ -202,7 +202,7 @@
     }
 
     @Override
-    public void failed(String code) {
+    public void sendFailure(String code) {
       failed++;
       answered();
     }
@@ -223,7 +223,7 @@
       for (int i = 0; i < classes.size(); i++) {
         kinds.put(classes.get(i).name(), of.kinds().get(i));
       }
-      boolean keeps = of.settings().machine().halting() == StopMode.SUSPEND;
+      boolean keeps = of.settings().machine().stopMode() == StopMode.SUSPEND;
       cores =
           new PoolCores(
               new PoolCores.Work(of.settings().machine().cores(), kinds::get, keeps),
@@ -239,8 +239,8 @@
               time,
               counters,
               line -> {});
-      broker.callWith(tier.of(broker));
-      broker.bound(false, 3600 * SECOND);
+      broker.setDependencyClient(tier.of(broker));
+      broker.poolConnected(false, 3600 * SECOND);
     }
 
     void leave() {
@@ -257,16 +257,16 @@
      * The crowd on the cores in the mean of the time that the settings name, and the memory in use.
      */
     void look() {
-      time.at(time.now() + LOOK, this::look);
+      time.schedule(time.now() + LOOK, this::look);
       int running = cores.onCores();
       crowd.add((double) running);
       crowdSum += running;
-      if (crowd.size() > of.settings().rules().crowdWindow() / LOOK) {
+      if (crowd.size() > of.settings().rules().concurrencyWindow() / LOOK) {
         crowdSum -= crowd.remove();
       }
       int most = of.settings().machine().cores();
-      if (crowdSum / (of.settings().rules().crowdWindow() / LOOK)
-          > of.settings().rules().crowdPerCore() * most) {
+      if (crowdSum / (of.settings().rules().concurrencyWindow() / LOOK)
+          > of.settings().rules().concurrencyPerCore() * most) {
         breach("felled by a crowd of " + running + " on " + most);
       }
       double kb = 0;
@@ -275,40 +275,40 @@
             one.server != this
                 ? 0
                 : one.running || one.paused
-                    ? of.kb() * of.settings().machine().runFactor()
+                    ? of.kb() * of.settings().machine().runMemoryFactor()
                     : one.answers == 0 ? of.kb() : 0;
       }
-      if (kb > of.settings().machine().memory()) {
+      if (kb > of.settings().machine().memoryKb()) {
         breach("needs " + (long) kb + " KB");
       }
       asked.values().removeIf(one -> one.answers > 0 && !one.running);
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
       return true;
     }
 
     @Override
-    public boolean spawn(Exchange exchange) {
-      Asked one = asked.get(exchange.arrival().id());
-      if (one.at > noticeAt + of.settings().rules().drainGrace()) {
+    public boolean startRun(Exchange exchange) {
+      Asked one = asked.get(exchange.request().id());
+      if (one.at > noticeAt + of.settings().rules().drainGracePeriod()) {
         breach("ran what came after the grace " + one.id);
       }
       if (one.running || one.paused) {
         return true;
       }
-      if (++one.runs > 1 && one.told().repeats() != Idempotency.SAFE) {
+      if (++one.runs > 1 && one.told().idempotency() != Idempotency.SAFE) {
         breach("ran twice " + one.id);
       }
       one.running = true;
-      time.at(
+      time.schedule(
           time.now() + WIRE,
           () ->
               cores.spawn(
                   one.id,
-                  exchange.arrival().kind(),
-                  exchange.arrival().body(),
+                  exchange.request().className(),
+                  exchange.request().body(),
                   1,
                   new PoolCores.Ends() {
                     @Override
@@ -318,20 +318,20 @@
                       one.paused =
                           stopped
                               && one.answers == 0
-                              && of.settings().machine().halting() == StopMode.SUSPEND;
-                      time.at(
+                              && of.settings().machine().stopMode() == StopMode.SUSPEND;
+                      time.schedule(
                           time.now() + WIRE,
                           () ->
-                              broker.finished(
+                              broker.runEnded(
                                   id,
-                                  stopped ? RunOutcome.STOPPED : RunOutcome.GOOD,
+                                  stopped ? RunOutcome.STOPPED : RunOutcome.SUCCEEDED,
                                   took,
                                   stopped ? null : body));
                     }
 
                     @Override
                     public void blocked(String id, byte[] content) {
-                      time.at(time.now() + WIRE, () -> broker.blocked(id, content));
+                      time.schedule(time.now() + WIRE, () -> broker.runAwaitsCall(id, content));
                       if (one.answers > 0) {
                         cores.over(id);
                       }
@@ -341,44 +341,44 @@
     }
 
     @Override
-    public void suspend(String id) {
-      time.at(time.now() + WIRE, () -> cores.suspend(id));
+    public void stopRun(String id) {
+      time.schedule(time.now() + WIRE, () -> cores.suspend(id));
     }
 
     @Override
-    public void proceed(String id) {
+    public void resumeRun(String id) {
       Asked one = asked.get(id);
       if (one != null && one.paused) {
         one.paused = false;
         one.running = true;
       }
-      time.at(time.now() + WIRE, () -> cores.proceed(id));
+      time.schedule(time.now() + WIRE, () -> cores.proceed(id));
     }
 
     @Override
-    public void supply(String id, byte[] result) {
-      time.at(time.now() + WIRE, () -> cores.supply(id));
+    public void resumeWithResult(String id, byte[] result) {
+      time.schedule(time.now() + WIRE, () -> cores.supply(id));
     }
 
     @Override
-    public void pass(String id) {
-      time.at(time.now() + WIRE, () -> cores.supply(id));
+    public void resumeWithoutResult(String id) {
+      time.schedule(time.now() + WIRE, () -> cores.supply(id));
     }
 
     @Override
-    public void poll(String echo) {
+    public void requestGauges(String echo) {
       double[] all = cores.gauges();
       List<String> names = List.of("cpu_busy", "runnable", "mem_used", "sockets");
       double[] told =
-          of.settings().machine().gauges().stream()
+          of.settings().machine().gaugeNames().stream()
               .mapToDouble(one -> all[names.indexOf(one)])
               .toArray();
-      time.at(time.now() + 2 * WIRE, () -> broker.polled(echo, told));
+      time.schedule(time.now() + 2 * WIRE, () -> broker.gaugesReceived(echo, told));
     }
 
     @Override
-    public void verify(String echo) {
-      time.at(time.now() + 2 * WIRE, () -> broker.verified(echo, true));
+    public void startHealthCheck(String echo) {
+      time.schedule(time.now() + 2 * WIRE, () -> broker.healthCheckEnded(echo, true));
     }
   }
 
@@ -402,15 +402,15 @@
     void befall(long end) {
       switch (of.tier()) {
         case SLOW -> {
-          time.at(end / 3, () -> cores.speed(0.34));
-          time.at(end * 2 / 3, () -> cores.speed(1));
+          time.schedule(end / 3, () -> cores.speed(0.34));
+          time.schedule(end * 2 / 3, () -> cores.speed(1));
         }
         case COLD -> {
           cores.speed(0.34);
-          time.at(Math.min(end / 2, 10 * SECOND), () -> cores.speed(1));
+          time.schedule(Math.min(end / 2, 10 * SECOND), () -> cores.speed(1));
         }
         case CRASHED -> {
-          time.at(
+          time.schedule(
               end / 3,
               () -> {
                 gone = true;
@@ -420,7 +420,7 @@
                 cut.clear();
                 told.forEach(Runnable::run);
               });
-          time.at(end / 3 + 2 * SECOND, () -> gone = false);
+          time.schedule(end / 3 + 2 * SECOND, () -> gone = false);
         }
         default -> {}
       }
@@ -430,20 +430,20 @@
       Map<String, String> names = new LinkedHashMap<>();
       return new DependencyClient() {
         @Override
-        public boolean make(String id, long limitMs, byte[] content) {
+        public boolean startCall(String id, long limitMs, byte[] content) {
           String call = id + "-" + ++calls;
           names.put(id, call);
-          time.at(
+          time.schedule(
               time.now() + TO_TIER,
               () -> {
                 if (!call.equals(names.get(id))) {
                   return;
                 }
                 if (gone) {
-                  tell(id, call, RunOutcome.UNREACHED);
+                  tell(id, call, RunOutcome.UNREACHABLE);
                   return;
                 }
-                cut.put(call, () -> tell(id, call, RunOutcome.CUT));
+                cut.put(call, () -> tell(id, call, RunOutcome.CONNECTION_LOST));
                 cores.spawn(
                     call,
                     "call",
@@ -451,7 +451,7 @@
                     1,
                     (which, code, took, body) -> {
                       if (cut.remove(call) != null && code.equals("done")) {
-                        tell(id, call, RunOutcome.GOOD);
+                        tell(id, call, RunOutcome.SUCCEEDED);
                       }
                     });
               });
@@ -459,20 +459,20 @@
         }
 
         private void tell(String id, String call, RunOutcome how) {
-          time.at(
+          time.schedule(
               time.now() + TO_TIER,
               () -> {
                 if (names.remove(id, call)) {
-                  broker.callOver(id, how, how == RunOutcome.GOOD ? new byte[0] : null);
+                  broker.callEnded(id, how, how == RunOutcome.SUCCEEDED ? new byte[0] : null);
                 }
               });
         }
 
         @Override
-        public void abandon(String id) {
+        public void abandonCall(String id) {
           String call = names.remove(id);
           if (call != null) {
-            time.at(
+            time.schedule(
                 time.now() + TO_TIER,
                 () -> {
                   cut.remove(call);
--- a/src/main/java/mothwing/trial/EndpointList.java
+++ b/src/main/java/mothwing/trial/EndpointList.java
@@ -48,11 +48,11 @@
         (name, one) -> {
           Links.Way way = links.way(Trial.ANNOUNCE, name);
           if (!way.cut() && !way.swallow()) {
-            timers.at(timers.now() + LAG, () -> one.list(now));
+            timers.schedule(timers.now() + LAG, () -> one.list(now));
           }
         });
     if (!over) {
-      timers.at(timers.now() + EVERY, this::publish);
+      timers.schedule(timers.now() + EVERY, this::publish);
     }
   }
 
