--- a/src/main/java/mothwing/trial/FullKnowledgePolicy.java
+++ b/src/main/java/mothwing/trial/FullKnowledgePolicy.java
@@ -45,7 +45,7 @@
     }
 
     double density(boolean byWork) {
-      return kind.worth() / (byWork ? 1 : work);
+      return kind.priorityWeight() / (byWork ? 1 : work);
     }
   }
 
@@ -71,8 +71,8 @@
   }
 
   @Override
-  public void started(long at) {
-    host.timer(at + LATE, "see");
+  public void serverStarted(long at) {
+    host.scheduleTimer(at + LATE, "see");
   }
 
   private double rate() {
@@ -80,26 +80,25 @@
   }
 
   private long until(Job job) {
-    long all = job.kind.lateWorth() > 0 ? job.kind.deadline() : job.kind.aim();
+    long all = job.kind.lateWeightRatio() > 0 ? job.kind.deadline() : job.kind.latencyObjective();
     return Math.min(job.arrived + all, stopAt);
   }
 
   /** Microseconds that a run takes alone, with its calls. */
   private double alone(Job job) {
-    return job.work / speed
-        + of.kinds().get(job.request.requestClass()).calls() * of.callMs() * 1000;
+    return job.work / speed + of.kinds().get(job.request.classIndex()).calls() * of.callMs() * 1000;
   }
 
   @Override
-  public void read(long at, Request request) {
-    RequestClass kind = settings.classes().get(request.requestClass());
+  public void requestRead(long at, Request request) {
+    RequestClass kind = settings.classes().get(request.classIndex());
     Job job =
         new Job(
             request,
             kind,
-            at - request.unread(),
-            of.kinds().get(request.requestClass()).meanMs() * 1000);
-    boolean byWork = settings.worthByWork();
+            at - request.queueingDelay(),
+            of.kinds().get(request.classIndex()).meanMs() * 1000);
+    boolean byWork = settings.weightByWork();
     double ahead =
         open.values().stream()
             .filter(
@@ -114,21 +113,21 @@
         open.values().stream()
             .mapToDouble(
                 one ->
-                    one.request.memory()
-                        * (one.stand == Stand.HELD ? 1 : settings.machine().runFactor()))
+                    one.request.memoryKb()
+                        * (one.stand == Stand.HELD ? 1 : settings.machine().runMemoryFactor()))
             .sum();
     boolean room =
-        memory + request.memory() * settings.machine().runFactor()
-            < settings.machine().memory() * 0.9;
+        memory + request.memoryKb() * settings.machine().runMemoryFactor()
+            < settings.machine().memoryKb() * 0.9;
     if (at + backlog / rate() + alone(job) > until(job) || job.arrived > noticeAt || !room) {
-      host.refuse(request.id(), false, 0);
+      host.rejectRequest(request.id(), false, 0);
     } else {
       open.put(request.id(), job);
     }
   }
 
   @Override
-  public void gone(long at, String id) {
+  public void requestCancelled(long at, String id) {
     answered(id);
   }
 
@@ -143,11 +142,11 @@
   }
 
   @Override
-  public void atCall(long at, String id) {
+  public void callAwaited(long at, String id) {
     Job job = open.get(id);
     if (job != null) {
       job.stand = Stand.CALLING;
-      host.call(
+      host.startCall(
           id, Math.max(at + 1000, Math.min(job.arrived + job.kind.deadline(), stopAt) - MARGIN));
     }
   }
@@ -155,25 +154,26 @@
   @Override
   public void callEnded(long at, String id, RunOutcome outcome, long took) {
     Job job = open.get(id);
-    boolean again = outcome.neverRan() || job != null && job.kind.repeats() == Idempotency.SAFE;
-    if (job != null && outcome == RunOutcome.GOOD) {
+    boolean again =
+        outcome.provesNoEffect() || job != null && job.kind.idempotency() == Idempotency.SAFE;
+    if (job != null && outcome == RunOutcome.SUCCEEDED) {
       job.stand = Stand.RUNNING;
     } else if (job != null && again && at + MARGIN < until(job)) {
-      atCall(at, id);
+      callAwaited(at, id);
     } else if (job != null) {
-      host.fail(id);
+      host.failRequest(id);
       job.answered = true;
     }
   }
 
   @Override
-  public void finished(long at, String id, RunOutcome outcome, long took) {
+  public void runEnded(long at, String id, RunOutcome outcome, long took) {
     open.remove(id);
   }
 
   @Override
-  public void timer(long at, String tag, GaugeSample sample) {
-    host.timer(at + LATE, "see");
+  public void timerFired(long at, String tag, GaugeSample sample) {
+    host.scheduleTimer(at + LATE, "see");
     seen =
         open.values().stream()
             .filter(one -> one.stand != Stand.HELD)
@@ -183,32 +183,32 @@
   }
 
   @Override
-  public void retuned(long at, Settings to) {
+  public void settingsChanged(long at, Settings to) {
     throw new IllegalStateException("it is not told new settings");
   }
 
   @Override
-  public void drain(long at, long stop) {
+  public void shutdownRequested(long at, long stop) {
     noticeAt = at;
     stopAt = stop - 2 * MARGIN;
   }
 
   @Override
-  public void settled(long at) {
+  public void batchEnded(long at) {
     for (Job job : new ArrayList<>(open.values())) {
       long due = Math.min(job.arrived + job.kind.deadline(), stopAt);
       if (job.answered) {
         continue;
       } else if (job.stand == Stand.HELD && at + alone(job) > until(job)) {
-        host.refuse(job.request.id(), false, 0);
+        host.rejectRequest(job.request.id(), false, 0);
         open.remove(job.request.id());
       } else if (at + MARGIN > due) {
-        host.fail(job.request.id());
+        host.failRequest(job.request.id());
         job.answered = true;
       }
     }
     long running = open.values().stream().filter(one -> one.stand == Stand.RUNNING).count();
-    boolean byWork = settings.worthByWork();
+    boolean byWork = settings.weightByWork();
     List<Job> held =
         open.values().stream()
             .filter(one -> one.stand == Stand.HELD)
@@ -222,7 +222,7 @@
       }
       running++;
       job.stand = Stand.RUNNING;
-      host.start(job.request.id());
+      host.startRun(job.request.id());
     }
   }
 }
--- a/src/main/java/mothwing/trial/GatewaySockets.java
+++ b/src/main/java/mothwing/trial/GatewaySockets.java
@@ -295,7 +295,7 @@
     Ping(String gateway, String server, Consumer<Boolean> then) {
       super(gateway, server);
       this.then = then;
-      timers.at(timers.now() + CHECK_WAIT, () -> tell(false));
+      timers.schedule(timers.now() + CHECK_WAIT, () -> tell(false));
     }
 
     private void tell(boolean good) {
--- a/src/main/java/mothwing/trial/MembershipStatistics.java
+++ b/src/main/java/mothwing/trial/MembershipStatistics.java
@@ -71,8 +71,8 @@
       net.pass(APART / 2);
       TreeSet<String> told = new TreeSet<>();
       for (Seen seen : net.seen) {
-        if (seen.change().what() == Type.DIED
-            && seen.change().claim().name().equals(one.name)
+        if (seen.change().type() == Type.DIED
+            && seen.change().member().name().equals(one.name)
             && told.add(seen.by())) {
           all.recordValue(seen.at() - from);
           if (told.size() == 1) {
@@ -124,9 +124,9 @@
     TreeSet<String> deaths = new TreeSet<>();
     long healthy = 0;
     for (Seen seen : net.seen) {
-      if (seen.change().what() == Type.DIED
-          && deaths.add(seen.change().claim().name() + seen.change().claim().incarnation())) {
-        healthy += net.nodes.get(seen.change().claim().name()).slow == 0 ? 1 : 0;
+      if (seen.change().type() == Type.DIED
+          && deaths.add(seen.change().member().name() + seen.change().member().incarnation())) {
+        healthy += net.nodes.get(seen.change().member().name()).slow == 0 ? 1 : 0;
       }
     }
     out.printf(
--- a/src/main/java/mothwing/trial/PoolCores.java
+++ b/src/main/java/mothwing/trial/PoolCores.java
@@ -302,7 +302,7 @@
     if (at < planned || planned <= timers.now()) {
       planned = at;
       if (at < Long.MAX_VALUE) {
-        timers.at(at, this::due);
+        timers.schedule(at, this::due);
       }
     }
   }
--- a/src/main/java/mothwing/trial/ProcessStage.java
+++ b/src/main/java/mothwing/trial/ProcessStage.java
@@ -223,7 +223,7 @@
           sizes();
           callers.start();
           for (Fault fault : trial.faults()) {
-            timers.at((long) (fault.at() * SECOND), () -> apply(fault, progress));
+            timers.schedule((long) (fault.at() * SECOND), () -> apply(fault, progress));
           }
           return null;
         });
@@ -267,7 +267,7 @@
     long now = timers.now();
     history.lateness.add(Math.max(0, now - due));
     if (!over) {
-      timers.at(now + LOOK, () -> look(now + LOOK));
+      timers.schedule(now + LOOK, () -> look(now + LOOK));
     }
   }
 
@@ -276,7 +276,7 @@
       for (Machine one : machines.values()) {
         hands.execute(() -> size(one));
       }
-      timers.at(timers.now() + SIZES, this::sizes);
+      timers.schedule(timers.now() + SIZES, this::sizes);
     }
   }
 
@@ -420,7 +420,7 @@
       fault.from().forEach(one -> onMachine(machines.get(Trial.machine(one)), one, fault));
     }
     if (fault.seconds() > 0) {
-      timers.at(began + (long) (fault.seconds() * SECOND), () -> lift(fault));
+      timers.schedule(began + (long) (fault.seconds() * SECOND), () -> lift(fault));
     }
   }
 
--- a/src/main/java/mothwing/trial/SimulatedGateway.java
+++ b/src/main/java/mothwing/trial/SimulatedGateway.java
@@ -140,7 +140,7 @@
     this.wire = wire;
     this.history = history;
     if (habit == Habit.CHECKED) {
-      timers.at(timers.now() + CHECK_EVERY, this::checkAll);
+      timers.schedule(timers.now() + CHECK_EVERY, this::checkAll);
     }
   }
 
@@ -185,7 +185,7 @@
     for (String server : list) {
       wire.check(name, server, good -> known(server).good = good);
     }
-    timers.at(timers.now() + CHECK_EVERY, this::checkAll);
+    timers.schedule(timers.now() + CHECK_EVERY, this::checkAll);
   }
 
   private String choose(List<String> but) {
@@ -231,7 +231,7 @@
       return;
     }
     String trace = trace();
-    Wire.Ask ask = new Wire.Ask(trace, kind, body, timers.wallMs(), attempt > 0, rank);
+    Wire.Ask ask = new Wire.Ask(trace, kind, body, timers.wallClockMillis(), attempt > 0, rank);
     Under under =
         new Under(
             order,
@@ -247,7 +247,7 @@
               }
             });
     open.put(trace, under);
-    timers.at(timers.now() + patience, () -> giveUp(under));
+    timers.schedule(timers.now() + patience, () -> giveUp(under));
     wire.ask(name, server, ask, under::came);
   }
 
--- a/src/main/java/mothwing/trial/SimulatedMembershipNetwork.java
+++ b/src/main/java/mothwing/trial/SimulatedMembershipNetwork.java
@@ -92,7 +92,7 @@
     /** Stands still for so long; what comes meanwhile is done at its end. */
     void pause(long span) {
       still(true);
-      time.at(time.now() + span, () -> still(false));
+      time.schedule(time.now() + span, () -> still(false));
     }
   }
 
@@ -144,7 +144,7 @@
     }
     int mine = to.starts();
     long late = to.slow == 0 ? 0 : (long) (-Math.log(1 - random.nextDouble()) * to.slow);
-    time.at(
+    time.schedule(
         time.now() + LEAST_WAY + (long) (MORE_WAY * random.nextDouble()) + late,
         () -> to.run(mine, () -> to.member.received(message)));
   }
@@ -164,7 +164,7 @@
   static Set<String> held(Membership member) {
     Set<String> all = new TreeSet<>();
     member.view().members().values().stream()
-        .filter(one -> one.state().there())
+        .filter(one -> one.state().isPresent())
         .forEach(one -> all.add(one.name()));
     return all;
   }
--- a/src/main/java/mothwing/trial/SimulatedOverrideNetwork.java
+++ b/src/main/java/mothwing/trial/SimulatedOverrideNetwork.java
@@ -97,12 +97,12 @@
         book.load(clock(), disk.values());
       }
       applied = book.acting(clock());
-      time.at(time.now() + RECOVERING, () -> run(mine, () -> sharing.recovered()));
+      time.schedule(time.now() + RECOVERING, () -> run(mine, () -> sharing.recovered()));
       turn(mine);
     }
 
     private void turn(int mine) {
-      time.at(
+      time.schedule(
           time.now() + TURN,
           () ->
               run(
@@ -157,7 +157,7 @@
 
     @Override
     public void force(ReplicaState told) {
-      time.at(
+      time.schedule(
           time.now() + FORCE,
           () ->
               node.run(
@@ -262,7 +262,7 @@
             to,
             message,
             (sender, what, after) ->
-                time.at(time.now() + usual + after, () -> deliver(sender, to, what)));
+                time.schedule(time.now() + usual + after, () -> deliver(sender, to, what)));
       }
       return;
     }
@@ -279,7 +279,7 @@
           200
               + random.nextInt(800)
               + (random.nextInt(20) == 0 ? (long) (random.nextDouble() * delay) : 0);
-      time.at(time.now() + way, () -> deliver(from, to, sent));
+      time.schedule(time.now() + way, () -> deliver(from, to, sent));
     }
     if (random.nextInt(30) == 0) { // kept by the network, for whenever
       late.add(() -> deliver(from, to, sent));
--- a/src/main/java/mothwing/trial/SimulationStage.java
+++ b/src/main/java/mothwing/trial/SimulationStage.java
@@ -94,7 +94,7 @@
         new Callers(trial, time, new Random(random.nextLong()), List.copyOf(gateways.values()));
     callers.start();
     for (Fault fault : trial.faults()) {
-      time.at((long) (fault.at() * SECOND), () -> apply(fault));
+      time.schedule((long) (fault.at() * SECOND), () -> apply(fault));
     }
     finish(callers, gateways);
     return history;
@@ -155,7 +155,7 @@
       }
     }
     if (fault.seconds() > 0) {
-      time.at(time.now() + (long) (fault.seconds() * SECOND), () -> lift(fault));
+      time.schedule(time.now() + (long) (fault.seconds() * SECOND), () -> lift(fault));
     }
   }
 
@@ -213,18 +213,18 @@
       broker = new Broker(settings, maker, pool, timers(mine), new Counters(), line -> {});
       pool.broker = broker;
       timers(mine)
-          .at(
+          .schedule(
               time.now() + boot,
               () -> {
                 life.readyAt = time.now();
-                broker.bound(mine > 1, mine > 1 ? 0 : 3600 * SECOND);
+                broker.poolConnected(mine > 1, mine > 1 ? 0 : 3600 * SECOND);
                 report(mine);
               });
     }
 
     private void report(int mine) {
       net.send(name, Trial.ANNOUNCE, () -> register.heard(name));
-      timers(mine).at(time.now() + REPORT, () -> report(mine));
+      timers(mine).schedule(time.now() + REPORT, () -> report(mine));
     }
 
     void strike(Fault fault) {
@@ -291,14 +291,14 @@
       if (!running() || mine != starts()) {
         return;
       }
-      if (!standsStill() && broker.draining() && broker.owed() == 0) {
+      if (!standsStill() && broker.isDraining() && broker.pendingCount() == 0) {
         end(0);
       } else if (time.now() >= stopAt) {
         life.overstayed = true;
         life.killed = true;
         end(-1);
       } else {
-        time.at(time.now() + LEAVE_LOOK, () -> look(mine, stopAt));
+        time.schedule(time.now() + LEAVE_LOOK, () -> look(mine, stopAt));
       }
     }
 
@@ -312,7 +312,7 @@
           open.remove(one.ask.trace());
           one.tell(Wire.Reply.bare(End.LOST));
           one.severed = true;
-          run(starts(), () -> broker.gone(one.exchange));
+          run(starts(), () -> broker.cancelled(one.exchange));
         }
       }
     }
@@ -350,17 +350,17 @@
     }
 
     @Override
-    public void served(byte[] result) {
+    public void sendResult(byte[] result) {
       answer(new Wire.Reply(End.SERVED, 0, true, result));
     }
 
     @Override
-    public void refused(boolean last, long holdOffMs) {
+    public void sendRejection(boolean last, long holdOffMs) {
       answer(new Wire.Reply(End.REFUSED, holdOffMs, !last, new byte[0]));
     }
 
     @Override
-    public void failed(String code) {
+    public void sendFailure(String code) {
       answer(Wire.Reply.bare(End.FAILED));
     }
   }
@@ -384,7 +384,7 @@
                 machine.starts(),
                 () ->
                     one.exchange =
-                        machine.broker.read(
+                        machine.broker.submit(
                             new InboundRequest(
                                 ask.trace(),
                                 ask.acceptedAtMs(),
@@ -394,7 +394,7 @@
                                 ask.rank(),
                                 null,
                                 null,
-                                InboundRequest.NOT_TOLD,
+                                InboundRequest.NOT_STATED,
                                 ask.body()),
                             one));
           });
@@ -413,7 +413,7 @@
                   machine.starts(),
                   () -> {
                     if (one.exchange != null) {
-                      machine.broker.gone(one.exchange);
+                      machine.broker.cancelled(one.exchange);
                     }
                   });
             }
@@ -433,7 +433,7 @@
               machine.run(
                   machine.starts(),
                   () ->
-                      machine.broker.check(
+                      machine.broker.healthCheck(
                           false, good -> net.send(server, gateway, () -> then.accept(good))));
             }
           });
@@ -500,9 +500,10 @@
             read = number;
             switch (one.code) {
               case "done" ->
-                  broker.finished(one.id, RunOutcome.GOOD, one.took, StandInPool.made(one.body));
-              case "stale" -> broker.finished(one.id, RunOutcome.MOOT, 0, null);
-              default -> broker.finished(one.id, RunOutcome.STOPPED, one.took, null);
+                  broker.runEnded(
+                      one.id, RunOutcome.SUCCEEDED, one.took, StandInPool.made(one.body));
+              case "stale" -> broker.runEnded(one.id, RunOutcome.NOT_STARTED, 0, null);
+              default -> broker.runEnded(one.id, RunOutcome.STOPPED, one.took, null);
             }
           });
     }
@@ -513,8 +514,8 @@
       }
       linked = false;
       link++;
-      machine.run(mine, () -> broker.unlinked());
-      time.at(time.now() + RELINK, this::again);
+      machine.run(mine, () -> broker.poolDisconnected());
+      time.schedule(time.now() + RELINK, this::again);
     }
 
     private void again() {
@@ -527,50 +528,50 @@
             for (int number = read + 1; number <= notices.size(); number++) {
               tell(number);
             }
-            back(() -> broker.caughtUp());
+            back(() -> broker.resynchronized());
           });
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
       return linked;
     }
 
     @Override
-    public boolean spawn(Exchange exchange) {
+    public boolean startRun(Exchange exchange) {
       if (!linked) {
         return false;
       }
-      InboundRequest one = exchange.arrival();
-      command(() -> cores.spawn(one.id(), one.kind(), one.body(), mine, this::ended));
+      InboundRequest one = exchange.request();
+      command(() -> cores.spawn(one.id(), one.className(), one.body(), mine, this::ended));
       return true;
     }
 
     @Override
-    public void suspend(String id) {
+    public void stopRun(String id) {
       command(() -> cores.suspend(id));
     }
 
     @Override
-    public void proceed(String id) {
+    public void resumeRun(String id) {
       command(() -> cores.proceed(id));
     }
 
     @Override
-    public void poll(String echo) {
+    public void requestGauges(String echo) {
       command(
           () -> {
             if (!cores.answersPoll()) {
               return;
             }
             double[] gauges = cores.gauges();
-            back(() -> broker.polled(echo, gauges));
+            back(() -> broker.gaugesReceived(echo, gauges));
           });
     }
 
     @Override
-    public void verify(String echo) {
-      command(() -> back(() -> broker.verified(echo, true)));
+    public void startHealthCheck(String echo) {
+      command(() -> back(() -> broker.healthCheckEnded(echo, true)));
     }
   }
 }
--- a/src/main/java/mothwing/trial/TrialClock.java
+++ b/src/main/java/mothwing/trial/TrialClock.java
@@ -32,12 +32,12 @@
       }
 
       @Override
-      public long wallMs() {
+      public long wallClockMillis() {
         return System.currentTimeMillis();
       }
 
       @Override
-      public void at(long at, Runnable work) {
+      public void schedule(long at, Runnable work) {
         if (!executor.isShutdown()) {
           executor.schedule(
               () -> {
--- a/src/main/java/mothwing/trial/VirtualMachine.java
+++ b/src/main/java/mothwing/trial/VirtualMachine.java
@@ -68,7 +68,7 @@
 
   /** Its clock on the wall, in Unix milliseconds. */
   long wallMs() {
-    return time.wallMs();
+    return time.wallClockMillis();
   }
 
   /** The timers of one start. */
@@ -80,13 +80,13 @@
       }
 
       @Override
-      public long wallMs() {
+      public long wallClockMillis() {
         return VirtualMachine.this.wallMs();
       }
 
       @Override
-      public void at(long at, Runnable what) {
-        time.at(at, () -> run(start, what));
+      public void schedule(long at, Runnable what) {
+        time.schedule(at, () -> run(start, what));
       }
     };
   }
--- a/src/main/java/mothwing/trial/VirtualNet.java
+++ b/src/main/java/mothwing/trial/VirtualNet.java
@@ -51,7 +51,7 @@
       due = Math.max(due, way.lastDue) + (long) (BYTES / faults.slow() * SECOND);
     }
     way.lastDue = Math.max(way.lastDue, due);
-    time.at(way.lastDue, () -> arrive(from, to, way, deliver));
+    time.schedule(way.lastDue, () -> arrive(from, to, way, deliver));
   }
 
   private void arrive(String from, String to, Way way, Runnable deliver) {
--- a/src/main/java/mothwing/trial/VirtualTime.java
+++ b/src/main/java/mothwing/trial/VirtualTime.java
@@ -21,12 +21,12 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMillis() {
     return BrokerFixture.WALL_MS + Math.floorDiv(now, MILLI);
   }
 
   @Override
-  public void at(long at, Runnable work) {
+  public void schedule(long at, Runnable work) {
     dues.add(new Due(Math.max(now, at), order++, work));
   }
 
--- a/src/test/java/mothwing/admin/AdminConnectionTest.java
+++ b/src/test/java/mothwing/admin/AdminConnectionTest.java
@@ -39,12 +39,12 @@
   private final AdminOperations operations =
       new AdminOperations() {
         @Override
-        public boolean serving() {
+        public boolean isServing() {
           return !leaving;
         }
 
         @Override
-        public String figures() {
+        public String statistics() {
           return "{\"pending\":0}";
         }
 
@@ -54,7 +54,7 @@
         }
 
         @Override
-        public boolean away(boolean away) {
+        public boolean setOutOfRotation(boolean away) {
           if (!leaving) {
             told.add(away);
           }
--- a/src/test/java/mothwing/ajp/AjpConnectionTest.java
+++ b/src/test/java/mothwing/ajp/AjpConnectionTest.java
@@ -38,7 +38,7 @@
   }
 
   private Map<String, String> fields() {
-    return Gateway.fields(BrokerFixture.id(1), model.stand.wallMs());
+    return Gateway.fields(BrokerFixture.id(1), model.stand.wallClockMillis());
   }
 
   private Answer ask(String path, int length, byte[] chunk) {
@@ -105,7 +105,7 @@
     model.send(Gateway.Ajp.chunk(body, 0, 0));
     assertEquals(1, model.stand.counters.get("read"));
     model.stand.pass(3_000);
-    model.stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    model.stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     model.stand.read(model.channel, gateway);
     assertEquals(200, gateway.answers.remove().status());
   }
@@ -136,7 +136,7 @@
     model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0));
     model.send(Gateway.Ajp.cping());
     assertTrue(model.endedAs("too-many-open"));
-    assertEquals(0, model.stand.broker.owed(), "its caller has left");
+    assertEquals(0, model.stand.broker.pendingCount(), "its caller has left");
   }
 
   @Example
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -39,22 +39,22 @@
     }
 
     @Override
-    public void started(long now) {
+    public void serverStarted(long now) {
       note("started");
     }
 
     @Override
-    public void read(long now, Request request) {
+    public void requestRead(long now, Request request) {
       note("read");
     }
 
     @Override
-    public void gone(long now, String id) {
+    public void requestCancelled(long now, String id) {
       note("gone");
     }
 
     @Override
-    public void atCall(long now, String id) {
+    public void callAwaited(long now, String id) {
       note("call");
     }
 
@@ -64,33 +64,33 @@
     }
 
     @Override
-    public void finished(long now, String id, RunOutcome outcome, long took) {
+    public void runEnded(long now, String id, RunOutcome outcome, long took) {
       note("finished " + outcome);
     }
 
     @Override
-    public void timer(long now, String tag, GaugeSample sample) {
+    public void timerFired(long now, String tag, GaugeSample sample) {
       note(
           "timer "
               + tag
               + " "
-              + (sample.known()
+              + (sample.isKnown()
                   ? sample.gauges().get(1)
                   : "absent for " + sample.age() / 1000 + " ms"));
     }
 
     @Override
-    public void retuned(long now, Settings settings) {
+    public void settingsChanged(long now, Settings settings) {
       note("retuned " + settings.classes().stream().map(RequestClass::name).toList());
     }
 
     @Override
-    public void drain(long now, long stopAt) {
+    public void shutdownRequested(long now, long stopAt) {
       note("drain");
     }
 
     @Override
-    public void settled(long now) {
+    public void batchEnded(long now) {
       note("settled");
     }
   }
@@ -112,17 +112,17 @@
   private ResponseSink caller() {
     return new ResponseSink() {
       @Override
-      public void served(byte[] result) {
+      public void sendResult(byte[] result) {
         answers.add("served");
       }
 
       @Override
-      public void refused(boolean last, long holdOffMs) {
+      public void sendRejection(boolean last, long holdOffMs) {
         answers.add("refused " + last + " " + holdOffMs);
       }
 
       @Override
-      public void failed(String code) {
+      public void sendFailure(String code) {
         answers.add("failed " + code);
       }
     };
@@ -132,7 +132,7 @@
   void gathersTheEventsOfARoundIntoOneBatch() {
     ask(1, BrokerFixture.LOOK);
     stand.pass(1);
-    stand.broker.gone(ask(2, BrokerFixture.LOOK));
+    stand.broker.cancelled(ask(2, BrokerFixture.LOOK));
     stand.pass(10_000);
     assertEquals(List.of("read", "settled", "read", "gone", "settled"), decisions.told);
   }
@@ -145,7 +145,7 @@
     assertEquals(List.of(), answers);
     stand.pass(SECOND);
     assertEquals(List.of("failed overdue"), answers);
-    assertEquals(0, stand.broker.owed());
+    assertEquals(0, stand.broker.pendingCount());
   }
 
   /**
@@ -156,10 +156,10 @@
   void aRequestIsDueWhenItsCallerGivesUpAndNoLaterThanItsClassHasIt() {
     for (long wait : new long[] {300, 0, 60_000}) {
       answers.clear();
-      stand.broker.read(
+      stand.broker.submit(
           new InboundRequest(
               BrokerFixture.id((int) wait + 1),
-              stand.wallMs(),
+              stand.wallClockMillis(),
               "one",
               BrokerFixture.LOOK,
               10,
@@ -193,20 +193,20 @@
   void neverRefusesWhatRanAndMustRunOnce() {
     ask(1, BrokerFixture.ORDER);
     ask(2, BrokerFixture.ORDER);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.broker.refuse(BrokerFixture.id(1), false, 5_500);
-    stand.broker.refuse(BrokerFixture.id(2), true, 5_500);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.broker.rejectRequest(BrokerFixture.id(1), false, 5_500);
+    stand.broker.rejectRequest(BrokerFixture.id(2), true, 5_500);
     assertEquals(List.of("failed ran-before", "refused true 6"), answers);
   }
 
   @Test
   void startsOnceAndAnswersOnce() {
     ask(1, BrokerFixture.ORDER);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.broker.start(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
-    stand.broker.fail(BrokerFixture.id(1));
-    stand.broker.finished(BrokerFixture.id(1), RunOutcome.GOOD, 5, new byte[1]);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    stand.broker.failRequest(BrokerFixture.id(1));
+    stand.broker.runEnded(BrokerFixture.id(1), RunOutcome.SUCCEEDED, 5, new byte[1]);
     assertEquals(List.of("served"), answers);
     assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
     assertEquals(1, stand.counters.get("finished-unasked"));
@@ -215,11 +215,11 @@
   @Test
   void pausesAndGoesOn() {
     ask(1, BrokerFixture.ORDER);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.broker.halt(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.broker.stopRun(BrokerFixture.id(1));
     stand.pass(5_000);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     assertEquals(List.of("served"), answers);
     assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
   }
@@ -228,8 +228,8 @@
   @Test
   void failsWhatThePoolDidNotBegin() {
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.MOOT);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.NOT_STARTED);
     assertEquals(List.of("failed stale"), answers);
   }
 
@@ -240,12 +240,12 @@
   void startsOnceTheLinkIsBackWhatWasNeverHandedOver() {
     stand.linked = false;
     ask(1, BrokerFixture.ORDER);
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
     stand.linked = true;
-    stand.broker.caughtUp();
-    stand.broker.caughtUp();
+    stand.broker.resynchronized();
+    stand.broker.resynchronized();
     assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     assertEquals(List.of("served"), answers);
   }
 
@@ -256,7 +256,7 @@
   @Test
   void givesUpARunWhoseEndWasLost() {
     ask(1, BrokerFixture.ORDER);
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
     stand.running.clear();
     stand.pass(14 * SECOND);
     assertEquals(List.of("failed overdue"), answers);
@@ -288,7 +288,7 @@
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
     stand.pass(2 * SECOND + 5_000);
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
     assertEquals(List.of("refused false 1000"), answers);
     assertTrue(stand.spawns.isEmpty());
   }
@@ -300,12 +300,12 @@
   @Test
   void whatIsReadWholeAfterTheGraceIsNotRunWhateverItsGatewaySaysOfItsArrival() throws Exception {
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-    long accepted = stand.wallMs() + 1_900;
+    long accepted = stand.wallClockMillis() + 1_900;
     stand.pass(2 * SECOND + 300_000);
     InboundRequest.Fields fields = new InboundRequest.Fields();
     Gateway.fields(BrokerFixture.id(1), accepted).forEach(fields::set);
-    stand.broker.read(fields.at("/call/" + BrokerFixture.ORDER, new byte[0]), caller());
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.submit(fields.toRequest("/call/" + BrokerFixture.ORDER, new byte[0]), caller());
+    stand.broker.startRun(BrokerFixture.id(1));
     assertEquals(List.of("refused false 1000"), answers);
     assertTrue(stand.spawns.isEmpty());
   }
@@ -318,12 +318,12 @@
   void whatTheDecisionsStillOweAtTheEndIsFailed() {
     ask(1, BrokerFixture.LOOK);
     ask(2, BrokerFixture.ORDER);
-    stand.broker.start(BrokerFixture.id(2));
+    stand.broker.startRun(BrokerFixture.id(2));
     stand.broker.drain(stand.now(), stand.now() + SECOND, false);
-    stand.broker.failOwed();
-    stand.broker.failOwed();
+    stand.broker.failPending();
+    stand.broker.failPending();
     assertEquals(List.of("failed leaving", "failed leaving"), answers);
-    assertEquals(0, stand.broker.owed());
+    assertEquals(0, stand.broker.pendingCount());
   }
 
   private static Settings with(RequestClass... classes) {
@@ -345,12 +345,12 @@
     RequestClass tell =
         new RequestClass("tell", SECOND, SECOND, 1, 0, Idempotency.SAFE, 0, false, 0);
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.broker.retune(with(save, order)); // stock-check is dropped while one is open
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.broker.applySettings(with(save, order)); // stock-check is dropped while one is open
     ask(2, BrokerFixture.LOOK);
     ask(3, "save");
-    stand.broker.start(BrokerFixture.id(3));
-    stand.finish(BrokerFixture.id(3), RunOutcome.GOOD);
+    stand.broker.startRun(BrokerFixture.id(3));
+    stand.finish(BrokerFixture.id(3), RunOutcome.SUCCEEDED);
     stand.pass(5_000);
     assertTrue(
         decisions.told.contains("retuned [stock-check, place-order, save]"),
@@ -360,7 +360,7 @@
     stand.pass(SECOND); // the deadline that it was read under
     assertEquals(List.of("failed unknown-class", "served", "failed overdue"), answers);
     stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
-    stand.broker.retune(
+    stand.broker.applySettings(
         with(order, tell)); // nothing refers to the places of stock-check and save any longer
     stand.pass(5_000);
     assertTrue(
@@ -370,7 +370,7 @@
         "{completed={stock-check=0, place-order=0, save=1, tell=0}, rejected={stock-check=0, "
             + "place-order=0, save=0, tell=0}, failed={stock-check=1, place-order=0, save=0, tell=0}, "
             + "upstream_requests={stock-check=1, place-order=0, save=1, tell=0}, pending=1}",
-        stand.broker.figures().toString());
+        stand.broker.statistics().toString());
   }
 
   /**
@@ -381,13 +381,13 @@
   void adviceToStayAwayLeavesOnlyWhereTheSettingsAllowIt() {
     for (boolean may : new boolean[] {true, false}) {
       stand = new BrokerFixture(decisions);
-      stand.broker.retune(SettingsVariants.advice(BrokerFixture.settings(4.5, 2), may));
+      stand.broker.applySettings(SettingsVariants.advice(BrokerFixture.settings(4.5, 2), may));
       ask(1, BrokerFixture.LOOK); // not ready
       stand.bound();
       stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
       stand.pass(3 * SECOND);
       ask(2, BrokerFixture.LOOK);
-      stand.broker.start(BrokerFixture.id(2)); // read over 2 s after the notice
+      stand.broker.startRun(BrokerFixture.id(2)); // read over 2 s after the notice
       String refused = "refused false " + (may ? 1000 : 0);
       assertEquals(List.of(refused, refused), answers);
       answers.clear();
@@ -400,27 +400,27 @@
   @Test
   void handingOverRunsWhatStillComesAndSaysNothingAgainstTheNextProcess() {
     List<Boolean> good = new ArrayList<>();
-    stand.broker.say(0.25);
+    stand.broker.publishFreeValue(0.25);
     stand.broker.drain(stand.now(), stand.now() + 3 * SECOND, true);
     stand.pass(SECOND);
     assertTrue(!decisions.told.contains("drain"));
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     stand.pass(SECOND);
     assertTrue(decisions.told.contains("drain")); // after half of its time
-    stand.broker.health(true, false);
-    stand.broker.say(0.95);
-    stand.broker.check(false, good::add);
+    stand.broker.setHealth(true, false);
+    stand.broker.publishFreeValue(0.95);
+    stand.broker.healthCheck(false, good::add);
     ask(2, BrokerFixture.LOOK);
-    stand.broker.refuse(BrokerFixture.id(2), false, 5_500);
+    stand.broker.rejectRequest(BrokerFixture.id(2), false, 5_500);
     stand.pass(SECOND / 2);
     ask(3, BrokerFixture.LOOK);
-    stand.broker.start(
+    stand.broker.startRun(
         BrokerFixture.id(3)); // over 2 s after the notice: whatever the controller says
     assertEquals(List.of("served", "refused false 0", "refused false 0"), answers);
     assertEquals(List.of(true), good);
-    assertEquals(OptionalDouble.of(0.25), stand.broker.feedback());
+    assertEquals(OptionalDouble.of(0.25), stand.broker.freeValue());
   }
 
   /**
@@ -430,12 +430,12 @@
   @Test
   void timersFireWithGaugesAndWithoutALinkWithTheirAbsence() {
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.broker.timer(stand.now() + 1_000, "tick");
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.broker.scheduleTimer(stand.now() + 1_000, "tick");
     stand.pass(10_000);
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     stand.linked = false;
-    stand.broker.timer(stand.now() + 1_000, "late");
+    stand.broker.scheduleTimer(stand.now() + 1_000, "late");
     stand.pass(10_000);
     assertTrue(decisions.told.contains("timer tick 1.0"), decisions.told::toString);
     assertTrue(
@@ -447,15 +447,15 @@
   @Test
   void aDeepCheckAsksThePoolUnlessChecksAreCheap() {
     List<Boolean> good = new ArrayList<>();
-    stand.broker.health(false, true);
-    stand.broker.check(true, good::add);
+    stand.broker.setHealth(false, true);
+    stand.broker.healthCheck(true, good::add);
     assertEquals(List.of(), good);
     stand.pass(5_000);
     assertEquals(List.of(true), good);
     stand.linked = false;
-    stand.broker.check(true, good::add);
-    stand.broker.health(true, false);
-    stand.broker.check(true, good::add);
+    stand.broker.healthCheck(true, good::add);
+    stand.broker.setHealth(true, false);
+    stand.broker.healthCheck(true, good::add);
     assertEquals(List.of(true, false, false), good);
   }
 
@@ -466,23 +466,26 @@
   @Test
   void gatewaysAreSentAwayByBadChecksAloneAndCalledBack() {
     List<Boolean> good = new ArrayList<>();
-    stand.broker.health(false, true);
-    stand.broker.check(true, good::add); // under way at the call
-    assertTrue(stand.broker.away(true) && stand.broker.away(true));
+    stand.broker.setHealth(false, true);
+    stand.broker.healthCheck(true, good::add); // under way at the call
+    assertTrue(stand.broker.outOfRotation(true) && stand.broker.outOfRotation(true));
     stand.pass(5_000);
-    stand.broker.check(true, good::add);
-    stand.broker.check(false, good::add);
+    stand.broker.healthCheck(true, good::add);
+    stand.broker.healthCheck(false, good::add);
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     assertEquals(List.of("served"), answers);
-    assertTrue(!decisions.told.contains("drain") && stand.broker.serving());
-    assertTrue(stand.broker.away(false) && stand.broker.away(false));
-    stand.broker.check(false, good::add);
+    assertTrue(!decisions.told.contains("drain") && stand.broker.isServing());
+    assertTrue(stand.broker.outOfRotation(false) && stand.broker.outOfRotation(false));
+    stand.broker.healthCheck(false, good::add);
     assertEquals(List.of(false, false, false, true), good);
-    stand.broker.away(true);
+    stand.broker.outOfRotation(true);
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-    assertTrue(!stand.broker.away(false) && stand.broker.away() && !stand.broker.serving());
+    assertTrue(
+        !stand.broker.outOfRotation(false)
+            && stand.broker.outOfRotation()
+            && !stand.broker.isServing());
   }
 
   /**
@@ -493,17 +496,18 @@
   void countsARunOnceItsFirstHandOverIsThere() {
     stand.linked = false;
     ask(1, BrokerFixture.LOOK);
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
     assertEquals(
-        0L, ((Map<?, ?>) stand.broker.figures().get("upstream_requests")).get(BrokerFixture.LOOK));
+        0L,
+        ((Map<?, ?>) stand.broker.statistics().get("upstream_requests")).get(BrokerFixture.LOOK));
     stand.linked = true;
-    stand.broker.caughtUp();
-    stand.broker.caughtUp();
+    stand.broker.resynchronized();
+    stand.broker.resynchronized();
     ask(2, "no-such-class");
     assertEquals(
         "{completed={stock-check=0, place-order=0}, rejected={stock-check=0, place-order=0}, "
             + "failed={stock-check=0, place-order=0}, upstream_requests={stock-check=1, place-order=0}, pending=1}",
-        stand.broker.figures().toString());
+        stand.broker.statistics().toString());
   }
 
   @Test
@@ -525,7 +529,7 @@
 
   private void guarded(Controller by) {
     stand = by == null ? new BrokerFixture() : new BrokerFixture(by);
-    stand.broker.retune(
+    stand.broker.applySettings(
         SettingsVariants.parts(
             BrokerFixture.settings(4.5, 2),
             List.of(
@@ -538,17 +542,17 @@
 
   /** A try of a guarded request; some body stands for each number. */
   private Exchange guarded(int number, String key, int body, String tenant) {
-    return stand.broker.read(
+    return stand.broker.submit(
         new InboundRequest(
             BrokerFixture.id(number),
-            stand.wallMs(),
+            stand.wallClockMillis(),
             tenant,
             "save",
             10,
             0.5,
             null,
             key,
-            InboundRequest.NOT_TOLD,
+            InboundRequest.NOT_STATED,
             new byte[] {(byte) body}),
         caller());
   }
@@ -561,11 +565,11 @@
   void aGuardedRequestThatAnotherProcessHoldsIsNotRunHere() {
     guarded(null);
     for (RunClaims.Claim claim : RunClaims.Claim.values()) {
-      stand.broker.claimWith((key, span) -> claim);
+      stand.broker.setRunClaims((key, span) -> claim);
       guarded(claim.ordinal() + 1, claim.name(), 0, "one");
       stand.pass(10_000);
     }
-    stand.finish(BrokerFixture.id(RunClaims.Claim.GRANTED.ordinal() + 1), RunOutcome.GOOD);
+    stand.finish(BrokerFixture.id(RunClaims.Claim.GRANTED.ordinal() + 1), RunOutcome.SUCCEEDED);
     assertEquals(
         List.of("failed ran-beside", "refused false 1000", "failed claim-unknown", "served"),
         answers);
@@ -587,7 +591,7 @@
     guarded(null);
     guarded(1);
     guarded(2); // as the first runs
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     guarded(3); // once it has ended
     stand.pass(10_000);
     assertEquals(List.of("served", "served", "served"), answers);
@@ -617,8 +621,8 @@
     guarded(3, "k", 1, "two");
     stand.pass(10_000);
     assertEquals(List.of("failed key-of-another"), answers);
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
-    stand.broker.gone(
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    stand.broker.cancelled(
         guarded(4, "other", 0, "one")); // gone in the round that it was read in: it never ran
     guarded(5, "other", 0, "one");
     stand.pass(10_000);
@@ -632,11 +636,11 @@
   void aRepeatAfterItsCallerLeftGetsTheResult() {
     guarded(decisions);
     Exchange first = guarded(1);
-    stand.broker.start(BrokerFixture.id(1));
-    stand.broker.gone(first);
+    stand.broker.startRun(BrokerFixture.id(1));
+    stand.broker.cancelled(first);
     guarded(2);
-    stand.broker.replay(BrokerFixture.id(2));
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.broker.replayResult(BrokerFixture.id(2));
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     assertEquals(List.of("served"), answers);
     assertEquals(Map.of(BrokerFixture.id(1), 1), stand.spawns);
   }
@@ -648,22 +652,22 @@
   void noDecisionRunsARepeatAndWhatFindsNoRoomIsRefused() {
     guarded(decisions);
     guarded(1);
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
     guarded(2);
-    stand.broker.start(BrokerFixture.id(2));
+    stand.broker.startRun(BrokerFixture.id(2));
     assertEquals(List.of("failed ran-before"), answers);
-    stand.finish(BrokerFixture.id(1), RunOutcome.GOOD);
+    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     for (int i = 3; i < 2_000; i++) {
       guarded(i, "k" + i, 0, "one");
-      stand.broker.start(BrokerFixture.id(i));
+      stand.broker.startRun(BrokerFixture.id(i));
     }
     assertTrue(answers.contains("refused false 1000"), answers::toString);
     assertTrue(stand.spawns.values().stream().allMatch(times -> times == 1));
-    stand.spawns.keySet().forEach(id -> stand.broker.finished(id, RunOutcome.FAILED, 0, null));
+    stand.spawns.keySet().forEach(id -> stand.broker.runEnded(id, RunOutcome.FAILED, 0, null));
     stand.pass(40 * SECOND);
     answers.clear();
     guarded(2_000);
-    stand.broker.start(BrokerFixture.id(2_000));
+    stand.broker.startRun(BrokerFixture.id(2_000));
     assertEquals(List.of(), answers, "there is room again");
   }
 
@@ -673,14 +677,14 @@
    */
   @Test
   void aGuardedClassRunsAtMostOnceATry() {
-    stand.broker.retune(
+    stand.broker.applySettings(
         with(
             new RequestClass(
                 "save", SECOND, 9 * SECOND, 1, 0, Idempotency.GUARDED, 5 * SECOND, false, 0)));
     ask(1, "save");
-    stand.broker.start(BrokerFixture.id(1));
+    stand.broker.startRun(BrokerFixture.id(1));
     stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
-    stand.broker.refuse(BrokerFixture.id(1), false, 5_500);
+    stand.broker.rejectRequest(BrokerFixture.id(1), false, 5_500);
     assertEquals(List.of("failed ran-before"), answers);
     assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
   }
--- a/src/test/java/mothwing/broker/StableIndexTest.java
+++ b/src/test/java/mothwing/broker/StableIndexTest.java
@@ -29,13 +29,13 @@
       int version = step;
       List<String> parts =
           new TreeSet<>(settings.get(step)).stream().map(one -> one + " v" + version).toList();
-      List<String> before = places.all();
-      places.take(parts, used::containsKey);
+      List<String> before = places.entries();
+      places.update(parts, used::containsKey);
       most = Math.max(most, parts.size() + used.size());
       for (String part : parts) {
         String name = part.substring(0, 1);
-        int place = places.place(name);
-        assertEquals(part, places.all().get(place));
+        int place = places.indexOf(name);
+        assertEquals(part, places.entries().get(place));
         for (int i = 0; i < before.size(); i++) {
           if (before.get(i).startsWith(name)) {
             assertEquals(i, place, "a name moved");
@@ -44,17 +44,17 @@
       }
       used.forEach(
           (place, name) ->
-              assertTrue(places.all().get(place).startsWith(name), "a used place was taken"));
+              assertTrue(places.entries().get(place).startsWith(name), "a used place was taken"));
       for (int name = 0; name < 8; name++) {
         if (!settings.get(step).contains(name)) {
-          assertNull(places.place("" + name));
+          assertNull(places.indexOf("" + name));
         }
       }
-      assertTrue(places.all().size() <= most);
+      assertTrue(places.entries().size() <= most);
       used.clear();
-      for (int i = 0; i < places.all().size(); i++) {
+      for (int i = 0; i < places.entries().size(); i++) {
         if ((users.get(step) >> i & 1) == 1) {
-          used.put(i, places.all().get(i).substring(0, 1));
+          used.put(i, places.entries().get(i).substring(0, 1));
         }
       }
     }
--- a/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -111,11 +111,11 @@
     nonces = 0;
     stand = new BrokerFixture(new Noted());
     ledger = new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add);
-    ledger.serve(stand.bound().broker);
+    ledger.attach(stand.bound().broker);
   }
 
   private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    stand.at(stand.now() + 300, refusing ? failed : () -> links.add(new Tier(maker.get())));
+    stand.schedule(stand.now() + 300, refusing ? failed : () -> links.add(new Tier(maker.get())));
   }
 
   /** Decisions by hand: it counts the ends of calls. */
@@ -129,30 +129,30 @@
   /** A caller whose answer is of no matter here. */
   private static final class Unread implements ResponseSink {
     @Override
-    public void served(byte[] result) {
+    public void sendResult(byte[] result) {
       // not looked at
     }
 
     @Override
-    public void refused(boolean last, long holdOffMs) {
+    public void sendRejection(boolean last, long holdOffMs) {
       // not looked at
     }
 
     @Override
-    public void failed(String code) {
+    public void sendFailure(String code) {
       // not looked at
     }
   }
 
   private void begin(String id) {
     stand.ask(id, BrokerFixture.LOOK, new byte[3], new Unread());
-    stand.broker.start(id);
+    stand.broker.startRun(id);
   }
 
   private void blocked(String id) {
     String content = "q" + ++nonces;
     asked.put(id, content);
-    stand.broker.blocked(id, content.getBytes(StandardCharsets.ISO_8859_1));
+    stand.broker.runAwaitsCall(id, content.getBytes(StandardCharsets.ISO_8859_1));
   }
 
   /** What was supplied last is the answer to what is asked now. */
@@ -187,7 +187,7 @@
         case 0, 1 -> blocked(id); // also where a call of it is out: the run was begun again
         case 2, 3, 4 -> {
           long calls = stand.counters.get("calls");
-          stand.broker.call(id, stand.now() + 1_000 * (1 + step % 200));
+          stand.broker.startCall(id, stand.now() + 1_000 * (1 + step % 200));
           made.merge(id, (int) (stand.counters.get("calls") - calls), Integer::sum);
         }
         case 5, 6, 7 ->
@@ -206,7 +206,7 @@
           }
           refusing = step % 4 == 0;
         }
-        default -> ledger.moved(this::dial);
+        default -> ledger.changeAddress(this::dial);
       }
       stand.pass(step % 3_000);
       if (step % 3 > 0) {
@@ -242,11 +242,11 @@
     String id = BrokerFixture.id(1);
     begin(id);
     blocked(id);
-    stand.broker.call(id, stand.now() + 50_000);
+    stand.broker.startCall(id, stand.now() + 50_000);
     stand.pass(1_000);
     links.get(0).read();
     blocked(id); // begun again
-    stand.broker.call(id, stand.now() + 50_000);
+    stand.broker.startCall(id, stand.now() + 50_000);
     links.get(0).answer(6); // before it reads that the first is abandoned
     stand.pass(1_000);
     assertEquals(Map.of(), stand.supplied);
@@ -268,19 +268,19 @@
       begin(BrokerFixture.id(i));
       blocked(BrokerFixture.id(i));
     }
-    stand.broker.call(BrokerFixture.id(0), stand.now() + 3_000_000);
+    stand.broker.startCall(BrokerFixture.id(0), stand.now() + 3_000_000);
     stand.pass(1_000);
     links.get(0).read(); // and never answers
-    stand.broker.call(BrokerFixture.id(1), stand.now() + 3_000_000);
+    stand.broker.startCall(BrokerFixture.id(1), stand.now() + 3_000_000);
     stand.pass(600_000);
     assertEquals(1, links.size());
-    stand.broker.call(BrokerFixture.id(2), stand.now() + 3_000_000);
+    stand.broker.startCall(BrokerFixture.id(2), stand.now() + 3_000_000);
     stand.pass(1_000);
     assertEquals(2, links.size());
     links.get(1).read();
     links.get(1).answer(6);
     assertEquals(1, supplies(BrokerFixture.id(2)));
-    stand.broker.call(BrokerFixture.id(3), stand.now() + 3_000_000);
+    stand.broker.startCall(BrokerFixture.id(3), stand.now() + 3_000_000);
     stand.pass(1_000);
     assertEquals(2, links.size(), "the new one answers");
     assertTrue(links.get(0).channel.isOpen(), "two calls are out on the old one");
@@ -296,14 +296,14 @@
   void aCallThatNobodyAnswersIsOverByItsLimit() {
     begin(BrokerFixture.id(1));
     blocked(BrokerFixture.id(1));
-    stand.broker.call(BrokerFixture.id(1), stand.now() + 50_000);
+    stand.broker.startCall(BrokerFixture.id(1), stand.now() + 50_000);
     stand.pass(60_000);
     assertEquals(Map.of(), ended);
     stand.pass(60_000);
     assertEquals(Map.of(BrokerFixture.id(1), 1), ended);
     assertEquals(1, stand.counters.get("call-timed_out"));
-    stand.broker.callWith(DependencyClient.NONE);
-    stand.broker.call(BrokerFixture.id(1), stand.now() + 50_000);
+    stand.broker.setDependencyClient(DependencyClient.UNAVAILABLE);
+    stand.broker.startCall(BrokerFixture.id(1), stand.now() + 50_000);
     stand.pass(5_000);
     assertEquals(1, stand.counters.get("call-unreached"));
   }
@@ -317,21 +317,21 @@
     for (int i : List.of(1, 2)) {
       begin(BrokerFixture.id(i));
       blocked(BrokerFixture.id(i));
-      stand.broker.call(BrokerFixture.id(i), stand.now() + 500_000);
+      stand.broker.startCall(BrokerFixture.id(i), stand.now() + 500_000);
     }
     stand.pass(1_000);
     links.get(0).read();
     links.get(0).answer(4); // on a link that breaks with it
     stand.linked = false;
-    stand.broker.unlinked();
+    stand.broker.poolDisconnected();
     links.get(0).answer(4); // on none
     assertEquals(1, stand.supplied.size());
     stand.linked = true;
-    stand.broker.caughtUp();
-    stand.broker.caughtUp();
+    stand.broker.resynchronized();
+    stand.broker.resynchronized();
     assertEquals(2, stand.supplied.size());
     stand.supplied.values().forEach(all -> assertEquals(1, all.size()));
-    assertEquals(2, stand.broker.owed());
+    assertEquals(2, stand.broker.pendingCount());
   }
 
   @Example
@@ -346,7 +346,7 @@
             "0000000000000001 well\r\n",
             "y".repeat(DependencyConnection.MOST_LINE + 1))) {
       blocked(BrokerFixture.id(1));
-      stand.broker.call(BrokerFixture.id(1), stand.now() + 500_000);
+      stand.broker.startCall(BrokerFixture.id(1), stand.now() + 500_000);
       stand.pass(1_000);
       Tier last = links.get(links.size() - 1);
       last.channel.writeInbound(Unpooled.copiedBuffer(bad, StandardCharsets.ISO_8859_1));
--- a/src/test/java/mothwing/discovery/LoadReporterTest.java
+++ b/src/test/java/mothwing/discovery/LoadReporterTest.java
@@ -79,7 +79,7 @@
     for (int step : steps) {
       switch (step % 8) {
         case 0 -> channels.forEach(EmbeddedChannel::close);
-        case 1 -> announcer.moved(this::dial);
+        case 1 -> announcer.changeAddress(this::dial);
         case 2 -> away = step % 16 == 2;
         default -> {}
       }
@@ -108,7 +108,7 @@
   @Property(seed = "1764576031", tries = 50)
   void aDialThatHangsDoesNotLetTheEntryLapse(@ForAll @IntRange(min = 20, max = 39) int tenths) {
     List<Supplier<? extends Connection>> hanging = new ArrayList<>();
-    announcer.moved(
+    announcer.changeAddress(
         (maker, failed) -> {
           hanging.add(maker);
           if (hanging.size() > 1) { // only the first one hangs
@@ -127,7 +127,7 @@
     turn(true);
     assertEquals(1, channels.stream().filter(EmbeddedChannel::isOpen).count(), "one connection");
     List<Runnable> ends = new ArrayList<>();
-    announcer.moved((maker, failed) -> ends.add(failed));
+    announcer.changeAddress((maker, failed) -> ends.add(failed));
     stand.pass(20_000_000);
     assertEquals(LoadReporter.MOST_DIALS, ends.size());
     ends.get(0).run();
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -35,12 +35,12 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMillis() {
     return 1_764_576_000_000L + now / 1000;
   }
 
   @Override
-  public void at(long at, Runnable due) {
+  public void schedule(long at, Runnable due) {
     if (at <= now + 1000) {
       work.add(due);
     }
@@ -77,7 +77,7 @@
             line -> {});
     engine.broker(broker);
     engine.signer(new Signer(new Site.Dns(null, null, limits(), List.of(), List.of())));
-    broker.bound(false, 1);
+    broker.poolConnected(false, 1);
     Query query = Query.read(message);
     engine.read(
         new DnsRequest(
@@ -96,7 +96,9 @@
 
   @Test
   void aQueryIsRefusedEarlyWithItsReason() throws IOException {
-    read(DnsPeer.question("till", Type.A, 1232).toWire(), (host, id) -> host.refuse(id, false, 0));
+    read(
+        DnsPeer.question("till", Type.A, 1232).toWire(),
+        (host, id) -> host.rejectRequest(id, false, 0));
     assertEquals(1, answers.size());
     Message answer = new Message(answers.get(0));
     assertEquals(Rcode.REFUSED, answer.getRcode());
@@ -115,8 +117,8 @@
     read(
         update,
         (host, id) -> {
-          host.start(id);
-          host.refuse(id, false, 0);
+          host.startRun(id);
+          host.rejectRequest(id, false, 0);
         });
     assertEquals(1, answers.size());
     assertEquals(Rcode.SERVFAIL, answers.get(0)[3] & 15);
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -56,7 +56,7 @@
     for (FreeValue meaning : FreeValue.values()) {
       String all = meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
       for (Settings now : List.of(SettingsVariants.meaning(level, meaning), level)) {
-        model.stand.broker.retune(now);
+        model.stand.broker.applySettings(now);
         for (long span :
             new long[] {0, 200_000}) { // in the same turn, and once the decisions have spoken
           model.stand.pass(span);
@@ -142,14 +142,14 @@
   void aStampOfAnotherHourCountsAsTheMomentItIsRead() {
     int number = 0;
     for (long hours : new long[] {1, -1}) {
-      for (RunOutcome end : new RunOutcome[] {RunOutcome.GOOD, null}) {
+      for (RunOutcome end : new RunOutcome[] {RunOutcome.SUCCEEDED, null}) {
         String id = BrokerFixture.id(++number);
         model.send(
             model.gateway.request(
                 number,
                 "/call/" + BrokerFixture.LOOK,
                 "",
-                Gateway.fields(id, model.stand.wallMs() + hours * 3_600_000),
+                Gateway.fields(id, model.stand.wallClockMillis() + hours * 3_600_000),
                 new byte[0]));
         model.stand.pass(5_000);
         assertEquals(1, model.stand.spawns.get(id), "it runs");
--- a/src/test/java/mothwing/net/ConnectionTableTest.java
+++ b/src/test/java/mothwing/net/ConnectionTableTest.java
@@ -178,7 +178,7 @@
                 1,
                 "/call/" + BrokerFixture.LOOK,
                 "",
-                Gateway.fields(BrokerFixture.id(asked.size() + 1), stand.wallMs()),
+                Gateway.fields(BrokerFixture.id(asked.size() + 1), stand.wallClockMillis()),
                 new byte[0]));
         asked.add(channel);
       }
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -78,7 +78,7 @@
         }
         turnSilent();
         linked = false;
-        stand.broker.unlinked();
+        stand.broker.poolDisconnected();
       }
     }
 
@@ -92,7 +92,7 @@
       if (!linked) {
         linked = true;
         turn();
-        stand.broker.caughtUp();
+        stand.broker.resynchronized();
       }
     }
 
@@ -102,22 +102,22 @@
         running.remove(id);
         notices.add(
             () ->
-                stand.broker.finished(
+                stand.broker.runEnded(
                     id,
-                    good ? RunOutcome.GOOD : RunOutcome.FAILED,
+                    good ? RunOutcome.SUCCEEDED : RunOutcome.FAILED,
                     1000,
                     good ? BrokerFixture.result(id) : null));
       }
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
       return linked;
     }
 
     @Override
-    public boolean spawn(Exchange exchange) {
-      String id = exchange.arrival().id();
+    public boolean startRun(Exchange exchange) {
+      String id = exchange.request().id();
       if (!linked) {
         return false;
       }
@@ -132,18 +132,18 @@
     }
 
     @Override
-    public void suspend(String id) {
+    public void stopRun(String id) {
       command(
           () -> {
             if (running.remove(id)) {
               paused.add(id);
-              notices.add(() -> stand.broker.finished(id, RunOutcome.STOPPED, 1000, null));
+              notices.add(() -> stand.broker.runEnded(id, RunOutcome.STOPPED, 1000, null));
             }
           });
     }
 
     @Override
-    public void proceed(String id) {
+    public void resumeRun(String id) {
       command(
           () -> {
             if (paused.remove(id)) {
@@ -153,16 +153,18 @@
     }
 
     @Override
-    public void poll(String echo) {
+    public void requestGauges(String echo) {
       command(
           () ->
               notices.add(
-                  () -> stand.broker.polled(echo, new double[] {0.5, running.size(), 0.1, 1})));
+                  () ->
+                      stand.broker.gaugesReceived(
+                          echo, new double[] {0.5, running.size(), 0.1, 1})));
     }
 
     @Override
-    public void verify(String echo) {
-      command(() -> notices.add(() -> stand.broker.verified(echo, true)));
+    public void startHealthCheck(String echo) {
+      command(() -> notices.add(() -> stand.broker.healthCheckEnded(echo, true)));
     }
   }
 
@@ -228,7 +230,7 @@
         String key = step % 4 == 0 ? "key" + step / 4 % 3 : null;
         String id = BrokerFixture.id(++made);
         writing = ++numbers;
-        Map<String, String> fields = Gateway.fields(id, stand.wallMs());
+        Map<String, String> fields = Gateway.fields(id, stand.wallClockMillis());
         if (key != null) {
           fields.put("Replay-Key", key);
         }
@@ -319,8 +321,8 @@
     }
 
     @Override
-    public void read(long now, Request request) {
-      host.start(request.id());
+    public void requestRead(long now, Request request) {
+      host.startRun(request.id());
     }
   }
 
@@ -331,7 +333,7 @@
         new BrokerFixture(
                 eager ? (settings, host) -> new Eager(host) : OverloadController::new, of -> pool)
             .bound();
-    stand.broker.retune(guarded(BrokerFixture.settings(4.5, 2)));
+    stand.broker.applySettings(guarded(BrokerFixture.settings(4.5, 2)));
     table = new ConnectionTable(60 * SECOND, stand);
     all = new ArrayList<>();
     made = 0;
@@ -398,7 +400,7 @@
         all.stream()
             .filter(one -> one.wholeAt < Long.MAX_VALUE && one.answers == 0 && !one.left)
             .count(),
-        stand.broker.owed(),
+        stand.broker.pendingCount(),
         "what is owed, here and there");
   }
 
@@ -417,7 +419,7 @@
         case 12 -> line.abort(step / 80);
         case 13 -> line.reset();
         case 14 -> table.trim(1, CloseReason.IDLE);
-        case 15 -> stand.broker.retune(settings(step / 20));
+        case 15 -> stand.broker.applySettings(settings(step / 20));
         case 16 -> pool.lose(step % 40 == 16);
         case 17 -> pool.back();
         case 18 -> pass(step * 10L);
@@ -444,7 +446,7 @@
         }
         pass(50_000);
       }
-      stand.broker.failOwed();
+      stand.broker.failPending();
       check();
     } else {
       pass(LONGEST + 2 * SLACK);
@@ -456,7 +458,7 @@
             assertTrue(
                 one.answers > 0 || one.left || one.wholeAt == Long.MAX_VALUE,
                 one.id + " has no answer"));
-    assertEquals(0, stand.broker.owed());
+    assertEquals(0, stand.broker.pendingCount());
     assertEquals(0, stand.counters.get("controller-faults"));
     assertEquals(0, stand.counters.get("faults"));
     while (!pool.running.isEmpty()) {
--- a/src/test/java/mothwing/net/ReadBudgetTest.java
+++ b/src/test/java/mothwing/net/ReadBudgetTest.java
@@ -36,12 +36,12 @@
     }
 
     @Override
-    public long wallMs() {
+    public long wallClockMillis() {
       return now / 1000;
     }
 
     @Override
-    public void at(long at, Runnable work) {
+    public void schedule(long at, Runnable work) {
       due.add(work);
     }
 
@@ -64,7 +64,7 @@
     }
 
     @Override
-    protected boolean take(ByteBuf in) {
+    protected boolean decode(ByteBuf in) {
       if (!in.isReadable()) {
         return false;
       }
@@ -74,14 +74,14 @@
     }
 
     @Override
-    protected void ended() {
+    protected void onClosed() {
       taken.add("ended");
     }
   }
 
   private EmbeddedChannel sent(String letters) {
     Letters connection = new Letters();
-    connection.inTurns(turns);
+    connection.limitReads(turns);
     EmbeddedChannel channel = new EmbeddedChannel(connection);
     channel.writeInbound(Unpooled.copiedBuffer(letters, StandardCharsets.US_ASCII));
     return channel;
@@ -122,7 +122,7 @@
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (Letters one : List.of(busy, waits)) {
       table.add(one);
-      one.inTurns(turns);
+      one.limitReads(turns);
       EmbeddedChannel channel = new EmbeddedChannel(one);
       channel.writeInbound(
           Unpooled.copiedBuffer("a".repeat(2 * IN_A_TURN), StandardCharsets.US_ASCII));
@@ -151,7 +151,7 @@
           new Letters() {
             @Override
             void readNow() {
-              if (!awaitsTurn()) {
+              if (!isAwaitingBudget()) {
                 channels
                     .get(number)
                     .writeInbound(Unpooled.copiedBuffer("b", StandardCharsets.US_ASCII));
@@ -159,7 +159,7 @@
             }
           };
       one.number = i;
-      one.inTurns(turns);
+      one.limitReads(turns);
       table.add(one);
       channels.add(new EmbeddedChannel(one));
     }
@@ -206,7 +206,7 @@
   private int shed(int of) {
     int many = 0;
     for (int i = 0; i < of; i++) {
-      many += turns.sheds() ? 1 : 0;
+      many += turns.isOverloaded() ? 1 : 0;
     }
     return many;
   }
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -100,7 +100,7 @@
     host.read(request(host, "third", SAVE));
     assertFalse(host.did("start third"));
     assertFalse(host.answered("third"));
-    host.finish("busy1", RunOutcome.GOOD);
+    host.finish("busy1", RunOutcome.SUCCEEDED);
     assertTrue(host.did("start third"));
   }
 
@@ -109,7 +109,7 @@
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "cheap", READ), request(host, "dear", COMMIT));
-    host.finish("busy1", RunOutcome.GOOD);
+    host.finish("busy1", RunOutcome.SUCCEEDED);
     assertTrue(host.did("start dear"));
     assertFalse(host.did("start cheap"));
   }
@@ -177,8 +177,8 @@
     host.read(request(host, "turn", COMMIT));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
     assertTrue(host.did("replay again"), "also while the forerunner is held");
-    host.finish("busy1", RunOutcome.GOOD);
-    host.finish("turn", RunOutcome.GOOD);
+    host.finish("busy1", RunOutcome.SUCCEEDED);
+    host.finish("turn", RunOutcome.SUCCEEDED);
     host.read(request(host, "third", COMMIT, "turn", 3 * SECOND));
     assertTrue(host.did("replay third"));
   }
@@ -187,7 +187,7 @@
   void aRepeatOfWhatRanIsFailedRatherThanTurnedAway() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
-    host.finish("turn", RunOutcome.GOOD);
+    host.finish("turn", RunOutcome.SUCCEEDED);
     host.read(request(host, "again", COMMIT, "turn", -SECOND));
     assertTrue(host.did("fail again"));
   }
@@ -208,7 +208,7 @@
     for (int i = 0; i < 10; i++) {
       host.read(request(host, "turn" + i, COMMIT));
       if (!host.answered("turn" + i)) {
-        host.finish("turn" + i, RunOutcome.GOOD);
+        host.finish("turn" + i, RunOutcome.SUCCEEDED);
       }
     }
     assertTrue(host.count("refuse") > 0);
@@ -233,7 +233,7 @@
     host.atCall("load");
     host.callEnded("turn", RunOutcome.TIMED_OUT);
     assertTrue(host.did("fail turn"));
-    host.callEnded("load", RunOutcome.DECLINED);
+    host.callEnded("load", RunOutcome.REJECTED);
     assertEquals(1, host.actions.stream().filter("call load"::equals).count(), "not at once");
     host.passUntil(host.now() + SECOND / 2);
     assertEquals(2, host.actions.stream().filter("call load"::equals).count());
@@ -246,8 +246,8 @@
     host.atCall("one");
     host.atCall("two");
     assertEquals(1, host.count("call"));
-    host.callEnded("one", RunOutcome.GOOD);
-    host.finish("one", RunOutcome.GOOD);
+    host.callEnded("one", RunOutcome.SUCCEEDED);
+    host.finish("one", RunOutcome.SUCCEEDED);
     host.passUntil(host.now() + SECOND);
     assertTrue(host.did("call two"));
   }
@@ -379,7 +379,7 @@
       for (int i = 0; i < 16; i++) {
         host.read(request(host, "late" + i, SAVE));
         host.passUntil(host.now() + SECOND * 9 / 10);
-        host.finish("late" + i, RunOutcome.GOOD, told);
+        host.finish("late" + i, RunOutcome.SUCCEEDED, told);
       }
       host.gauges(1, 2);
       host.passUntil(host.now() + SECOND / 10);
@@ -420,7 +420,7 @@
       host.read(request(host, "s" + i, i % 3));
       host.passUntil(host.now() + 30_000);
       if (host.did("start s" + (i / 2)) && !host.answered("s" + (i / 2)) && i % 2 == 0) {
-        host.finish("s" + (i / 2), RunOutcome.GOOD);
+        host.finish("s" + (i / 2), RunOutcome.SUCCEEDED);
       }
     }
     host.passUntil(host.now() + 6 * SECOND);
@@ -475,8 +475,8 @@
       if (host.did("start " + id)) {
         host.atCall(id);
         host.passUntil(host.now() + 3 * SECOND);
-        host.callEnded(id, RunOutcome.GOOD);
-        host.finish(id, RunOutcome.GOOD);
+        host.callEnded(id, RunOutcome.SUCCEEDED);
+        host.finish(id, RunOutcome.SUCCEEDED);
       }
     }
     host.read(request(host, "late", READ));
@@ -528,17 +528,17 @@
     for (int i = 0; i < 30; i++) {
       host.read(request(host, "usual" + i, SAVE));
       host.passUntil(host.now() + SECOND / 10);
-      host.finish("usual" + i, RunOutcome.GOOD);
+      host.finish("usual" + i, RunOutcome.SUCCEEDED);
     }
     host.passUntil(host.now() + 3 * SECOND);
     host.read(request(host, "before", SAVE, null, SECOND * 7 / 10));
     assertTrue(host.did("start before"));
-    host.finish("before", RunOutcome.GOOD);
+    host.finish("before", RunOutcome.SUCCEEDED);
     for (int i = 0; i < 2; i++) {
       host.read(request(host, "left" + i, SAVE), request(host, "right" + i, SAVE));
       host.passUntil(host.now() + SECOND * 4 / 5);
-      host.finish("left" + i, RunOutcome.GOOD);
-      host.finish("right" + i, RunOutcome.GOOD);
+      host.finish("left" + i, RunOutcome.SUCCEEDED);
+      host.finish("right" + i, RunOutcome.SUCCEEDED);
     }
     host.read(request(host, "after", SAVE, null, SECOND * 7 / 10));
     assertTrue(host.did("refuse after"), "four runs tell what work costs now");
@@ -554,8 +554,8 @@
     for (int i = 0; i < 16; i += 2) {
       host.read(request(host, "slow" + i, SAVE), request(host, "slow" + (i + 1), SAVE));
       host.passUntil(host.now() + SECOND * 9 / 10);
-      host.finish("slow" + i, RunOutcome.GOOD);
-      host.finish("slow" + (i + 1), RunOutcome.GOOD);
+      host.finish("slow" + i, RunOutcome.SUCCEEDED);
+      host.finish("slow" + (i + 1), RunOutcome.SUCCEEDED);
     }
     return host;
   }
@@ -579,12 +579,12 @@
     String[] running = {"", ""};
     for (int i = 0; i < 50; i++) {
       if (i > 1) {
-        host.finish(running[i % 2], RunOutcome.GOOD);
+        host.finish(running[i % 2], RunOutcome.SUCCEEDED);
       }
       running[i % 2] = "quick" + i;
       host.read(request(host, running[i % 2], COMMIT));
       host.atCall(running[i % 2]);
-      host.callEnded(running[i % 2], RunOutcome.GOOD);
+      host.callEnded(running[i % 2], RunOutcome.SUCCEEDED);
       if (i == 4) {
         host.read(request(host, "early", SAVE));
         assertTrue(host.did("refuse early"), "it is held for slow");
@@ -611,9 +611,9 @@
         for (String id : List.of("one" + i, "two" + i)) {
           if (rush) {
             host.atCall(id);
-            host.callEnded(id, RunOutcome.GOOD);
+            host.callEnded(id, RunOutcome.SUCCEEDED);
           }
-          host.finish(id, RunOutcome.GOOD);
+          host.finish(id, RunOutcome.SUCCEEDED);
         }
       }
       for (int i = 0; i < 4; i++) {
@@ -674,13 +674,13 @@
     host.read(request(host, "slow", READ));
     host.atCall("slow");
     host.passUntil(host.now() + SECOND / 2);
-    host.callEnded("slow", RunOutcome.GOOD);
-    host.finish("slow", RunOutcome.GOOD);
+    host.callEnded("slow", RunOutcome.SUCCEEDED);
+    host.finish("slow", RunOutcome.SUCCEEDED);
     host.read(request(host, "cheap", READ));
     assertTrue(host.did("refuse cheap"), "its call cannot be made in time: no core time is spent");
     host.read(request(host, "free", SAVE));
     assertTrue(host.did("start free"), "it does not call");
-    host.finish("free", RunOutcome.GOOD);
+    host.finish("free", RunOutcome.SUCCEEDED);
     host.passUntil(host.now() + 8 * SECOND);
     host.read(request(host, "less", READ), request(host, "more", COMMIT));
     assertTrue(host.did("start less") && host.did("start more"), "call time has flowed in");
@@ -705,7 +705,7 @@
     assertTrue(host.count("refuse") > 300, "all but a few are turned away");
     host.passUntil(host.now() + SECOND / 10);
     host.read(request(host, "dear", COMMIT));
-    host.finish("busy1", RunOutcome.GOOD);
+    host.finish("busy1", RunOutcome.SUCCEEDED);
     assertTrue(
         host.did("start dear"),
         "within its share, by what was admitted: the dear class goes first");
@@ -723,7 +723,7 @@
               "read",
               3 * SECOND,
               (patient ? 40 : 4) * SECOND,
-              read.worth(),
+              read.priorityWeight(),
               0.2,
               Idempotency.SAFE,
               0,
@@ -776,7 +776,7 @@
     }
     for (int round = 0; round < 40; round++) {
       for (String id : host.callsOut()) {
-        host.callEnded(id, RunOutcome.GOOD);
+        host.callEnded(id, RunOutcome.SUCCEEDED);
       }
       host.passUntil(host.now() + SECOND / 20);
     }
@@ -810,14 +810,14 @@
   /** Guards against a link that breaks being taken for the end of the call that was out on it. */
   @Test
   void aCallThatWasCutOffStaysInTheDependencysHands() {
-    for (RunOutcome end : List.of(RunOutcome.CUT, RunOutcome.DECLINED)) {
+    for (RunOutcome end : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
       RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
       host.read(request(host, "one", READ));
       host.atCall("one");
       host.callEnded("one", end);
       host.read(request(host, "next", READ));
       host.atCall("next");
-      assertEquals(end == RunOutcome.DECLINED, host.did("call next"), "after " + end);
+      assertEquals(end == RunOutcome.REJECTED, host.did("call next"), "after " + end);
       host.passUntil(host.now() + SECOND / 2);
       assertTrue(host.count("call") > 1, "once it can be over, calls are made again");
     }
@@ -834,11 +834,11 @@
                         kind.name(),
                         SECOND,
                         4 * SECOND,
-                        kind.worth(),
+                        kind.priorityWeight(),
                         0,
-                        kind.repeats(),
-                        kind.window(),
-                        kind.calls(),
+                        kind.idempotency(),
+                        kind.idempotencyWindow(),
+                        kind.callsDependency(),
                         0))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
@@ -867,12 +867,12 @@
                         kind.name(),
                         SECOND,
                         4 * SECOND,
-                        kind.worth(),
+                        kind.priorityWeight(),
                         0,
-                        kind.repeats(),
-                        kind.window(),
-                        kind.calls(),
-                        kind.repeats() == Idempotency.GUARDED ? 0 : 0.5))
+                        kind.idempotency(),
+                        kind.idempotencyWindow(),
+                        kind.callsDependency(),
+                        kind.idempotency() == Idempotency.GUARDED ? 0 : 0.5))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
     host.gauges(1, 3);
@@ -906,7 +906,7 @@
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "calm" + i, SAVE));
       if (!host.answered("calm" + i)) {
-        host.finish("calm" + i, RunOutcome.GOOD);
+        host.finish("calm" + i, RunOutcome.SUCCEEDED);
       }
       host.passUntil(host.now() + SECOND / 2);
     }
@@ -945,7 +945,7 @@
       RecordingHost host = host();
       for (int i = 0; i < 400; i++) {
         host.read(of(host, "spent" + i, 0));
-        host.finish("spent" + i, RunOutcome.GOOD);
+        host.finish("spent" + i, RunOutcome.SUCCEEDED);
       }
       Settings base = host.settings();
       host.retune(
@@ -955,7 +955,7 @@
               List.of(new Tenant(same ? "one" : "three", 100), new Tenant("two", 100))));
       host.read(of(host, "busy1", 1), of(host, "busy2", 1));
       host.read(of(host, "first", 0), of(host, "second", 1));
-      host.finish("busy1", RunOutcome.GOOD);
+      host.finish("busy1", RunOutcome.SUCCEEDED);
       assertTrue(
           host.did(same ? "start second" : "start first"), "a debt is its maker's, and only its");
     }
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -104,12 +104,18 @@
       } else if (what < 0.6) {
         any(random, host.onCores())
             .ifPresent(
-                id -> host.finish(id, random.nextInt(5) > 0 ? RunOutcome.GOOD : RunOutcome.FAILED));
+                id ->
+                    host.finish(
+                        id, random.nextInt(5) > 0 ? RunOutcome.SUCCEEDED : RunOutcome.FAILED));
       } else if (what < 0.75) {
         any(random, host.onCores().stream().filter(host::calls).toList()).ifPresent(host::atCall);
       } else if (what < 0.88) {
         RunOutcome[] ends = {
-          RunOutcome.GOOD, RunOutcome.GOOD, RunOutcome.FAILED, RunOutcome.DECLINED, RunOutcome.CUT
+          RunOutcome.SUCCEEDED,
+          RunOutcome.SUCCEEDED,
+          RunOutcome.FAILED,
+          RunOutcome.REJECTED,
+          RunOutcome.CONNECTION_LOST
         };
         any(random, host.callsOut()).ifPresent(id -> host.callEnded(id, ends[random.nextInt(5)]));
       } else if (what < 0.91) {
@@ -138,12 +144,12 @@
     tenants.add(new Tenant("three", 20));
     return new Settings(
         one.seed(),
-        one.round(),
+        one.batchInterval(),
         classes,
         tenants,
         12,
         4,
-        one.worthByWork(),
+        one.weightByWork(),
         0.1,
         0,
         one.goal(),
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -58,11 +58,11 @@
 
   RecordingHost(Settings settings, long start) {
     this.settings = settings;
-    gauges = new double[settings.machine().gauges().size()];
+    gauges = new double[settings.machine().gaugeNames().size()];
     now = start;
     startedAt = start;
     brain = new OverloadController(settings, this);
-    brain.started(now);
+    brain.serverStarted(now);
     settle();
   }
 
@@ -87,7 +87,7 @@
       List<Long> due = timers.stream().filter(timer -> timer <= now).toList();
       timers.removeAll(due);
       for (int i = 0; i < due.size(); i++) {
-        brain.timer(now, "sample", GaugeSample.of(gauges));
+        brain.timerFired(now, "sample", GaugeSample.of(gauges));
       }
       settle();
       if (now >= end) {
@@ -103,15 +103,16 @@
 
   private void step(long next) {
     long running = requests.values().stream().filter(one -> one.onCore).count();
-    double weight = 1 - Math.exp(-(double) (next - now) / settings.rules().crowdWindow());
+    double weight = 1 - Math.exp(-(double) (next - now) / settings.rules().concurrencyWindow());
     crowd += (running - crowd) * weight;
     now = next;
-    double cold = settings.rules().coldSpeed();
+    double cold = settings.rules().coldSpeedRatio();
     double speed =
-        settings.machine().cold()
-            ? Math.min(1, cold + (1 - cold) * (now - startedAt) / settings.rules().warmAfter())
+        settings.machine().coldStart()
+            ? Math.min(1, cold + (1 - cold) * (now - startedAt) / settings.rules().warmUpDuration())
             : 1;
-    double bound = (1 + (settings.rules().crowdPerCore() - 1) * speed) * settings.machine().cores();
+    double bound =
+        (1 + (settings.rules().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
     assertTrue(crowd <= bound, "crowd " + crowd + " over " + bound);
   }
 
@@ -120,15 +121,17 @@
     for (Request request : batch) {
       Known known = new Known();
       known.request = request;
-      known.kind = settings.classes().get(request.requestClass());
-      known.arrived = now - request.unread();
+      known.kind = settings.classes().get(request.classIndex());
+      known.arrived = now - request.queueingDelay();
       long due =
-          request.waitsUntil() > 0 ? request.waitsUntil() : known.arrived + known.kind.deadline();
+          request.callerDeadline() > 0
+              ? request.callerDeadline()
+              : known.arrived + known.kind.deadline();
       known.due = Math.max(now, due);
       requests.put(request.id(), known);
     }
     for (Request request : batch) {
-      brain.read(now, request);
+      brain.requestRead(now, request);
     }
     settle();
   }
@@ -137,14 +140,14 @@
     known(id).onCore = false;
     known(id).atCall = true;
     known(id).lastCall = null;
-    brain.atCall(now, id);
+    brain.callAwaited(now, id);
     settle();
   }
 
   void callEnded(String id, RunOutcome outcome) {
     known(id).lastCall = outcome;
     known(id).calling = false;
-    if (outcome == RunOutcome.GOOD) {
+    if (outcome == RunOutcome.SUCCEEDED) {
       known(id).onCore = true;
       known(id).atCall = false;
     }
@@ -163,8 +166,8 @@
     known.calling = false;
     known.replaying = false;
     known.over = true;
-    known.answered |= outcome == RunOutcome.GOOD || outcome == RunOutcome.FAILED;
-    brain.finished(now, id, outcome, took);
+    known.answered |= outcome == RunOutcome.SUCCEEDED || outcome == RunOutcome.FAILED;
+    brain.runEnded(now, id, outcome, took);
     settle();
   }
 
@@ -172,13 +175,13 @@
     known(id).answered = true;
     known(id).over = !known(id).onCore && !known(id).atCall;
     known(id).replaying = false;
-    brain.gone(now, id);
+    brain.requestCancelled(now, id);
     settle();
   }
 
   void retune(Settings now) {
     settings = now;
-    brain.retuned(this.now, now);
+    brain.settingsChanged(this.now, now);
     settle();
   }
 
@@ -191,24 +194,24 @@
     for (Known known : requests.values()) {
       known.due = Math.min(known.due, stopAt);
     }
-    brain.drain(now, stopAt);
+    brain.shutdownRequested(now, stopAt);
     settle();
   }
 
   private void settle() {
-    brain.settled(now);
+    brain.batchEnded(now);
     double memory = 0;
     for (Known known : requests.values()) {
       boolean holds = !known.over;
-      double factor = known.ran ? settings.machine().runFactor() : 1;
-      memory += holds ? known.request.memory() * factor : 0;
+      double factor = known.ran ? settings.machine().runMemoryFactor() : 1;
+      memory += holds ? known.request.memoryKb() * factor : 0;
       assertTrue(
           known.answered || now <= known.due + settings.rules().answerSlack(),
           known.request.id() + " is overdue");
     }
     keys.values().removeIf(until -> until <= now);
-    memory += keys.size() * settings.machine().entryMemory();
-    assertTrue(memory <= settings.machine().memory(), "memory " + memory);
+    memory += keys.size() * settings.machine().keyMemoryKb();
+    assertTrue(memory <= settings.machine().memoryKb(), "memory " + memory);
   }
 
   // ---- what tests ask
@@ -244,9 +247,9 @@
         finish(one.getKey(), RunOutcome.STOPPED);
       } else if (known.calling && known.callUntil <= now) {
         callEnded(one.getKey(), RunOutcome.TIMED_OUT);
-      } else if (known.replaying && known(known.request.forerunner()).over) {
-        boolean ran = known(known.request.forerunner()).ran;
-        finish(one.getKey(), ran ? RunOutcome.GOOD : RunOutcome.FAILED);
+      } else if (known.replaying && known(known.request.originalId()).over) {
+        boolean ran = known(known.request.originalId()).ran;
+        finish(one.getKey(), ran ? RunOutcome.SUCCEEDED : RunOutcome.FAILED);
       }
     }
   }
@@ -258,7 +261,7 @@
 
   /** Whether the class of a request may call. */
   boolean calls(String id) {
-    return known(id).kind.calls();
+    return known(id).kind.callsDependency();
   }
 
   /** Names of open requests whose call is out. */
@@ -292,16 +295,17 @@
   // ---- actions
 
   @Override
-  public void start(String id) {
+  public void startRun(String id) {
     Known known = known(id);
     assertFalse(known.over, id + " is over");
     assertTrue(
-        known.arrived - settings.rules().drainGrace() <= noticeAt, id + " came after the grace");
+        known.arrived - settings.rules().drainGracePeriod() <= noticeAt,
+        id + " came after the grace");
     assertRepeatsNothingThatRan(known);
-    if (known.kind.repeats() == Idempotency.GUARDED && !known.ran) {
+    if (known.kind.idempotency() == Idempotency.GUARDED && !known.ran) {
       assertTrue(keys.containsKey(id), id + " runs without its key");
     }
-    assertFalse(known.aborted && known.kind.repeats() != Idempotency.SAFE, id + " runs again");
+    assertFalse(known.aborted && known.kind.idempotency() != Idempotency.SAFE, id + " runs again");
     known.ran = true;
     known.onCore = true;
     actions.add("start " + id);
@@ -309,8 +313,8 @@
 
   /** A repeat of guarded work that ran must not run. */
   private void assertRepeatsNothingThatRan(Known known) {
-    String forerunner = known.request.forerunner();
-    if (forerunner != null && known.kind.repeats() == Idempotency.GUARDED) {
+    String forerunner = known.request.originalId();
+    if (forerunner != null && known.kind.idempotency() == Idempotency.GUARDED) {
       Known before = requests.get(forerunner);
       boolean refused = before != null && before.answered && !before.ran;
       assertTrue(refused, known.request.id() + " repeats what ran or is held");
@@ -318,11 +322,11 @@
   }
 
   @Override
-  public void call(String id, long until) {
+  public void startCall(String id, long until) {
     Known known = known(id);
     assertTrue(known.atCall, id + " is at no call");
-    boolean proven = known.lastCall == null || known.lastCall.neverRan();
-    assertTrue(proven || known.kind.repeats() == Idempotency.SAFE, id + " calls again");
+    boolean proven = known.lastCall == null || known.lastCall.provesNoEffect();
+    assertTrue(proven || known.kind.idempotency() == Idempotency.SAFE, id + " calls again");
     assertTrue(until > now, "a time-out in the past");
     known.calling = true;
     known.callUntil = until;
@@ -334,28 +338,28 @@
   public void skipCall(String id) {
     Known known = known(id);
     assertTrue(known.atCall && !known.calling, id + " is at no call");
-    assertTrue(known.kind.skipWorth() > 0, id + " is worth nothing without its call");
+    assertTrue(known.kind.degradedWeightRatio() > 0, id + " is worth nothing without its call");
     known.atCall = false;
     known.onCore = true;
     actions.add("skip " + id);
   }
 
   @Override
-  public void halt(String id) {
-    assertTrue(settings.machine().halting() != StopMode.NONE, "halting is not allowed");
+  public void stopRun(String id) {
+    assertTrue(settings.machine().stopMode() != StopMode.NONE, "halting is not allowed");
     Known known = known(id);
     known.halted = true;
-    known.aborted |= settings.machine().halting() == StopMode.ABORT;
+    known.aborted |= settings.machine().stopMode() == StopMode.ABORT;
     actions.add("halt " + id);
   }
 
   @Override
-  public void refuse(String id, boolean dontRetry, long stayAway) {
+  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
     Known known = owed(id);
     assertFalse(
-        known.ran && known.kind.repeats() != Idempotency.SAFE, id + " ran and is turned away");
-    if (known.request.forerunner() != null && known.kind.repeats() == Idempotency.GUARDED) {
-      Known before = requests.get(known.request.forerunner());
+        known.ran && known.kind.idempotency() != Idempotency.SAFE, id + " ran and is turned away");
+    if (known.request.originalId() != null && known.kind.idempotency() == Idempotency.GUARDED) {
+      Known before = requests.get(known.request.originalId());
       assertTrue(before != null && !before.ran, id + " repeats what ran and is turned away");
     }
     known.over = true;
@@ -363,7 +367,7 @@
   }
 
   @Override
-  public void fail(String id) {
+  public void failRequest(String id) {
     // What was answered while it ran and reaches a call is ended there; that is no second answer.
     Known known = known(id).answered && known(id).atCall ? known(id) : owed(id);
     known.over = !known.onCore && !known.atCall;
@@ -372,46 +376,47 @@
   }
 
   @Override
-  public void remember(String id, long span) {
+  public void rememberKey(String id, long span) {
     Known known = known(id);
     assertTrue(
-        now + span >= known.arrived + known.kind.window(), id + " is forgotten within its window");
+        now + span >= known.arrived + known.kind.idempotencyWindow(),
+        id + " is forgotten within its window");
     keys.put(id, now + span);
     actions.add("remember " + id);
   }
 
   @Override
-  public void forget(String id) {
+  public void forgetKey(String id) {
     assertFalse(known(id).ran, id + " ran and is forgotten");
     keys.remove(id);
     actions.add("forget " + id);
   }
 
   @Override
-  public void replay(String id) {
-    assertNotNull(known(id).request.forerunner());
+  public void replayResult(String id) {
+    assertNotNull(known(id).request.originalId());
     known(id).replaying = true;
     actions.add("replay " + id);
   }
 
   @Override
-  public void timer(long at, String tag) {
+  public void scheduleTimer(long at, String tag) {
     timers.add(at);
   }
 
   @Override
-  public void say(double value) {
+  public void publishFreeValue(double value) {
     assertTrue(value >= 0);
     actions.add("say " + value);
   }
 
   @Override
-  public void health(boolean cheap, boolean good) {
+  public void setHealth(boolean cheap, boolean good) {
     actions.add("health " + good);
   }
 
   @Override
-  public void trimIdle(long span) {
+  public void closeIdleConnections(long span) {
     actions.add("trim " + span);
   }
 
--- a/src/test/java/mothwing/pool/WorkerPoolClientTest.java
+++ b/src/test/java/mothwing/pool/WorkerPoolClientTest.java
@@ -66,7 +66,7 @@
               pool = new WorkerPoolClient(this::dial, of, of.counters, of.lines::add);
               return pool;
             });
-    pool.link(stand.broker);
+    pool.attach(stand.broker);
   }
 
   @AfterTry
@@ -89,7 +89,7 @@
   /** The pool moves: its new address refuses the first so many dials. */
   private void move(int refuses) {
     refusing = refuses;
-    pool.moved(this::dial);
+    pool.changeAddress(this::dial);
   }
 
   /** The pool reads all commands on the link, and answers them. */
@@ -182,19 +182,19 @@
           }
 
           @Override
-          public void served(byte[] result) {
+          public void sendResult(byte[] result) {
             assertArrayEquals(BrokerFixture.result(id), result);
             once("served");
           }
 
           @Override
-          public void refused(boolean last, long holdOffMs) {
+          public void sendRejection(boolean last, long holdOffMs) {
             assertFalse(order && runs.containsKey(id), id + " ran and is refused");
             once("refused");
           }
 
           @Override
-          public void failed(String code) {
+          public void sendFailure(String code) {
             once(code);
           }
         });
@@ -239,7 +239,7 @@
       stand.pass(20_000);
     }
     assertEquals(made, answers.size(), "all is answered");
-    assertEquals(0, stand.broker.owed());
+    assertEquals(0, stand.broker.pendingCount());
     assertEquals(0, stand.counters.get("pool-notices-missed"));
     assertEquals(0, stand.counters.get("overdue"));
     assertEquals(0, stand.counters.get("lost-runs"));
@@ -265,7 +265,7 @@
     channel.close();
     if (leaves) {
       left.add(BrokerFixture.id(1));
-      stand.broker.gone(asked);
+      stand.broker.cancelled(asked);
     }
     for (int i = 0; i < 10; i++) {
       stand.pass(50_000);
@@ -285,14 +285,14 @@
   @Example
   void aDialThatANewAddressOvertakesComesToNothing() {
     turn();
-    pool.moved((maker, failed) -> late = maker);
+    pool.changeAddress((maker, failed) -> late = maker);
     move(0);
     turn();
     EmbeddedChannel right = channel;
     EmbeddedChannel overtaken = stand.open(late.get());
     assertFalse(overtaken.isOpen());
     assertFalse(channels.get(0).isOpen());
-    assertTrue(right.isOpen() && pool.ready());
+    assertTrue(right.isOpen() && pool.isReady());
     assertEquals(2, stand.lines.stream().filter(line -> line.contains("reason=moved")).count());
   }
 
@@ -327,7 +327,7 @@
     assertEquals("served", answers.get(BrokerFixture.id(2)));
     assertEquals(2, channels.size(), "the link is opened again once, for what was missing");
     assertEquals(2, stand.counters.get("pool-notices-missed"));
-    assertTrue(pool.ready());
+    assertTrue(pool.isReady());
     runs.values().forEach(times -> assertEquals(1, times));
   }
 
@@ -406,7 +406,7 @@
         channels.stream().filter(EmbeddedChannel::isOpen).count() <= 2,
         "one is left as another is open");
     turn();
-    assertTrue(pool.ready());
+    assertTrue(pool.isReady());
     stand.pass(1_000_000);
     assertEquals(1, channels.stream().filter(EmbeddedChannel::isOpen).count());
   }
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -354,7 +354,8 @@
       holdAt("drain ", server::drain);
       Settings had = BrokerFixture.settings(60, 2);
       RequestClass other =
-          new RequestClass("other", 1, 1_000, 1, 0, had.classes().get(0).repeats(), 0, false, 0);
+          new RequestClass(
+              "other", 1, 1_000, 1, 0, had.classes().get(0).idempotency(), 0, false, 0);
       server.reload(
           config(SettingsVariants.parts(had, List.of(other), List.of(new Tenant("two", 1))), 256));
       log.release();
--- a/src/test/java/mothwing/testing/BlockingLog.java
+++ b/src/test/java/mothwing/testing/BlockingLog.java
@@ -50,7 +50,7 @@
   }
 
   @Override
-  public void line(String line) {
+  public void write(String line) {
     synchronized (this) {
       lines.add(line);
       notifyAll();
--- a/src/test/java/mothwing/testing/FrontModel.java
+++ b/src/test/java/mothwing/testing/FrontModel.java
@@ -94,7 +94,7 @@
             place,
             order ? "/call/" + BrokerFixture.ORDER : "/call/" + BrokerFixture.LOOK,
             "",
-            Gateway.fields(id, stand.wallMs() - lateMs),
+            Gateway.fields(id, stand.wallClockMillis() - lateMs),
             new byte[step % 2049]);
     int cut = step % all.length;
     send(Arrays.copyOf(all, cut));
@@ -125,7 +125,7 @@
   public void endRun(int number) {
     String id = stand.someRun(number);
     if (id != null) {
-      stand.finish(id, number % 5 == 0 ? RunOutcome.FAILED : RunOutcome.GOOD);
+      stand.finish(id, number % 5 == 0 ? RunOutcome.FAILED : RunOutcome.SUCCEEDED);
     }
   }
 
@@ -169,7 +169,7 @@
    * anywhere, or nowhere.
    */
   private void reconcile() {
-    Map<String, Object> figures = stand.broker.figures();
+    Map<String, Object> figures = stand.broker.statistics();
     assertEquals((long) owed.size(), figures.get("pending"));
     ends.forEach(
         (kind, seen) -> {
@@ -195,7 +195,7 @@
   public void checkEnd() {
     check(6_000_000);
     assertEquals(0, owed.size());
-    assertEquals(0, stand.broker.owed());
+    assertEquals(0, stand.broker.pendingCount());
     checkClosed();
     assertEquals(0, stand.counters.get("controller-faults"));
   }
--- a/src/test/java/mothwing/testing/NoDecisionController.java
+++ b/src/test/java/mothwing/testing/NoDecisionController.java
@@ -9,22 +9,22 @@
 /** Decisions left to the test: it hears all and asks for nothing. */
 public class NoDecisionController implements Controller {
   @Override
-  public void started(long now) {
+  public void serverStarted(long now) {
     // nothing is asked for
   }
 
   @Override
-  public void read(long now, Request request) {
+  public void requestRead(long now, Request request) {
     // held
   }
 
   @Override
-  public void gone(long now, String id) {
+  public void requestCancelled(long now, String id) {
     // nothing is asked for
   }
 
   @Override
-  public void atCall(long now, String id) {
+  public void callAwaited(long now, String id) {
     // it waits
   }
 
@@ -34,27 +34,27 @@
   }
 
   @Override
-  public void finished(long now, String id, RunOutcome outcome, long took) {
+  public void runEnded(long now, String id, RunOutcome outcome, long took) {
     // nothing is asked for
   }
 
   @Override
-  public void timer(long now, String tag, GaugeSample sample) {
+  public void timerFired(long now, String tag, GaugeSample sample) {
     // nothing is asked for
   }
 
   @Override
-  public void retuned(long now, Settings settings) {
+  public void settingsChanged(long now, Settings settings) {
     // nothing is asked for
   }
 
   @Override
-  public void drain(long now, long stopAt) {
+  public void shutdownRequested(long now, long stopAt) {
     // nothing is asked for
   }
 
   @Override
-  public void settled(long now) {
+  public void batchEnded(long now) {
     // nothing is asked for
   }
 }
--- a/src/test/java/mothwing/testing/SettingsVariants.java
+++ b/src/test/java/mothwing/testing/SettingsVariants.java
@@ -24,11 +24,11 @@
         by ->
             new Signals(
                 meaning,
-                by.heardFor(),
-                by.mayAdvise(),
-                by.longestAdvice(),
-                by.goneNotices(),
-                by.idle()));
+                by.freeValueLifetime(),
+                by.retryAfterHonoured(),
+                by.maxRetryAfter(),
+                by.cancellationsReported(),
+                by.idleTimeout()));
   }
 
   /** With advice to stay away passed on, or not. */
@@ -38,11 +38,11 @@
         by ->
             new Signals(
                 by.freeValue(),
-                by.heardFor(),
+                by.freeValueLifetime(),
                 may,
-                by.longestAdvice(),
-                by.goneNotices(),
-                by.idle()));
+                by.maxRetryAfter(),
+                by.cancellationsReported(),
+                by.idleTimeout()));
   }
 
   /** With another idle limit, in microseconds. */
@@ -52,10 +52,10 @@
         by ->
             new Signals(
                 by.freeValue(),
-                by.heardFor(),
-                by.mayAdvise(),
-                by.longestAdvice(),
-                by.goneNotices(),
+                by.freeValueLifetime(),
+                by.retryAfterHonoured(),
+                by.maxRetryAfter(),
+                by.cancellationsReported(),
                 span));
   }
 
@@ -67,14 +67,14 @@
       Settings one, List<RequestClass> classes, List<Tenant> tenants, Signals signals) {
     return new Settings(
         one.seed(),
-        one.round(),
+        one.batchInterval(),
         classes,
         tenants,
         one.replicas(),
         one.callers(),
-        one.worthByWork(),
-        one.overShareWorth(),
-        one.freshFor(),
+        one.weightByWork(),
+        one.overQuotaWeightRatio(),
+        one.cacheLifetime(),
         one.goal(),
         one.rules(),
         one.dependency(),
--- a/src/test/java/mothwing/trial/DeploymentTest.java
+++ b/src/test/java/mothwing/trial/DeploymentTest.java
@@ -68,8 +68,8 @@
     }
 
     @Override
-    public void read(long now, Request request) {
-      host.start(request.id());
+    public void requestRead(long now, Request request) {
+      host.startRun(request.id());
     }
   }
 }
--- a/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
+++ b/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
@@ -27,7 +27,7 @@
   }
 
   private static List<Seen> of(SimulatedMembershipNetwork net, Type what) {
-    return net.seen.stream().filter(one -> one.change().what() == what).toList();
+    return net.seen.stream().filter(one -> one.change().type() == what).toList();
   }
 
   @Test
@@ -53,10 +53,10 @@
     net.nodes.get("m3").pause(10_000_000);
     net.pass(9);
     assertTrue(
-        of(net, Type.DIED).stream().allMatch(one -> one.change().claim().name().equals("m3")));
+        of(net, Type.DIED).stream().allMatch(one -> one.change().member().name().equals("m3")));
     assertTrue(net.untilAgreed(5) >= 0, "it objects as it wakes, and accuses nobody else");
     assertTrue(
-        of(net, Type.DIED).stream().allMatch(one -> one.change().claim().name().equals("m3")));
+        of(net, Type.DIED).stream().allMatch(one -> one.change().member().name().equals("m3")));
   }
 
   /**
@@ -220,9 +220,10 @@
                     + " start "
                     + one.start()
                     + " of "
-                    + one.change().claim().name()
-                    + one.change().claim().start();
-            if (last.merge(key, one.change().claim().incarnation(), (a, b) -> b < a ? -1 : b) < 0) {
+                    + one.change().member().name()
+                    + one.change().member().start();
+            if (last.merge(key, one.change().member().incarnation(), (a, b) -> b < a ? -1 : b)
+                < 0) {
               back.add(key);
             }
           });
