--- a/src/bench/java/mothwing/net/IdleConnections.java
+++ b/src/bench/java/mothwing/net/IdleConnections.java
@@ -4,12 +4,12 @@
 import java.util.ArrayList;
 import java.util.List;
 import mothwing.broker.Counters;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * Idle connections under a clock by hand: each step lets 50 ms pass and looks for who overstays.
  */
-public final class IdleConnections implements Timers {
+public final class IdleConnections implements Scheduler {
   private static final long STEP = 50_000;
   private static final long SPAN = 30_000_000;
   private static final long PATIENCE = 2_500_000;
@@ -25,16 +25,16 @@
     Idle(long since) {
       super("bench", 1, line -> {}, new Counters());
       this.since = since;
-      introduce();
+      markIdentified();
     }
 
     @Override
-    protected boolean take(ByteBuf in) {
+    protected boolean decode(ByteBuf in) {
       return false;
     }
 
     @Override
-    protected void ended() {
+    protected void onClosed() {
       // nothing is kept of it
     }
   }
@@ -54,7 +54,7 @@
   public void scan() {
     now += STEP;
     for (Idle one : new ArrayList<>(all)) {
-      if (one.overstays(now, PATIENCE) != null || !one.quiet() || now - one.since >= SPAN) {
+      if (one.timeoutReason(now, PATIENCE) != null || !one.isQuiet() || now - one.since >= SPAN) {
         closed++;
       }
     }
@@ -63,7 +63,7 @@
   /** A look at the wheel. Nothing is due in the first span, as each is armed for its own end. */
   public void wheel() {
     now += STEP;
-    table.trim(SPAN, Reason.IDLE);
+    table.trim(SPAN, CloseReason.IDLE);
   }
 
   /** How many would have been closed, so that the work is not dropped. */
@@ -77,12 +77,12 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMillis() {
     return now / 1000;
   }
 
   @Override
-  public void at(long at, Runnable work) {
+  public void schedule(long at, Runnable work) {
     throw new UnsupportedOperationException();
   }
 }
--- a/src/main/java/mothwing/broker/Log.java
+++ b/src/main/java/mothwing/broker/EventLog.java
@@ -2,11 +2,11 @@
 
 /** Takes one line of the log: a code, then words of the form {@code name=value}. */
 @FunctionalInterface
-public interface Log {
+public interface EventLog {
   /**
    * Writes a line.
    *
    * @param line its text
    */
-  void line(String line);
+  void write(String line);
 }
--- a/src/main/java/mothwing/broker/ReasonLog.java
+++ b/src/main/java/mothwing/broker/RateLimitedEventLog.java
@@ -7,14 +7,14 @@
  *
  * <p>Thread: the event loop's.
  */
-final class ReasonLog {
+final class RateLimitedEventLog {
   /** Most lines a second: at 20 microseconds a line a thousandth of a core. */
   static final int MOST_A_SECOND = 50;
 
   private static final long SECOND = 1_000_000;
 
-  private final Log log;
-  private final Timers timers;
+  private final EventLog log;
+  private final Scheduler timers;
   private long second = Long.MIN_VALUE;
   private int lines;
   private long suppressed;
@@ -25,7 +25,7 @@
    * @param log takes the lines
    * @param timers the clocks
    */
-  ReasonLog(Log log, Timers timers) {
+  RateLimitedEventLog(EventLog log, Scheduler timers) {
     this.log = log;
     this.timers = timers;
   }
@@ -37,24 +37,24 @@
    * @param request the request
    * @param reason why, a code of the counters
    */
-  void line(String event, Exchange request, String reason) {
+  void write(String event, Exchange request, String reason) {
     long now = Math.floorDiv(timers.now(), SECOND);
     if (now != second) {
       second = now;
       lines = 0;
       if (suppressed > 0) {
-        log.line("reasons-suppressed lines=" + suppressed);
+        log.write("reasons-suppressed lines=" + suppressed);
         suppressed = 0;
       }
     }
     if (lines < MOST_A_SECOND) {
       lines++;
-      log.line(
+      log.write(
           event
               + " id="
-              + request.arrival().id()
+              + request.request().id()
               + " class="
-              + request.arrival().kind()
+              + request.request().className()
               + " reason="
               + reason);
     } else {
--- a/src/main/java/mothwing/broker/Figures.java
+++ b/src/main/java/mothwing/broker/RequestStatistics.java
@@ -10,7 +10,7 @@
  * exchange comes to its one end, and where a run is first handed to the pool. A class that the
  * settings no longer name keeps its counts.
  */
-public final class Figures {
+public final class RequestStatistics {
   /** Most classes counted apart; those beyond are counted under {@link #OTHERS}. */
   static final int MOST_CLASSES = 256;
 
@@ -40,20 +40,20 @@
   }
 
   /** A class is known from now on, with counts of 0 where it is new. */
-  void know(String kind) {
+  void register(String kind) {
     row(kind);
   }
 
-  void ended(String kind, End end) {
+  void recordEnd(String kind, End end) {
     row(kind).ends[end.ordinal()]++;
   }
 
-  void handedOver(String kind) {
+  void recordDispatch(String kind) {
     row(kind).runs++;
   }
 
   /** All counts by name and class, in the order in which the classes came. */
-  Map<String, Object> all() {
+  Map<String, Object> snapshot() {
     Map<String, Object> all = new LinkedHashMap<>();
     for (End end : End.values()) {
       all.put(end.name().toLowerCase(Locale.ROOT), byClass(row -> row.ends[end.ordinal()]));
--- a/src/main/java/mothwing/broker/Timers.java
+++ b/src/main/java/mothwing/broker/Scheduler.java
@@ -3,12 +3,12 @@
 /**
  * The clocks, and work that is due later. All of it happens on the one thread that owns the broker.
  */
-public interface Timers {
+public interface Scheduler {
   /** Microseconds of the monotonic clock. */
   long now();
 
   /** Unix milliseconds of the wall clock. */
-  long wallMs();
+  long wallClockMillis();
 
   /**
    * Runs work at a time of the monotonic clock, or as soon as possible where that has passed; never
@@ -17,5 +17,5 @@
    * @param at the time
    * @param work what to do
    */
-  void at(long at, Runnable work);
+  void schedule(long at, Runnable work);
 }
--- a/src/main/java/mothwing/broker/DrainState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -5,9 +5,9 @@
  * or leaves; and what that means for arrivals, checks and advice. Times are microseconds of the
  * monotonic clock.
  */
-final class DrainState {
+final class ShutdownState {
   /** How it goes. */
-  enum Way {
+  enum Mode {
     /** It stays. */
     NONE,
     /** Another process takes clients at its address: nothing may be said that keeps them away. */
@@ -16,44 +16,44 @@
     LEAVING
   }
 
-  private Way way = Way.NONE;
-  private boolean away;
+  private Mode way = Mode.NONE;
+  private boolean outOfRotation;
   private long noticeAt;
   private long stopAt;
   private long grace;
 
   /** Sends gateways away, or ends that. Says false after the notice, when nothing changes. */
-  boolean away(boolean now) {
-    if (going()) {
+  boolean outOfRotation(boolean now) {
+    if (isDraining()) {
       return false;
     }
-    away = now;
+    outOfRotation = now;
     return true;
   }
 
-  boolean away() {
-    return away;
+  boolean outOfRotation() {
+    return outOfRotation;
   }
 
   /**
    * The notice to leave came; what arrives in the grace after it may still run. Only the first one
    * counts.
    */
-  void notice(long at, long stop, long spanOfGrace, boolean handover) {
-    if (!going()) {
-      way = handover ? Way.HANDING_OVER : Way.LEAVING;
+  void begin(long at, long stop, long spanOfGrace, boolean handover) {
+    if (!isDraining()) {
+      way = handover ? Mode.HANDING_OVER : Mode.LEAVING;
       noticeAt = at;
       stopAt = stop;
       grace = spanOfGrace;
     }
   }
 
-  boolean going() {
-    return way != Way.NONE;
+  boolean isDraining() {
+    return way != Mode.NONE;
   }
 
-  boolean handsOver() {
-    return way == Way.HANDING_OVER;
+  boolean isHandingOver() {
+    return way == Mode.HANDING_OVER;
   }
 
   long stopAt() {
@@ -64,28 +64,28 @@
    * When the controller is to turn away what comes: at once, or, handing over, after half of the
    * time that is left.
    */
-  long closesAt() {
-    return handsOver() ? noticeAt + Math.min(grace, (stopAt - noticeAt) / 2) : noticeAt;
+  long admissionClosesAt() {
+    return isHandingOver() ? noticeAt + Math.min(grace, (stopAt - noticeAt) / 2) : noticeAt;
   }
 
   /**
    * Whether what was read whole then may still be run: what a gateway says of its arrival proves
    * nothing.
    */
-  boolean mayRun(long readAt) {
-    return !going() || readAt <= noticeAt + grace;
+  boolean mayStillRun(long readAt) {
+    return !isDraining() || readAt <= noticeAt + grace;
   }
 
   /** The best that a check may say, where the controller says so much. */
-  boolean good(boolean controller) {
-    return !away && (controller || handsOver());
+  boolean isHealthy(boolean controller) {
+    return !outOfRotation && (controller || isHandingOver());
   }
 
   /**
    * The span to stay away that a refusal may advise: those who hand over do not speak for the next
    * one.
    */
-  long advice(long span) {
-    return handsOver() ? 0 : span;
+  long retryAfter(long span) {
+    return isHandingOver() ? 0 : span;
   }
 }
--- a/src/main/java/mothwing/dns/server/DnsEngine.java
+++ b/src/main/java/mothwing/dns/server/DnsEngine.java
@@ -14,14 +14,14 @@
 import java.util.Map;
 import java.util.concurrent.Executor;
 import java.util.function.IntSupplier;
-import mothwing.OverloadControl.Outcome;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
+import mothwing.broker.EventLog;
 import mothwing.broker.Exchange;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
-import mothwing.broker.Workers;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.Scheduler;
+import mothwing.broker.WorkerPool;
+import mothwing.control.RunOutcome;
 import mothwing.dns.zone.DomainName;
 import mothwing.dns.zone.History;
 import mothwing.dns.zone.Resolver;
@@ -35,19 +35,19 @@
 import org.xbill.DNS.Type;
 
 /**
- * What answers questions and carries out updates: the {@link Workers} of the DNS broker. What the
- * controller starts is run in order on the event loop, outside of the controller's batch; an update
- * ends when it is forced.
+ * What answers questions and carries out updates: the {@link WorkerPool} of the DNS broker. What
+ * the controller starts is run in order on the event loop, outside of the controller's batch; an
+ * update ends when it is forced.
  */
-final class DnsEngine implements Workers {
+final class DnsEngine implements WorkerPool {
   private static final int MILLIS = 1000;
   private static final double GAUGE_SPAN =
       20_000; // microseconds: the clock of a thread moves in steps
 
   private final Executor loop;
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
+  private final EventLog log;
   private final boolean control;
   private final int udpBytes;
   private final int unprovenBytes;
@@ -72,11 +72,11 @@
 
   DnsEngine(
       Executor loop,
-      Timers timers,
+      Scheduler timers,
       Site.DnsLimits limits,
       IntSupplier sockets,
       Counters counters,
-      Log log) {
+      EventLog log) {
     this.loop = loop;
     this.timers = timers;
     this.counters = counters;
@@ -139,23 +139,23 @@
       counters.add("dns-updates-unsigned");
       request.error(Rcode.REFUSED, AnswerWriter.PROHIBITED, "updates must be signed");
     } else if (query.opcode() == Opcode.QUERY && !control && !query.signed()) {
-      request.served(answer(query, request.limit()));
+      request.sendResult(answer(query, request.limit()));
     } else {
       String id = HexFormat.of().toHexDigits(++ids);
       request.id(id);
       requests.put(id, request);
       request.exchange(
-          broker.read(
-              new Arrival(
+          broker.submit(
+              new InboundRequest(
                   id,
-                  timers.wallMs(),
+                  timers.wallClockMillis(),
                   "",
                   query.opcode() == Opcode.UPDATE ? DnsDecisions.UPDATE : DnsDecisions.QUERY,
                   1 + query.bytes().length / 1024.0,
                   0.5,
                   null,
                   null,
-                  Arrival.NOT_TOLD,
+                  InboundRequest.NOT_STATED,
                   query.bytes()),
               request));
     }
@@ -169,7 +169,7 @@
   /** Whoever sent a request has left. */
   void gone(DnsRequest request) {
     if (request.exchange() != null) {
-      broker.gone(request.exchange());
+      broker.cancelled(request.exchange());
       answered(request);
     }
   }
@@ -177,13 +177,13 @@
   // the worker
 
   @Override
-  public boolean ready() {
+  public boolean isReady() {
     return true;
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
-    started.add(requests.get(exchange.arrival().id()));
+  public boolean startRun(Exchange exchange) {
+    started.add(requests.get(exchange.request().id()));
     if (!scheduled) {
       scheduled = true;
       loop.execute(this::run);
@@ -204,8 +204,11 @@
   }
 
   private void finish(DnsRequest request, byte[] answer) {
-    broker.finished(
-        request.id(), Outcome.GOOD, Math.max(1, timers.now() - request.startedAt()), answer);
+    broker.runEnded(
+        request.id(),
+        RunOutcome.SUCCEEDED,
+        Math.max(1, timers.now() - request.startedAt()),
+        answer);
   }
 
   private ZoneKeeper find(DomainName name) {
@@ -253,7 +256,7 @@
       finish(request, AnswerWriter.error(request.query(), Rcode.FORMERR, AnswerWriter.OTHER, null));
       return;
     }
-    long now = timers.wallMs() / MILLIS;
+    long now = timers.wallClockMillis() / MILLIS;
     Signer.Signed signed = signer.check(message, request.query().bytes(), now);
     if (signed.error() != Rcode.NOERROR) {
       counters.add(
@@ -273,7 +276,7 @@
       finish(request, answer.toWire(request.limit()));
     } catch (IOException | RuntimeException broken) {
       counters.add("faults");
-      log.line("fault side=dns what=\"" + broken + "\"");
+      log.write("fault side=dns what=\"" + broken + "\"");
       reply(request, signed, Rcode.SERVFAIL, "");
     }
   }
@@ -296,7 +299,7 @@
           now,
           (rcode, reason) -> {
             if (rcode != Rcode.NOERROR) {
-              log.line(
+              log.write(
                   "update-refused zone="
                       + keeper.origin()
                       + " key="
@@ -325,15 +328,15 @@
       answer = message.toWire(AnswerWriter.TCP);
     } catch (RuntimeException broken) {
       counters.add("faults");
-      log.line("fault side=dns what=\"" + broken + "\"");
+      log.write("fault side=dns what=\"" + broken + "\"");
       answer = AnswerWriter.error(request.query(), rcode, AnswerWriter.OTHER, null);
     }
     finish(request, answer);
   }
 
   @Override
-  public void poll(String echo) {
-    loop.execute(() -> broker.polled(echo, gauges()));
+  public void requestGauges(String echo) {
+    loop.execute(() -> broker.gaugesReceived(echo, gauges()));
   }
 
   private double[] gauges() {
@@ -351,17 +354,17 @@
   }
 
   @Override
-  public void suspend(String id) {
+  public void stopRun(String id) {
     // the settings say that nothing that runs is stopped
   }
 
   @Override
-  public void proceed(String id) {
+  public void resumeRun(String id) {
     // as nothing is ever stopped
   }
 
   @Override
-  public void verify(String echo) {
-    loop.execute(() -> broker.verified(echo, true));
+  public void startHealthCheck(String echo) {
+    loop.execute(() -> broker.healthCheckEnded(echo, true));
   }
 }
--- a/src/main/java/mothwing/dns/server/DnsRequest.java
+++ b/src/main/java/mothwing/dns/server/DnsRequest.java
@@ -1,13 +1,13 @@
 package mothwing.dns.server;
 
-import mothwing.broker.Caller;
 import mothwing.broker.Exchange;
+import mothwing.broker.ResponseSink;
 import org.xbill.DNS.Rcode;
 
 /**
  * A message that is owed one answer, between the front that read it and the engine that answers it.
  */
-final class DnsRequest implements Caller {
+final class DnsRequest implements ResponseSink {
   /** The way back. */
   interface Way {
     /** Sends an answer. */
@@ -67,17 +67,17 @@
   }
 
   @Override
-  public void served(byte[] result) {
+  public void sendResult(byte[] result) {
     way.send(this, result);
   }
 
   @Override
-  public void refused(boolean last, long holdOffMs) {
+  public void sendRejection(boolean last, long holdOffMs) {
     error(Rcode.REFUSED, AnswerWriter.OTHER, "overloaded");
   }
 
   @Override
-  public void failed(String code) {
+  public void sendFailure(String code) {
     error(Rcode.SERVFAIL, AnswerWriter.OTHER, code);
   }
 }
--- a/src/main/java/mothwing/net/FairReads.java
+++ b/src/main/java/mothwing/net/ReadBudget.java
@@ -1,7 +1,7 @@
 package mothwing.net;
 
 import java.util.ArrayDeque;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * How much of what clients send is taken in one go, and which share is refused undecided since this
@@ -12,7 +12,7 @@
  * between. Where some wait for longer, reading and deciding alone wants more than there is: then a
  * growing share is refused at the least cost. On its loop's thread only.
  */
-public final class FairReads {
+public final class ReadBudget {
   /** Microseconds for which clients' requests are taken in one go: some tens of requests. */
   static final long SPAN = 4_000;
 
@@ -28,7 +28,7 @@
   private static final double DOWN = 1_000_000; // the same when none waits
   private static final long LONGEST =
       100_000; // microseconds of one step up: a process that stood still knows nothing
-  private final Timers timers;
+  private final Scheduler timers;
   private final ArrayDeque<Connection> waiting = new ArrayDeque<>();
   private long until = Long.MIN_VALUE;
   private boolean asked;
@@ -43,17 +43,17 @@
    *
    * @param timers the clocks
    */
-  public FairReads(Timers timers) {
+  public ReadBudget(Scheduler timers) {
     this.timers = timers;
     seenAt = timers.now();
   }
 
-  /** Whether a connection may take a further piece now, or is to {@link #await} its turn. */
-  boolean open() {
+  /** Whether a connection may take a further piece now, or is to {@link #enqueue} its turn. */
+  boolean hasBudget() {
     if (!asked) { // the first piece of this turn
       asked = true;
       until = timers.now() + SPAN;
-      timers.at(timers.now() + PAUSE, this::next);
+      timers.schedule(timers.now() + PAUSE, this::next);
       return true;
     }
     return (going || waiting.isEmpty()) && timers.now() < until;
@@ -63,7 +63,7 @@
    * Takes a connection that has something to take, and reads nothing from its other end until its
    * turn comes.
    */
-  void await(Connection connection) {
+  void enqueue(Connection connection) {
     waiting.add(connection);
   }
 
@@ -73,7 +73,7 @@
    *
    * @return true for the share that this process cannot decide
    */
-  public boolean sheds() {
+  public boolean isOverloaded() {
     owed += share;
     if (owed < 1) {
       return false;
@@ -85,8 +85,8 @@
   private void next() {
     asked = false;
     going = true;
-    for (int left = waiting.size(); left > 0 && open(); left--) {
-      waiting.remove().goOn();
+    for (int left = waiting.size(); left > 0 && hasBudget(); left--) {
+      waiting.remove().resumeReading();
     }
     going = false;
     look(timers.now());
--- a/src/main/java/mothwing/Brain.java
+++ b/src/main/java/mothwing/overload/OverloadController.java
@@ -1,4 +1,4 @@
-package mothwing;
+package mothwing.overload;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -10,18 +10,15 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 import java.util.Set;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.Request;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
-import mothwing.overload.FilterLadder;
-import mothwing.overload.LoadIndex;
-import mothwing.overload.RunningLimit;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.GaugeSample;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.control.StopMode;
 
 /**
  * All decisions of the overload controller of one server, after QGuard. Interface:
@@ -34,7 +31,7 @@
  * time for is refused. What is admitted is held, and run in order of worth while the running limit
  * allows. Every sample moves the gauges, the index and, through it, the filter.
  */
-public final class Brain implements Controller {
+public final class OverloadController implements Controller {
   // Constants: unit, then reason.
   private static final long SAMPLE =
       30_000; // microseconds, rounded up to rounds: the paper's 33 Hz
@@ -108,7 +105,7 @@
   private record Expiry(long at, String id) {}
 
   /** A request that is unanswered, or whose run still holds core or memory. */
-  private static final class Job {
+  private static final class TrackedRequest {
     final Request request;
     final RequestClass kind;
     final long arrived;
@@ -128,25 +125,25 @@
     int calls;
     int stood;
 
-    Job(Request request, RequestClass kind, long arrived) {
+    TrackedRequest(Request request, RequestClass kind, long arrived) {
       this.request = request;
       this.kind = kind;
       this.arrived = arrived;
     }
 
     boolean guarded() {
-      return kind.repeats() == Repeats.GUARDED;
+      return kind.idempotency() == Idempotency.GUARDED;
     }
   }
 
   private Settings settings;
-  private final Host host;
-  private final CallerSignals callers;
+  private final ControllerHost host;
+  private final BackpressureSignal callers;
   private int cores;
   private double planned;
   private long margin;
   private long sample;
-  private final Map<String, Job> open = new LinkedHashMap<>();
+  private final Map<String, TrackedRequest> open = new LinkedHashMap<>();
   private final Set<String> keys = new HashSet<>();
   private final PriorityQueue<Expiry> expiry =
       new PriorityQueue<>(Comparator.comparingLong(Expiry::at));
@@ -192,7 +189,7 @@
   private double[] offered = {};
   private double[] coming = {};
   private double[] quotaTokens = {};
-  private final RunningLimit running;
+  private final ConcurrencyLimit running;
   private double busy;
   private double usualBusy = 1;
 
@@ -202,14 +199,14 @@
    * @param settings its settings
    * @param host carries out its actions
    */
-  public Brain(Settings settings, Host host) {
+  public OverloadController(Settings settings, ControllerHost host) {
     this.host = host;
     this.settings = settings;
-    callers = new CallerSignals(() -> this.settings, host);
+    callers = new BackpressureSignal(() -> this.settings, host);
     take(settings);
     callTime = callTimeMost;
     callRoom = callFlow * VOLUME * SECOND;
-    running = new RunningLimit(cores);
+    running = new ConcurrencyLimit(cores);
     ladder = new FilterLadder(cores);
   }
 
@@ -218,17 +215,17 @@
     Settings before = settings;
     settings = to;
     cores = Math.max(1, to.machine().cores());
-    long round = Math.max(1, to.round());
+    long round = Math.max(1, to.batchInterval());
     sample = (SAMPLE + round - 1) / round * round;
     margin = DUE_MARGIN * sample;
-    planned = to.machine().memory() * MEMORY_SHARE;
+    planned = to.machine().memoryKb() * MEMORY_SHARE;
     dearestCaller =
         to.classes().stream()
-            .filter(RequestClass::calls)
-            .mapToDouble(RequestClass::worth)
+            .filter(RequestClass::callsDependency)
+            .mapToDouble(RequestClass::priorityWeight)
             .max()
             .orElse(0);
-    double part = to.dependency().share();
+    double part = to.dependency().concurrencyQuota();
     callsMost = part > 0 ? Math.ceil(Math.max(1, 2 * part)) : MANY;
     callTimeMost = CALLS_BURST * (part > 0 ? part * to.dependency().window() : MANY * MANY);
     callFlow = part > 0 ? part * CALLS_FLOW : MANY;
@@ -246,7 +243,7 @@
       if (i >= known || !kind.name().equals(before.classes().get(i).name())) {
         pace[i] = paceOfAll;
         runs[i] = 0;
-        callsPer[i] = kind.calls() ? 1 : 0;
+        callsPer[i] = kind.callsDependency() ? 1 : 0;
         for (double[] ofAnother : List.of(tokens, offered, coming)) {
           Arrays.fill(ofAnother, 2 * i, 2 * i + 2, 0);
         }
@@ -262,36 +259,40 @@
   }
 
   @Override
-  public void retuned(long at, Settings to) {
+  public void settingsChanged(long at, Settings to) {
     advance(at);
     take(to);
   }
 
   @Override
-  public void started(long at) {
+  public void serverStarted(long at) {
     now = at;
     startedAt = at;
     lastSample = at;
     ladder.started(at);
-    host.health(true, true);
-    host.timer(at + sample, TICK);
+    host.setHealth(true, true);
+    host.scheduleTimer(at + sample, TICK);
   }
 
   // reading
 
   @Override
-  public void read(long at, Request request) {
+  public void requestRead(long at, Request request) {
     advance(at);
-    RequestClass kind = settings.classes().get(request.requestClass());
-    Job job = new Job(request, kind, at - request.unread());
-    long due = request.waitsUntil() > 0 ? request.waitsUntil() : job.arrived + kind.deadline();
+    RequestClass kind = settings.classes().get(request.classIndex());
+    TrackedRequest job = new TrackedRequest(request, kind, at - request.queueingDelay());
+    long due =
+        request.callerDeadline() > 0 ? request.callerDeadline() : job.arrived + kind.deadline();
     job.due = draining ? Math.min(due, stopAt) : due;
-    job.unit = request.cost() > 0 ? request.cost() : kind.aim() * PRIOR_WORK;
-    job.aimBy = job.arrived + kind.aim();
-    job.overShare = request.tenant() >= 0 && quotaTokens[request.tenant()] < 0;
+    job.unit =
+        request.estimatedCoreTime() > 0
+            ? request.estimatedCoreTime()
+            : kind.latencyObjective() * PRIOR_WORK;
+    job.aimBy = job.arrived + kind.latencyObjective();
+    job.overShare = request.tenantIndex() >= 0 && quotaTokens[request.tenantIndex()] < 0;
     job.worth = worth(job);
     open.put(request.id(), job);
-    memory += request.memory();
+    memory += request.memoryKb();
     offered[bucket(job)] += expected(job);
     coming[bucket(job)] += job.unit;
     callers.read(expected(job));
@@ -299,7 +300,7 @@
   }
 
   /** The ordinary path of a request just read. */
-  private void decide(Job job) {
+  private void decide(TrackedRequest job) {
     if (followsForerunner(job)) {
       return;
     }
@@ -313,7 +314,7 @@
       turnAway(job);
       return;
     }
-    int tenant = job.request.tenant();
+    int tenant = job.request.tenantIndex();
     if (tenant >= 0) {
       quotaTokens[tenant] = Math.max(-quota(tenant), quotaTokens[tenant] - 1);
     }
@@ -323,17 +324,17 @@
   }
 
   /** A repeat whose forerunner is held or ran follows it; it is never run or turned away. */
-  private boolean followsForerunner(Job job) {
-    String before = job.request.forerunner();
+  private boolean followsForerunner(TrackedRequest job) {
+    String before = job.request.originalId();
     if (before == null || refusedNow.contains(before)) {
       return false;
     }
-    if (job.guarded() || settings.freshFor() > 0 || open.containsKey(before)) {
+    if (job.guarded() || settings.cacheLifetime() > 0 || open.containsKey(before)) {
       if (now + margin >= job.due || memory > planned) { // waiting repeats must not fill the memory
         answerFailed(job);
       } else {
         job.state = State.REPLAYING;
-        host.replay(job.request.id());
+        host.replayResult(job.request.id());
       }
       return true;
     }
@@ -343,16 +344,16 @@
   /**
    * Every read must leave room for its run, for the runs planned and for a batch of further reads.
    */
-  private boolean roomFor(Job job) {
-    double entry = job.guarded() ? settings.machine().entryMemory() : 0;
+  private boolean roomFor(TrackedRequest job) {
+    double entry = job.guarded() ? settings.machine().keyMemoryKb() : 0;
     return memory + entry + Math.max(0, running.limit() - onCores) * extra(job) <= planned;
   }
 
-  private double extra(Job job) {
-    return job.request.memory() * (settings.machine().runFactor() - 1);
+  private double extra(TrackedRequest job) {
+    return job.request.memoryKb() * (settings.machine().runMemoryFactor() - 1);
   }
 
-  private boolean takeTokens(Job job) {
+  private boolean takeTokens(TrackedRequest job) {
     int filter = ladder.filter();
     if (filter == 0) {
       return true;
@@ -368,10 +369,10 @@
   /**
    * A failing server looks quick and idle, a failing dependency wastes core time: little is tried.
    */
-  private boolean faulty(Job job) {
-    boolean dear = job.kind.worth() >= dearestCaller;
+  private boolean faulty(TrackedRequest job) {
+    boolean dear = job.kind.priorityWeight() >= dearestCaller;
     return faults[RUNS] > FAULTS
-        || (job.kind.calls() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2));
+        || (job.kind.callsDependency() && faults[CALLS] > (dear ? FAULTS : FAULTS / 2));
   }
 
   private void account(int place, boolean good) {
@@ -382,12 +383,12 @@
    * A burst outruns the ladder: refuses what better work leaves no time for. What runs shares its
    * core.
    */
-  private boolean reachable(Job job) {
+  private boolean reachable(TrackedRequest job) {
     double ahead = 0;
     double calls = -callRoom;
     double spare = usefulUntil(job) - now - callsLeft(job) - stretched(job) - margin;
     double most = spare * Math.max(LEAST_CORES, cores - betterToCome(job)) / SPREAD;
-    for (Job other : open.values()) {
+    for (TrackedRequest other : open.values()) {
       boolean first =
           other.worth == job.worth ? other.arrived <= job.arrived : other.worth > job.worth;
       if (other != job && !other.answered && (first || other.state != State.HELD)) {
@@ -396,22 +397,24 @@
           return false; // in a crowd that is most of them: no need to add up the rest
         }
       }
-      calls += job.kind.calls() && first && !other.answered ? callsLeft(other) : 0;
+      calls += job.kind.callsDependency() && first && !other.answered ? callsLeft(other) : 0;
     }
     return spare >= 0
-        && (!job.kind.calls() || job.kind.skipWorth() > 0 || calls / callFlow <= spare);
+        && (!job.kind.callsDependency()
+            || job.kind.degradedWeightRatio() > 0
+            || calls / callFlow <= spare);
   }
 
   /**
    * Cores that work of much better worth takes while a request waits: what came of late goes on.
    */
-  private double betterToCome(Job job) {
+  private double betterToCome(TrackedRequest job) {
     double work = 0;
     for (int i = 0; i < coming.length; i++) {
       RequestClass kind = settings.classes().get(i / 2);
       double cost = pace[i / 2] * strain;
-      double value = kind.worth() * (i % 2 == 0 ? 1 : settings.overShareWorth());
-      double worth = settings.worthByWork() ? value : value / (job.unit * cost);
+      double value = kind.priorityWeight() * (i % 2 == 0 ? 1 : settings.overQuotaWeightRatio());
+      double worth = settings.weightByWork() ? value : value / (job.unit * cost);
       work += worth > BETTER * job.worth ? coming[i] * cost : 0;
     }
     return Math.min(
@@ -419,9 +422,9 @@
   }
 
   /** Call time that a request is still expected to take from the dependency. */
-  private double callsLeft(Job job) {
+  private double callsLeft(TrackedRequest job) {
     int waiting = job.state == State.AT_CALL || job.state == State.CALLING ? 1 : 0;
-    double left = callsPer[job.request.requestClass()] - job.stood + waiting;
+    double left = callsPer[job.request.classIndex()] - job.stood + waiting;
     return job.state == State.REPLAYING ? 0 : callPace * Math.max(waiting, left);
   }
 
@@ -429,57 +432,61 @@
    * The time held for a run: on cores idle now or of late no better use waits, and chances are
    * taken.
    */
-  private double stretched(Job job) {
+  private double stretched(TrackedRequest job) {
     double full =
         ladder.filter() > 0 ? 1 : Math.min(1, Math.min(busy, usualBusy) / LoadIndex.idleCores());
     return expected(job) * (CHANCE + (SPREAD - CHANCE) * full);
   }
 
   /** Until when an answer is sought: on busy cores a late one takes the place of one in time. */
-  private long usefulUntil(Job job) {
+  private long usefulUntil(TrackedRequest job) {
     boolean room = ladder.filter() == 0 && Math.min(busy, usualBusy) < LoadIndex.idleCores();
     return room ? worthUntil(job) : Math.min(job.aimBy, job.due);
   }
 
   /** Until when an answer has any worth. */
-  private long worthUntil(Job job) {
-    return job.kind.lateWorth() > 0 ? job.due : Math.min(job.aimBy, job.due);
+  private long worthUntil(TrackedRequest job) {
+    return job.kind.lateWeightRatio() > 0 ? job.due : Math.min(job.aimBy, job.due);
   }
 
   /** Worth for expected core time, then arrival. */
-  private static final Comparator<Job> ORDER =
-      Comparator.comparingDouble((Job job) -> -job.worth).thenComparingLong(job -> job.arrived);
+  private static final Comparator<TrackedRequest> ORDER =
+      Comparator.comparingDouble((TrackedRequest job) -> -job.worth)
+          .thenComparingLong(job -> job.arrived);
 
   // what a request is worth and costs
 
-  private double worth(Job job) {
-    double value = job.kind.worth() * (job.overShare ? settings.overShareWorth() : 1);
-    return settings.worthByWork() ? value : value / expected(job);
+  private double worth(TrackedRequest job) {
+    double value =
+        job.kind.priorityWeight() * (job.overShare ? settings.overQuotaWeightRatio() : 1);
+    return settings.weightByWork() ? value : value / expected(job);
   }
 
-  private double expected(Job job) {
+  private double expected(TrackedRequest job) {
     return usual(job) * strain;
   }
 
-  private double usual(Job job) {
-    return job.unit * pace[job.request.requestClass()];
+  private double usual(TrackedRequest job) {
+    return job.unit * pace[job.request.classIndex()];
   }
 
-  private double left(Job job) {
+  private double left(TrackedRequest job) {
     double guess = job.state == State.REPLAYING ? 0 : expected(job);
     return Math.max(guess - used(job), guess * LEFT_AT_LEAST);
   }
 
-  private double used(Job job) {
+  private double used(TrackedRequest job) {
     return job.used + (job.state == State.RUNNING ? coreClock - job.mark : 0);
   }
 
   private double quota(int tenant) {
-    return settings.tenants().get(tenant).quota() / Math.max(1, settings.replicas()) * QUOTA_LEEWAY;
+    return settings.tenants().get(tenant).requestsPerSecond()
+        / Math.max(1, settings.replicas())
+        * QUOTA_LEEWAY;
   }
 
-  private int bucket(Job job) {
-    return 2 * job.request.requestClass() + (job.overShare ? 1 : 0);
+  private int bucket(TrackedRequest job) {
+    return 2 * job.request.classIndex() + (job.overShare ? 1 : 0);
   }
 
   // answers
@@ -488,15 +495,16 @@
    * Ends a request that never ran; callers go on and stay away where the trouble is this server's
    * own.
    */
-  private void turnAway(Job job) {
-    boolean cold = settings.machine().cold() && now < startedAt + settings.rules().warmAfter();
+  private void turnAway(TrackedRequest job) {
+    boolean cold =
+        settings.machine().coldStart() && now < startedAt + settings.rules().warmUpDuration();
     boolean own = draining || faults[RUNS] > FAULTS || cold || stuck();
-    long longest = settings.signals().mayAdvise() ? settings.signals().longestAdvice() : 0;
+    long longest = settings.signals().retryAfterHonoured() ? settings.signals().maxRetryAfter() : 0;
     long byFilter = longest * ladder.filter() / (2 * FilterLadder.INNER_FILTERS);
-    host.refuse(job.request.id(), !own, own ? longest : byFilter);
+    host.rejectRequest(job.request.id(), !own, own ? longest : byFilter);
     refusedNow.add(job.request.id());
     if (dropKey(job.request.id())) {
-      host.forget(job.request.id());
+      host.forgetKey(job.request.id());
     }
     close(job);
   }
@@ -512,12 +520,12 @@
   }
 
   /** Answers with a failure; running work is stopped in the same reply where that is possible. */
-  private void answerFailed(Job job) {
-    host.fail(job.request.id());
+  private void answerFailed(TrackedRequest job) {
+    host.failRequest(job.request.id());
     job.answered = true;
     stop(job);
     if (job.state == State.CALLING) {
-      lingering.add(now + settings.dependency().linger());
+      lingering.add(now + settings.dependency().abandonedCallDuration());
       job.state = State.AT_CALL;
       calling--;
     } else if (job.state != State.RUNNING && job.state != State.AT_CALL) {
@@ -525,58 +533,58 @@
     }
   }
 
-  private void stop(Job job) {
-    if (job.state == State.RUNNING && settings.machine().halting() != Halting.NONE) {
-      host.halt(job.request.id());
+  private void stop(TrackedRequest job) {
+    if (job.state == State.RUNNING && settings.machine().stopMode() != StopMode.NONE) {
+      host.stopRun(job.request.id());
     }
   }
 
   /** Forgets a request that holds nothing any longer. */
-  private void close(Job job) {
+  private void close(TrackedRequest job) {
     if (open.remove(job.request.id()) == null) {
       return;
     }
     leaveCore(job);
     if (job.state == State.CALLING) { // its caller left: the dependency does not know yet
       calling--;
-      lingering.add(now + settings.dependency().linger());
+      lingering.add(now + settings.dependency().abandonedCallDuration());
     }
-    memory -= job.request.memory() + (job.ran ? extra(job) : 0);
+    memory -= job.request.memoryKb() + (job.ran ? extra(job) : 0);
   }
 
-  private void leaveCore(Job job) {
+  private void leaveCore(TrackedRequest job) {
     if (job.state == State.RUNNING) {
       job.used += coreClock - job.mark;
       onCores--;
     }
   }
 
-  private void enterCore(Job job) {
+  private void enterCore(TrackedRequest job) {
     job.state = State.RUNNING;
     job.mark = coreClock;
     onCores++;
   }
 
-  private void remember(Job job) {
-    long until = Math.max(now + sample, job.arrived + job.kind.window() + sample);
-    host.remember(job.request.id(), until - now);
+  private void remember(TrackedRequest job) {
+    long until = Math.max(now + sample, job.arrived + job.kind.idempotencyWindow() + sample);
+    host.rememberKey(job.request.id(), until - now);
     keys.add(job.request.id());
     expiry.add(new Expiry(until, job.request.id()));
-    memory += settings.machine().entryMemory();
+    memory += settings.machine().keyMemoryKb();
   }
 
   private boolean dropKey(String id) {
     boolean live = keys.remove(id);
-    memory -= live ? settings.machine().entryMemory() : 0;
+    memory -= live ? settings.machine().keyMemoryKb() : 0;
     return live;
   }
 
   // running
 
   @Override
-  public void gone(long at, String id) {
+  public void requestCancelled(long at, String id) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null) {
       return;
     }
@@ -588,9 +596,9 @@
   }
 
   @Override
-  public void atCall(long at, String id) {
+  public void callAwaited(long at, String id) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null) {
       return;
     }
@@ -600,34 +608,34 @@
     job.calls = 0;
     job.callAgain = now;
     if (job.answered) {
-      host.fail(id);
+      host.failRequest(id);
     }
   }
 
   @Override
-  public void callEnded(long at, String id, Outcome outcome, long took) {
+  public void callEnded(long at, String id, RunOutcome outcome, long took) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null || job.state != State.CALLING) {
       return;
     }
     calling--;
     callPace += (now - job.calledAt - callPace) * CALL_LEARN;
-    account(CALLS, outcome == Outcome.GOOD);
-    if (outcome == Outcome.GOOD) {
+    account(CALLS, outcome == RunOutcome.SUCCEEDED);
+    if (outcome == RunOutcome.SUCCEEDED) {
       enterCore(job);
       return;
     }
     // given up, or cut off with its link
-    boolean mayRunOn = !outcome.neverRan() && outcome != Outcome.FAILED;
+    boolean mayRunOn = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
     if (mayRunOn) {
-      lingering.add(now + settings.dependency().linger());
+      lingering.add(now + settings.dependency().abandonedCallDuration());
     }
     job.state = State.AT_CALL;
     job.callAgain = now + (sample << Math.min(job.calls, 2 * CALL_TRIES));
-    boolean again = outcome.neverRan() || job.kind.repeats() == Repeats.SAFE;
+    boolean again = outcome.provesNoEffect() || job.kind.idempotency() == Idempotency.SAFE;
     boolean over = (!again || job.calls >= CALL_TRIES) && !job.answered;
-    if (over && job.kind.skipWorth() > 0) {
+    if (over && job.kind.degradedWeightRatio() > 0) {
       job.calls = CALL_TRIES; // the poorer answer is left
     } else if (over) {
       answerFailed(job);
@@ -635,32 +643,32 @@
   }
 
   @Override
-  public void finished(long at, String id, Outcome outcome, long took) {
+  public void runEnded(long at, String id, RunOutcome outcome, long took) {
     advance(at);
-    Job job = open.get(id);
+    TrackedRequest job = open.get(id);
     if (job == null) {
       return;
     }
     boolean replayed = job.state == State.REPLAYING;
-    if (outcome == Outcome.STOPPED && !job.answered) {
+    if (outcome == RunOutcome.STOPPED && !job.answered) {
       leaveCore(job);
-      job.state = settings.machine().halting() == Halting.SUSPEND ? State.PAUSED : State.HELD;
+      job.state = settings.machine().stopMode() == StopMode.SUSPEND ? State.PAUSED : State.HELD;
       return;
     }
     close(job);
     job.used =
         took > 0 && job.used - took > sample ? took : job.used; // the rest: we heard of it late
-    if (!replayed && outcome == Outcome.GOOD) {
+    if (!replayed && outcome == RunOutcome.SUCCEEDED) {
       account(RUNS, true);
       learn(job);
-    } else if (!replayed && outcome == Outcome.FAILED) {
+    } else if (!replayed && outcome == RunOutcome.FAILED) {
       account(RUNS, false);
     }
   }
 
   /** Learns core time for a unit of expected work, by class; the first runs count in full. */
-  private void learn(Job job) {
-    int place = job.request.requestClass();
+  private void learn(TrackedRequest job) {
+    int place = job.request.classIndex();
     weigh(job, job.used);
     done += usual(job);
     doneWork += expected(job);
@@ -678,7 +686,7 @@
   private void fadePaces(double span) {
     callPace *= calling > 0 ? 1 : Math.max(0, 1 - span / STRAIN_SECONDS);
     for (int i = 0; i < pace.length; i++) {
-      double aim = settings.classes().get(i).aim();
+      double aim = settings.classes().get(i).latencyObjective();
       if (runs[i] > 0 && now - learnedAt[i] > STALE * aim) {
         pace[i] += (paceOfAll - pace[i]) * Math.min(1, span * SECOND / aim);
       }
@@ -692,7 +700,7 @@
     double kept = Math.max(0, 1 - span / STRAIN_SECONDS);
     spent *= kept;
     done *= kept;
-    for (Job job : open.values()) {
+    for (TrackedRequest job : open.values()) {
       if (job.state == State.RUNNING) {
         weigh(job, Math.min(used(job), STUCK * usual(job)));
       }
@@ -702,26 +710,26 @@
     strain = ratio > STRAINED && Arrays.stream(runs).sum() > KNOWN ? ratio : 1;
   }
 
-  private void weigh(Job job, double used) {
+  private void weigh(TrackedRequest job, double used) {
     spent += Math.max(0, used - job.weighed);
     job.weighed = Math.max(used, job.weighed);
   }
 
   @Override
-  public void drain(long at, long stop) {
+  public void shutdownRequested(long at, long stop) {
     advance(at);
     draining = true;
     noticeAt = at;
     stopAt = stop - KILL_MARGIN * sample;
-    for (Job job : open.values()) {
+    for (TrackedRequest job : open.values()) {
       job.due = Math.min(job.due, stopAt);
     }
-    host.health(true, false);
+    host.setHealth(true, false);
     callers.leave();
   }
 
   @Override
-  public void settled(long at) {
+  public void batchEnded(long at) {
     advance(at);
     sweep();
     startWork();
@@ -731,7 +739,7 @@
 
   /** No request may be lost, and nothing that can no longer be useful is run. */
   private void sweep() {
-    for (Job job : new ArrayList<>(open.values())) {
+    for (TrackedRequest job : new ArrayList<>(open.values())) {
       if (job.answered) {
         continue;
       }
@@ -746,15 +754,16 @@
   }
 
   private void startWork() {
-    List<Job> waiting = new ArrayList<>();
-    for (Job job : open.values()) {
+    List<TrackedRequest> waiting = new ArrayList<>();
+    for (TrackedRequest job : open.values()) {
       if (!job.answered && (job.state == State.HELD || job.state == State.PAUSED)) {
-        job.worth = worth(job) * (now + expected(job) <= job.aimBy ? 1 : job.kind.lateWorth());
+        job.worth =
+            worth(job) * (now + expected(job) <= job.aimBy ? 1 : job.kind.lateWeightRatio());
         waiting.add(job);
       }
     }
     waiting.sort(ORDER);
-    for (Job job : waiting) {
+    for (TrackedRequest job : waiting) {
       if (onCores + callsInHand() / 2 >= runningBound()) {
         return;
       }
@@ -764,8 +773,8 @@
     }
   }
 
-  private void start(Job job) {
-    host.start(job.request.id());
+  private void start(TrackedRequest job) {
+    host.startRun(job.request.id());
     if (!job.ran) {
       job.ran = true;
       memory += extra(job);
@@ -776,11 +785,13 @@
   /** The crowd that this server survives now: a cold one survives less. */
   private double survivable() {
     double speed = 1;
-    if (settings.machine().cold() && settings.rules().warmAfter() > 0) {
-      double age = (double) (now - startedAt) / settings.rules().warmAfter();
-      speed = Math.min(1, settings.rules().coldSpeed() + (1 - settings.rules().coldSpeed()) * age);
+    if (settings.machine().coldStart() && settings.rules().warmUpDuration() > 0) {
+      double age = (double) (now - startedAt) / settings.rules().warmUpDuration();
+      speed =
+          Math.min(
+              1, settings.rules().coldSpeedRatio() + (1 - settings.rules().coldSpeedRatio()) * age);
     }
-    return (1 + (settings.rules().crowdPerCore() - 1) * speed) * cores;
+    return (1 + (settings.rules().concurrencyPerCore() - 1) * speed) * cores;
   }
 
   private int runningBound() {
@@ -798,20 +809,20 @@
    * call that failed for good or would come too late is left out where the poorer answer has worth.
    */
   private void makeCalls() {
-    List<Job> waiting = new ArrayList<>();
-    for (Job job : open.values()) {
+    List<TrackedRequest> waiting = new ArrayList<>();
+    for (TrackedRequest job : open.values()) {
       if (job.state == State.AT_CALL && !job.answered && now >= job.callAgain) {
         waiting.add(job);
       }
     }
     waiting.sort(ORDER);
-    for (Job job : waiting) {
+    for (TrackedRequest job : waiting) {
       boolean mine = callsInHand() < callsMost && callTime >= callTimeMost * CALLS_LEAST;
       boolean late =
           job.calls >= CALL_TRIES || now + callPace + left(job) + margin > worthUntil(job);
       if (onCores + calling >= Math.max(1, crowdCeiling())) {
         return; // what returns takes a core again
-      } else if (late && job.kind.skipWorth() > 0) {
+      } else if (late && job.kind.degradedWeightRatio() > 0) {
         host.skipCall(job.request.id());
         enterCore(job);
       } else if (mine && callRoom > 0) {
@@ -823,7 +834,7 @@
             Math.min(
                 Math.min(job.due - 2 * margin, worthUntil(job)),
                 now + (long) (callTime / callsMost));
-        host.call(job.request.id(), Math.max(now + settings.round(), until));
+        host.startCall(job.request.id(), Math.max(now + settings.batchInterval(), until));
       }
     }
   }
@@ -842,7 +853,8 @@
     }
     coreClock += span * Math.min(1, (double) cores / Math.max(1, onCores));
     crowd +=
-        (onCores - crowd) * (1 - Math.exp(-span / Math.max(1, settings.rules().crowdWindow())));
+        (onCores - crowd)
+            * (1 - Math.exp(-span / Math.max(1, settings.rules().concurrencyWindow())));
     double rate = callFlow - callsInHand();
     callTime = Math.min(callTimeMost, callTime + rate * span);
     callRoom = Math.min(callFlow * VOLUME * SECOND, callRoom + rate * span);
@@ -856,9 +868,9 @@
   }
 
   @Override
-  public void timer(long at, String tag, Sample sampled) {
+  public void timerFired(long at, String tag, GaugeSample sampled) {
     advance(at);
-    host.timer(at + sample, TICK);
+    host.scheduleTimer(at + sample, TICK);
     boolean stalled = at - lastSample > STALL * sample && !late;
     late = at - lastSample > STALL * sample; // again and again: it is short of processor time
     double span = (at - lastSample) / SECOND;
@@ -874,7 +886,7 @@
       observe(sampled, span);
     }
     int steps = (int) Math.max(1, Math.min(LoadIndex.HISTORY, span * SECOND / sample));
-    if (sampled.known() || settings.machine().gauges().isEmpty()) {
+    if (sampled.isKnown() || settings.machine().gaugeNames().isEmpty()) {
       boolean waits =
           onCores >= running.limit()
               && open.values().stream().anyMatch(job -> job.state == State.HELD && !job.answered);
@@ -940,19 +952,20 @@
 
   private double weight(int bucket) {
     RequestClass kind = settings.classes().get(bucket / 2);
-    double unit = settings.worthByWork() ? 1 : pace[bucket / 2] * kind.aim();
-    double value = kind.worth() / unit * (bucket % 2 == 1 ? settings.overShareWorth() : 1);
+    double unit = settings.weightByWork() ? 1 : pace[bucket / 2] * kind.latencyObjective();
+    double value =
+        kind.priorityWeight() / unit * (bucket % 2 == 1 ? settings.overQuotaWeightRatio() : 1);
     return value * value;
   }
 
   // monitor, load controller, policy manager
 
   /** One sample: the gauges, the index, and the damped step through the ladder. */
-  private void observe(Sample sampled, double span) {
+  private void observe(GaugeSample sampled, double span) {
     int index =
         loadIndex.take(
             busy,
-            memory / Math.max(1, settings.machine().memory()),
+            memory / Math.max(1, settings.machine().memoryKb()),
             gauge(sampled, "runnable", onCores) / survivable(),
             holdWait());
     doneRate += (doneWork / SECOND / span - doneRate) * Math.min(1, span / 2);
@@ -967,8 +980,8 @@
   /**
    * A gauge of this moment; where it is not known, what this server's own book of runs makes of it.
    */
-  private double gauge(Sample sampled, String name, double byOwnBook) {
-    int place = settings.machine().gauges().indexOf(name);
+  private double gauge(GaugeSample sampled, String name, double byOwnBook) {
+    int place = settings.machine().gaugeNames().indexOf(name);
     return place >= 0 && place < sampled.gauges().size() ? sampled.gauges().get(place) : byOwnBook;
   }
 
@@ -977,7 +990,7 @@
    */
   private double holdWait() {
     double work = 0;
-    for (Job job : open.values()) {
+    for (TrackedRequest job : open.values()) {
       work += job.answered ? 0 : left(job) / job.kind.deadline();
     }
     return work / cores;
--- a/src/main/java/mothwing/pool/Pool.java
+++ b/src/main/java/mothwing/pool/WorkerPoolClient.java
@@ -4,20 +4,20 @@
 import java.util.function.Supplier;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
+import mothwing.broker.EventLog;
 import mothwing.broker.Exchange;
-import mothwing.broker.Log;
-import mothwing.broker.Timers;
-import mothwing.broker.Workers;
+import mothwing.broker.Scheduler;
+import mothwing.broker.WorkerPool;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Dial;
-import mothwing.net.Reason;
+import mothwing.net.Connector;
 
 /**
  * The worker pool over its links: a link that breaks is opened again and goes on after the last
  * notice read, and so does the link to a new address. The old link is heard until the pool has
  * taken the new one, so that what was sent on it last is read.
  */
-public final class Pool implements Workers {
+public final class WorkerPoolClient implements WorkerPool {
   static final Set<String> NOTICES =
       Set.of("bound", "finished", "blocked", "polled", "verified", "unknown", "chatter");
 
@@ -48,13 +48,13 @@
   private static final long MOST_GAP =
       1 << 20; // numbers that a notice may be ahead: the pool keeps 4,000
 
-  private final Timers timers;
+  private final Scheduler timers;
   private final Counters counters;
-  private final Log log;
-  private Dial dialer;
+  private final EventLog log;
+  private Connector dialer;
   private Broker broker;
-  private PoolLink link;
-  private PoolLink former;
+  private WorkerPoolConnection attach;
+  private WorkerPoolConnection former;
   private long last;
   private long wait;
   private int dials;
@@ -72,7 +72,7 @@
    * @param counters counts what happens
    * @param log takes lines of the log
    */
-  public Pool(Dial dialer, Timers timers, Counters counters, Log log) {
+  public WorkerPoolClient(Connector dialer, Scheduler timers, Counters counters, EventLog log) {
     this.dialer = dialer;
     this.timers = timers;
     this.counters = counters;
@@ -84,7 +84,7 @@
    *
    * @param to takes what the pool says
    */
-  public void link(Broker to) {
+  public void attach(Broker to) {
     broker = to;
     dial();
     look();
@@ -102,13 +102,13 @@
     long now = timers.now();
     boolean stoodStill = now - lookedAt > 2 * LOOK;
     lookedAt = now;
-    timers.at(now + LOOK, this::look);
-    if (link != null) {
-      link.askAgain();
+    timers.schedule(now + LOOK, this::look);
+    if (attach != null) {
+      attach.askAgain();
     }
-    if (!stoodStill && !dialing && link != null && link.silentFor(now) > patience) {
+    if (!stoodStill && !dialing && attach != null && attach.silentFor(now) > patience) {
       counters.add("pool-silent-link");
-      log.line("pool-silent ms=" + link.silentFor(now) / MILLI);
+      log.write("pool-silent ms=" + attach.silentFor(now) / MILLI);
       patience =
           Math.min(
               8 * SILENT,
@@ -122,7 +122,7 @@
    *
    * @param elsewhere opens links to the new address
    */
-  public void moved(Dial elsewhere) {
+  public void changeAddress(Connector elsewhere) {
     dialer = elsewhere;
     wait = 0;
     if (broker != null) {
@@ -136,8 +136,8 @@
     }
     dialing = true;
     int mine = ++dials;
-    Supplier<Connection> maker = () -> new PoolLink(this, mine, broker, log, counters);
-    dialer.dial(maker, () -> again(mine));
+    Supplier<Connection> maker = () -> new WorkerPoolConnection(this, mine, broker, log, counters);
+    dialer.connect(maker, () -> again(mine));
   }
 
   /**
@@ -150,7 +150,7 @@
     }
     dialing = true;
     counters.add("pool-relinks");
-    timers.at(
+    timers.schedule(
         timers.now() + wait,
         () -> {
           if (mine == dials) {
@@ -163,23 +163,23 @@
   /**
    * A link is open: it takes the place of the one before it, unless a later dial has overtaken it.
    */
-  boolean opened(PoolLink opened, int dial) {
+  boolean opened(WorkerPoolConnection opened, int dial) {
     if (dial != dials) {
       return false;
     }
     dialing = false;
     leaveFormer();
-    former = link;
-    link = opened;
+    former = attach;
+    attach = opened;
     if (former != null) {
-      broker.unlinked();
+      broker.poolDisconnected();
     }
     return true;
   }
 
   private void leaveFormer() {
     if (former != null) {
-      former.close(Reason.MOVED, "");
+      former.close(CloseReason.MOVED, "");
       former = null;
     }
   }
@@ -198,7 +198,7 @@
    * number that no pool reaches. Behind a gap the link is opened again, once, for what is missing;
    * the pool gives all notices after the last.
    */
-  boolean isNext(PoolLink on, long place) {
+  boolean isNext(WorkerPoolConnection on, long place) {
     if (place <= last) {
       counters.add("pool-notices-repeated");
       return false;
@@ -208,10 +208,10 @@
       return false;
     }
     if (place > last + 1) {
-      log.line("pool-gap after=" + last + " next=" + place);
+      log.write("pool-gap after=" + last + " next=" + place);
       if (gapAfter != last) {
         gapAfter = last;
-        on.close(Reason.MISSED, "");
+        on.close(CloseReason.MISSED, "");
         return false;
       }
       counters.add("pool-notices-missed", place - last - 1);
@@ -233,20 +233,20 @@
     return timers.now();
   }
 
-  void ended(PoolLink which) {
-    if (link == which) {
-      link = null;
+  void ended(WorkerPoolConnection which) {
+    if (attach == which) {
+      attach = null;
       if (which.caughtUp()) {
         wait = waitAfter(timers.now() - which.openedAt());
       }
-      log.line(
+      log.write(
           "pool-link-lost lived_ms="
               + (timers.now() - which.openedAt()) / MILLI
               + " caught_up="
               + which.caughtUp()
               + " next_ms="
               + wait / MILLI);
-      broker.unlinked();
+      broker.poolDisconnected();
       if (!dialing) {
         again(dials);
       }
@@ -262,54 +262,54 @@
   }
 
   @Override
-  public boolean ready() {
-    return link != null && link.ready();
+  public boolean isReady() {
+    return attach != null && attach.isReady();
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
-    return ready() && link.spawn(exchange);
+  public boolean startRun(Exchange exchange) {
+    return isReady() && attach.startRun(exchange);
   }
 
   @Override
-  public void suspend(String id) {
-    if (ready()) {
-      link.suspend(id);
+  public void stopRun(String id) {
+    if (isReady()) {
+      attach.stopRun(id);
     }
   }
 
   @Override
-  public void proceed(String id) {
-    if (ready()) {
-      link.proceed(id);
+  public void resumeRun(String id) {
+    if (isReady()) {
+      attach.resumeRun(id);
     }
   }
 
   @Override
-  public void supply(String id, byte[] result) {
-    if (ready()) {
-      link.supply(id, result);
+  public void resumeWithResult(String id, byte[] result) {
+    if (isReady()) {
+      attach.resumeWithResult(id, result);
     }
   }
 
   @Override
-  public void pass(String id) {
-    if (ready()) {
-      link.pass(id);
+  public void resumeWithoutResult(String id) {
+    if (isReady()) {
+      attach.resumeWithoutResult(id);
     }
   }
 
   @Override
-  public void poll(String echo) {
-    if (ready()) {
-      link.poll(echo);
+  public void requestGauges(String echo) {
+    if (isReady()) {
+      attach.requestGauges(echo);
     }
   }
 
   @Override
-  public void verify(String echo) {
-    if (ready()) {
-      link.verify(echo);
+  public void startHealthCheck(String echo) {
+    if (isReady()) {
+      attach.startHealthCheck(echo);
     }
   }
 }
--- a/src/main/java/mothwing/pool/PoolLink.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -8,19 +8,19 @@
 import java.io.StringReader;
 import java.nio.charset.StandardCharsets;
 import java.util.Base64;
-import mothwing.OverloadControl.Outcome;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
+import mothwing.broker.EventLog;
 import mothwing.broker.Exchange;
-import mothwing.broker.Log;
-import mothwing.broker.Workers;
+import mothwing.broker.WorkerPool;
+import mothwing.control.RunOutcome;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Malformed;
-import mothwing.net.Reason;
-import mothwing.settings.Fields;
+import mothwing.net.ProtocolException;
+import mothwing.settings.JsonFields;
 
 /** One link to the worker pool: commands and notices as JSON objects, one a line. */
-final class PoolLink extends Connection implements Workers {
+final class WorkerPoolConnection extends Connection implements WorkerPool {
   /** Most bytes of one line: a result of 4 KiB in base64, with much to spare. */
   static final int MOST_LINE = 64 << 10;
 
@@ -31,17 +31,18 @@
   private static final String CAUGHT_UP = "bind";
   private static final Gson GSON = new Gson();
 
-  private final Pool pool;
+  private final WorkerPoolClient pool;
   private final int dial;
   private final Broker broker;
-  private final Log log;
+  private final EventLog log;
   private final long openedAt;
   private boolean bound;
   private boolean caughtUp;
   private int passedOver;
   private long waitsSince = NEVER;
 
-  PoolLink(Pool pool, int dial, Broker broker, Log log, Counters counters) {
+  WorkerPoolConnection(
+      WorkerPoolClient pool, int dial, Broker broker, EventLog log, Counters counters) {
     super("pool", MOST_LINE, log, counters);
     this.pool = pool;
     this.dial = dial;
@@ -62,22 +63,22 @@
 
   /** Asks again whether all that was missed has been read, where the pool has not answered yet. */
   void askAgain() {
-    if (ready() && !caughtUp) {
-      poll(CAUGHT_UP);
+    if (isReady() && !caughtUp) {
+      requestGauges(CAUGHT_UP);
     }
   }
 
   @Override
-  protected void opened() {
+  protected void onOpened() {
     if (pool.opened(this, dial)) {
       ask("{\"action\":\"bind\",\"pos\":" + pool.lastNotice() + "}");
     } else {
-      close(Reason.MOVED, "");
+      close(CloseReason.MOVED, "");
     }
   }
 
   @Override
-  protected void ended() {
+  protected void onClosed() {
     bound = false;
     pool.ended(this);
   }
@@ -87,7 +88,7 @@
    * link, for ever.
    */
   @Override
-  protected boolean take(ByteBuf in) throws Malformed {
+  protected boolean decode(ByteBuf in) throws ProtocolException {
     waitsSince = NEVER;
     int length = in.bytesBefore((byte) '\n');
     if (length < 0 && in.readableBytes() <= MOST_LINE && passedOver == 0) {
@@ -99,19 +100,20 @@
     String line = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
     in.skipBytes(length + 1);
     try (JsonReader reader = new JsonReader(new StringReader(line))) {
-      notice(Fields.read(reader));
-    } catch (IOException | IllegalStateException | JsonParseException | Malformed bad) {
+      notice(JsonFields.read(reader));
+    } catch (IOException | IllegalStateException | JsonParseException | ProtocolException bad) {
       bad(bad.getMessage());
     }
     return true;
   }
 
-  private void passOver(ByteBuf in, int length) throws Malformed {
+  private void passOver(ByteBuf in, int length) throws ProtocolException {
     int part = length < 0 ? in.readableBytes() : length + 1;
     in.skipBytes(part);
     passedOver += part;
     if (passedOver > MOST_PASSED_OVER) {
-      throw new Malformed(Reason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
+      throw new ProtocolException(
+          CloseReason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
     } else if (length >= 0) {
       bad("a line of " + passedOver + " bytes");
       passedOver = 0;
@@ -120,7 +122,7 @@
 
   private void bad(String why) {
     count("bad-notices");
-    log.line("pool-bad-notice what=\"" + why + "\"");
+    log.write("pool-bad-notice what=\"" + why + "\"");
   }
 
   /** For how long nothing has come though something was asked. */
@@ -128,9 +130,9 @@
     return waitsSince == NEVER ? 0 : now - waitsSince;
   }
 
-  private void notice(Fields notice) throws IOException, Malformed {
+  private void notice(JsonFields notice) throws IOException, ProtocolException {
     String action = notice.text("action");
-    count("notice-" + (Pool.NOTICES.contains(action) ? action : "other"));
+    count("notice-" + (WorkerPoolClient.NOTICES.contains(action) ? action : "other"));
     long place = notice.whole("pos", 0);
     if (place > 0 && !pool.isNext(this, place)) {
       return;
@@ -139,58 +141,60 @@
       case "bound" -> {
         bound = true;
         pool.bound();
-        broker.bound(notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
-        poll(CAUGHT_UP);
+        broker.poolConnected(
+            notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
+        requestGauges(CAUGHT_UP);
       }
       case "finished" -> finished(notice);
-      case "blocked" -> broker.blocked(notice.text("uid"), decoded(notice.text("content", "")));
+      case "blocked" ->
+          broker.runAwaitsCall(notice.text("uid"), decoded(notice.text("content", "")));
       case "polled" -> {
         if (!caughtUp) { // any answer: all missed notices come before it
           caughtUp = true;
           pool.caughtUp();
-          broker.caughtUp();
+          broker.resynchronized();
         }
         if (!notice.text("echo", "").equals(CAUGHT_UP)) {
-          broker.polled(notice.text("echo", ""), notice.numbers("meters"));
+          broker.gaugesReceived(notice.text("echo", ""), notice.numbers("meters"));
         }
       }
       case "verified" ->
-          broker.verified(notice.text("echo", ""), notice.text("code", "").equals("done"));
+          broker.healthCheckEnded(notice.text("echo", ""), notice.text("code", "").equals("done"));
       case "unknown" -> {
-        log.line("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
+        log.write("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
         if (notice.text("code", "").equals("spawn")) {
-          broker.finished(notice.text("uid", ""), Outcome.MOOT, 0, null);
+          broker.runEnded(notice.text("uid", ""), RunOutcome.NOT_STARTED, 0, null);
         }
       }
       default -> {}
     }
   }
 
-  private void finished(Fields notice) throws IOException, Malformed {
+  private void finished(JsonFields notice) throws IOException, ProtocolException {
     String id = notice.text("uid");
     try {
       String code = notice.text("code");
-      Outcome outcome =
+      RunOutcome outcome =
           switch (code) {
-            case "done" -> Outcome.GOOD;
-            case "crashed" -> Outcome.FAILED;
-            case "aborted" -> Outcome.STOPPED;
-            case "stale" -> Outcome.MOOT;
-            default -> throw new Malformed(Reason.MALFORMED, "finished as " + code);
+            case "done" -> RunOutcome.SUCCEEDED;
+            case "crashed" -> RunOutcome.FAILED;
+            case "aborted" -> RunOutcome.STOPPED;
+            case "stale" -> RunOutcome.NOT_STARTED;
+            default -> throw new ProtocolException(CloseReason.MALFORMED, "finished as " + code);
           };
-      byte[] result = outcome == Outcome.GOOD ? decoded(notice.text("content", "")) : null;
-      broker.finished(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
-    } catch (IOException | Malformed unreadable) { // it is over, and its result is lost
-      broker.finished(id, Outcome.FAILED, 0, null);
+      byte[] result = outcome == RunOutcome.SUCCEEDED ? decoded(notice.text("content", "")) : null;
+      broker.runEnded(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
+    } catch (IOException | ProtocolException unreadable) { // it is over, and its result is lost
+      broker.runEnded(id, RunOutcome.FAILED, 0, null);
       throw unreadable;
     }
   }
 
-  private static byte[] decoded(String content) throws Malformed {
+  private static byte[] decoded(String content) throws ProtocolException {
     try {
       return Base64.getDecoder().decode(content);
     } catch (IllegalArgumentException notBase64) {
-      throw new Malformed(Reason.MALFORMED, "content is not base64");
+      throw new ProtocolException(CloseReason.MALFORMED, "content is not base64");
     }
   }
 
@@ -200,26 +204,26 @@
   }
 
   private void command(String line) {
-    ByteBuf out = room(line.length() + 1);
+    ByteBuf out = allocate(line.length() + 1);
     out.writeCharSequence(line, StandardCharsets.UTF_8);
     out.writeByte('\n');
     send(out);
   }
 
   @Override
-  public boolean ready() {
-    return bound && !closed();
+  public boolean isReady() {
+    return bound && !isClosed();
   }
 
   @Override
-  public boolean spawn(Exchange exchange) {
+  public boolean startRun(Exchange exchange) {
     command(
         "{\"action\":\"spawn\",\"uid\":\""
-            + exchange.arrival().id()
+            + exchange.request().id()
             + "\",\"lane\":"
-            + GSON.toJson(exchange.arrival().kind())
+            + GSON.toJson(exchange.request().className())
             + ",\"content\":\""
-            + Base64.getEncoder().encodeToString(exchange.arrival().body())
+            + Base64.getEncoder().encodeToString(exchange.request().body())
             + "\"}");
     return true;
   }
@@ -229,17 +233,17 @@
   }
 
   @Override
-  public void suspend(String id) {
+  public void stopRun(String id) {
     named("suspend", "uid", id);
   }
 
   @Override
-  public void proceed(String id) {
+  public void resumeRun(String id) {
     named("proceed", "uid", id);
   }
 
   @Override
-  public void supply(String id, byte[] result) {
+  public void resumeWithResult(String id, byte[] result) {
     command(
         "{\"action\":\"supply\",\"uid\":\""
             + id
@@ -249,17 +253,17 @@
   }
 
   @Override
-  public void pass(String id) {
+  public void resumeWithoutResult(String id) {
     named("pass", "uid", id);
   }
 
   @Override
-  public void poll(String echo) {
+  public void requestGauges(String echo) {
     ask("{\"action\":\"poll\",\"echo\":\"" + echo + "\"}");
   }
 
   @Override
-  public void verify(String echo) {
+  public void startHealthCheck(String echo) {
     named("verify", "echo", echo);
   }
 }
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -21,25 +21,25 @@
 import java.util.concurrent.TimeoutException;
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
-import mothwing.Brain;
-import mothwing.OverloadControl.RequestClass;
+import mothwing.admin.AdminConnection;
+import mothwing.admin.AdminOperations;
 import mothwing.ajp.AjpConnection;
-import mothwing.announce.Announcer;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Log;
+import mothwing.broker.EventLog;
 import mothwing.broker.RunClaims;
+import mothwing.control.RequestClass;
+import mothwing.dependency.DependencyConnectionManager;
+import mothwing.discovery.LoadReporter;
 import mothwing.fastcgi.FastCgiConnection;
-import mothwing.ledger.Ledger;
-import mothwing.management.DoorConnection;
-import mothwing.management.Operations;
+import mothwing.net.CloseReason;
 import mothwing.net.Connection;
-import mothwing.net.Dialer;
-import mothwing.net.FairReads;
 import mothwing.net.Listener;
-import mothwing.net.Reason;
-import mothwing.peer.Peer;
-import mothwing.pool.Pool;
+import mothwing.net.ReadBudget;
+import mothwing.net.TcpConnector;
+import mothwing.overload.OverloadController;
+import mothwing.peer.PeerTransport;
+import mothwing.pool.WorkerPoolClient;
 import mothwing.settings.Site;
 import mothwing.store.ClaimTable;
 
@@ -57,26 +57,26 @@
   private static final int CHUNK_ORDER = 5; // chunks of 256 KiB
 
   private final InetSocketAddress ajp;
-  private final Log log;
+  private final EventLog log;
   private final Counters counters = new Counters();
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final PooledByteBufAllocator allocator =
       new PooledByteBufAllocator(true, 1, 1, PAGE, CHUNK_ORDER, 0, 0, false);
-  private final LoopTimers timers = new LoopTimers(loop);
+  private final EventLoopScheduler timers = new EventLoopScheduler(loop);
   private final List<Front> fronts = new ArrayList<>();
   private final List<Listener> listeners = new CopyOnWriteArrayList<>(); // those that listen
   private final CountDownLatch ended = new CountDownLatch(1);
-  private final Pool pool;
+  private final WorkerPoolClient pool;
   private final Broker broker;
-  private final Announcer announcer;
+  private final LoadReporter announcer;
   private volatile boolean failed;
   private boolean leaving;
   private int binding = 1; // binds under way, and the start itself
   private Config config;
   private Listener door;
-  private Peer peer;
-  private Ledger ledger;
+  private PeerTransport peer;
+  private DependencyConnectionManager ledger;
   private long reloads;
   private long reloadErrors;
   private long idleSpan;
@@ -90,25 +90,25 @@
    * @param ajp where to listen for AJP, or null for nowhere
    * @param log takes lines of the log
    */
-  public Server(Config config, InetSocketAddress ajp, Log log) {
+  public Server(Config config, InetSocketAddress ajp, EventLog log) {
     this.config = config;
     this.ajp = ajp;
     this.log = log;
-    pool = new Pool(dialer(config.pool()), timers, counters, log);
-    broker = new Broker(config.settings(), Brain::new, pool, timers, counters, log);
+    pool = new WorkerPoolClient(dialer(config.pool()), timers, counters, log);
+    broker = new Broker(config.settings(), OverloadController::new, pool, timers, counters, log);
     announcer =
-        new Announcer(
+        new LoadReporter(
             dialer(config.announce()),
             config.name(),
-            () -> !broker.draining() && !broker.away(),
+            () -> !broker.isDraining() && !broker.outOfRotation(),
             timers,
             counters,
             log);
     if (config.ledger() != null) {
       callBelow();
     }
-    idleSpan = config.settings().signals().idle();
-    broker.trimWith(span -> idleSpan = span);
+    idleSpan = config.settings().signals().idleTimeout();
+    broker.setIdleConnectionCloser(span -> idleSpan = span);
   }
 
   /**
@@ -127,16 +127,16 @@
               + Site.Fleet.NAMED
               + ", as a member of a fleet is called");
     }
-    peer = new Peer(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
+    peer = new PeerTransport(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
   }
 
   private void callBelow() {
-    ledger = new Ledger(dialer(config.ledger()), timers, counters, log);
-    ledger.serve(broker);
+    ledger = new DependencyConnectionManager(dialer(config.ledger()), timers, counters, log);
+    ledger.attach(broker);
   }
 
-  private Dialer dialer(InetSocketAddress to) {
-    return new Dialer(loop, allocator, to);
+  private TcpConnector dialer(InetSocketAddress to) {
+    return new TcpConnector(loop, allocator, to);
   }
 
   /**
@@ -147,11 +147,11 @@
    * @throws IOException where it cannot listen
    */
   public void start() throws IOException {
-    int descriptors = Descriptors.most(config.sockets());
+    int descriptors = FileDescriptorBudget.most(config.sockets());
     int most =
         Math.max(
             1,
-            (descriptors - Descriptors.spare(descriptors, Descriptors.held()))
+            (descriptors - FileDescriptorBudget.spare(descriptors, FileDescriptorBudget.held()))
                 / (ajp == null ? 1 : 2));
     fronts.add(
         new Front(
@@ -163,18 +163,18 @@
               listener("ajp", () -> new AjpConnection(broker, log, counters), most, PATIENCE),
               ajp));
     }
-    FairReads turns = new FairReads(timers);
-    broker.shedWith(turns::sheds);
+    ReadBudget turns = new ReadBudget(timers);
+    broker.setOverloadCheck(turns::isOverloaded);
     fronts.forEach(one -> one.listener().inTurns(turns));
     if (config.management() == null) {
       listenNow(fronts);
     } else {
       fronts.forEach(one -> one.listener().share());
-      Operations operations = new Operators();
+      AdminOperations operations = new Operators();
       door =
           listener(
               "management",
-              () -> new DoorConnection(operations, log, counters),
+              () -> new AdminConnection(operations, log, counters),
               MOST_OPERATORS,
               DOOR_PATIENCE);
       shareClaims();
@@ -183,7 +183,7 @@
     }
     loop.execute(
         () -> {
-          pool.link(broker);
+          pool.attach(broker);
           announcer.start();
           if (peer != null) {
             peer.start();
@@ -191,7 +191,7 @@
           trim();
           bindingOver();
         });
-    log.line(
+    log.write(
         "start name="
             + config.name()
             + " listen="
@@ -217,7 +217,7 @@
       ClaimTable table =
           ClaimTable.open(
               file, new SecureRandom().nextLong(), boot, () -> System.nanoTime() / MILLI);
-      broker.claimWith(
+      broker.setRunClaims(
           (key, span) ->
               switch (table.claim(key, span)) {
                 case GRANTED -> RunClaims.Claim.GRANTED;
@@ -226,7 +226,7 @@
                 case UNKNOWN -> RunClaims.Claim.UNKNOWN;
               });
     } catch (IOException | RuntimeException none) {
-      log.line("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
+      log.write("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
     }
   }
 
@@ -262,11 +262,11 @@
               bound -> {
                 if (bound.isSuccess()) {
                   listeners.add(one.listener());
-                  log.line("takes-clients listen=" + one.address());
+                  log.write("takes-clients listen=" + one.address());
                   bindingOver();
                 } else {
                   failed = true;
-                  log.line(
+                  log.write(
                       "listen-failed address="
                           + one.address()
                           + " what=\""
@@ -279,17 +279,17 @@
   }
 
   /** What operators may ask. */
-  private final class Operators implements Operations {
+  private final class Operators implements AdminOperations {
     private final Gson json = new Gson();
 
     @Override
-    public boolean serving() {
-      return broker.serving() && listeners.size() == fronts.size();
+    public boolean isServing() {
+      return broker.isServing() && listeners.size() == fronts.size();
     }
 
     @Override
-    public String figures() {
-      Map<String, Object> all = broker.figures();
+    public String statistics() {
+      Map<String, Object> all = broker.statistics();
       all.put("config_reloads", reloads);
       all.put("config_reload_errors", reloadErrors);
       return json.toJson(all);
@@ -301,8 +301,8 @@
     }
 
     @Override
-    public boolean away(boolean away) {
-      return broker.away(away);
+    public boolean setOutOfRotation(boolean away) {
+      return broker.outOfRotation(away);
     }
   }
 
@@ -320,7 +320,7 @@
           Config before = config;
           config = before.moved(now);
           String waits = config.differences(now);
-          log.line(
+          log.write(
               "reload pool="
                   + config.pool()
                   + " announce="
@@ -332,20 +332,21 @@
                       .map(RequestClass::name)
                       .collect(Collectors.joining(","))
                   + (waits.isEmpty() ? "" : " needs-restart=" + waits));
-          broker.retune(config.settings());
-          if (config.settings().signals().idle() != before.settings().signals().idle()) {
-            idleSpan = config.settings().signals().idle();
+          broker.applySettings(config.settings());
+          if (config.settings().signals().idleTimeout()
+              != before.settings().signals().idleTimeout()) {
+            idleSpan = config.settings().signals().idleTimeout();
           }
           if (!config.pool().equals(before.pool())) {
-            pool.moved(dialer(config.pool()));
+            pool.changeAddress(dialer(config.pool()));
           }
           if (ledger == null && config.ledger() != null) {
             callBelow();
           } else if (config.ledger() != null && !config.ledger().equals(before.ledger())) {
-            ledger.moved(dialer(config.ledger()));
+            ledger.changeAddress(dialer(config.ledger()));
           }
           if (!config.announce().equals(before.announce())) {
-            announcer.moved(dialer(config.announce()));
+            announcer.changeAddress(dialer(config.announce()));
           }
         });
   }
@@ -360,20 +361,20 @@
     loop.execute(
         () -> {
           reloadErrors++;
-          log.line("reload-failed what=\"" + why + "\"");
+          log.write("reload-failed what=\"" + why + "\"");
         });
   }
 
   private void trim() {
-    timers.at(timers.now() + TRIM_PERIOD, this::trim);
+    timers.schedule(timers.now() + TRIM_PERIOD, this::trim);
     if (door != null) {
-      door.trim(DOOR_PATIENCE, Reason.IDLE);
+      door.trim(DOOR_PATIENCE, CloseReason.IDLE);
     }
     if (!leaving) {
       listeners.forEach(Listener::look);
     }
     if (idleSpan > 0 && !leaving) { // on the way out Drain says how long connections may stay
-      listeners.forEach(one -> one.trim(idleSpan, Reason.IDLE));
+      listeners.forEach(one -> one.trim(idleSpan, CloseReason.IDLE));
     }
   }
 
@@ -406,7 +407,7 @@
   }
 
   private void leave() {
-    new Drain(
+    new GracefulShutdown(
             loop,
             timers,
             broker,
--- a/src/main/java/mothwing/lab/SimulationStage.java
+++ b/src/main/java/mothwing/trial/SimulationStage.java
@@ -1,4 +1,4 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.io.IOException;
 import java.io.StringReader;
@@ -10,19 +10,19 @@
 import java.util.Random;
 import java.util.function.BiFunction;
 import java.util.function.Consumer;
-import mothwing.Brain;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Settings;
-import mothwing.broker.Arrival;
 import mothwing.broker.Broker;
-import mothwing.broker.Caller;
 import mothwing.broker.Counters;
 import mothwing.broker.Exchange;
-import mothwing.broker.Workers;
-import mothwing.lab.History.End;
+import mothwing.broker.InboundRequest;
+import mothwing.broker.ResponseSink;
+import mothwing.broker.WorkerPool;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
+import mothwing.overload.OverloadController;
 import mothwing.server.Config;
+import mothwing.trial.History.End;
 
 /**
  * Plays a trial on virtual time, in one thread: the same cores as in service, the same actors as
@@ -36,12 +36,12 @@
   private static final long RELINK = 100 * MILLI;
   private static final long LEAVE_LOOK = 20 * MILLI;
 
-  private final BiFunction<Settings, Host, Controller> maker;
+  private final BiFunction<Settings, ControllerHost, Controller> maker;
   private VirtualTime time;
   private Links links;
   private VirtualNet net;
   private History history;
-  private Register register;
+  private EndpointList register;
   private Trial trial;
   private Settings settings;
   private Random work;
@@ -51,11 +51,11 @@
 
   /** Makes one that plays the decisions of service. */
   SimulationStage() {
-    this(Brain::new);
+    this(OverloadController::new);
   }
 
   /** Makes one with other decisions, to see that the oracles catch them. */
-  SimulationStage(BiFunction<Settings, Host, Controller> maker) {
+  SimulationStage(BiFunction<Settings, ControllerHost, Controller> maker) {
     this.maker = maker;
   }
 
@@ -79,8 +79,9 @@
     net = new VirtualNet(time, links, new Random(random.nextLong()));
     work = new Random(random.nextLong());
     settings = settings();
-    Map<String, Shopfront> gateways = Shopfront.all(trial, time, random, new Sent(), history);
-    register = new Register(time, links, gateways);
+    Map<String, SimulatedGateway> gateways =
+        SimulatedGateway.all(trial, time, random, new Sent(), history);
+    register = new EndpointList(time, links, gateways);
     for (String name : trial.servers()) {
       Machine machine = new Machine(name);
       machines.put(name, machine);
@@ -93,13 +94,13 @@
         new Callers(trial, time, new Random(random.nextLong()), List.copyOf(gateways.values()));
     callers.start();
     for (Fault fault : trial.faults()) {
-      time.at((long) (fault.at() * SECOND), () -> apply(fault));
+      time.schedule((long) (fault.at() * SECOND), () -> apply(fault));
     }
     finish(callers, gateways);
     return history;
   }
 
-  private void finish(Callers callers, Map<String, Shopfront> gateways) {
+  private void finish(Callers callers, Map<String, SimulatedGateway> gateways) {
     long end = (long) (trial.seconds() * SECOND);
     time.until(end);
     long last = end + trial.load().longestMs() * MILLI;
@@ -114,7 +115,7 @@
     machines.values().forEach(Machine::leave);
     time.until(time.now() + (trial.fleet().stopMs() + 200) * MILLI);
     over = true;
-    gateways.values().forEach(Shopfront::end);
+    gateways.values().forEach(SimulatedGateway::end);
     register.end();
   }
 
@@ -122,7 +123,8 @@
     InetSocketAddress local = new InetSocketAddress("127.0.0.1", 1);
     return Config.read(
             new StringReader(
-                Served.config(new Served.Place("s", local, local, local, local), trial.fleet())))
+                ServerProcess.config(
+                    new ServerProcess.Place("s", local, local, local, local), trial.fleet())))
         .settings();
   }
 
@@ -153,7 +155,7 @@
       }
     }
     if (fault.seconds() > 0) {
-      time.at(time.now() + (long) (fault.seconds() * SECOND), () -> lift(fault));
+      time.schedule(time.now() + (long) (fault.seconds() * SECOND), () -> lift(fault));
     }
   }
 
@@ -211,18 +213,18 @@
       broker = new Broker(settings, maker, pool, timers(mine), new Counters(), line -> {});
       pool.broker = broker;
       timers(mine)
-          .at(
+          .schedule(
               time.now() + boot,
               () -> {
                 life.readyAt = time.now();
-                broker.bound(mine > 1, mine > 1 ? 0 : 3600 * SECOND);
+                broker.poolConnected(mine > 1, mine > 1 ? 0 : 3600 * SECOND);
                 report(mine);
               });
     }
 
     private void report(int mine) {
       net.send(name, Trial.ANNOUNCE, () -> register.heard(name));
-      timers(mine).at(time.now() + REPORT, () -> report(mine));
+      timers(mine).schedule(time.now() + REPORT, () -> report(mine));
     }
 
     void strike(Fault fault) {
@@ -289,14 +291,14 @@
       if (!running() || mine != starts()) {
         return;
       }
-      if (!standsStill() && broker.draining() && broker.owed() == 0) {
+      if (!standsStill() && broker.isDraining() && broker.pendingCount() == 0) {
         end(0);
       } else if (time.now() >= stopAt) {
         life.overstayed = true;
         life.killed = true;
         end(-1);
       } else {
-        time.at(time.now() + LEAVE_LOOK, () -> look(mine, stopAt));
+        time.schedule(time.now() + LEAVE_LOOK, () -> look(mine, stopAt));
       }
     }
 
@@ -310,14 +312,14 @@
           open.remove(one.ask.trace());
           one.tell(Wire.Reply.bare(End.LOST));
           one.severed = true;
-          run(starts(), () -> broker.gone(one.exchange));
+          run(starts(), () -> broker.cancelled(one.exchange));
         }
       }
     }
   }
 
   /** A request that a server has read. */
-  private final class Open implements Caller {
+  private final class Open implements ResponseSink {
     final String gateway;
     final Machine machine;
     final Wire.Ask ask;
@@ -348,17 +350,17 @@
     }
 
     @Override
-    public void served(byte[] result) {
+    public void sendResult(byte[] result) {
       answer(new Wire.Reply(End.SERVED, 0, true, result));
     }
 
     @Override
-    public void refused(boolean last, long holdOffMs) {
+    public void sendRejection(boolean last, long holdOffMs) {
       answer(new Wire.Reply(End.REFUSED, holdOffMs, !last, new byte[0]));
     }
 
     @Override
-    public void failed(String code) {
+    public void sendFailure(String code) {
       answer(Wire.Reply.bare(End.FAILED));
     }
   }
@@ -382,8 +384,8 @@
                 machine.starts(),
                 () ->
                     one.exchange =
-                        machine.broker.read(
-                            new Arrival(
+                        machine.broker.submit(
+                            new InboundRequest(
                                 ask.trace(),
                                 ask.acceptedAtMs(),
                                 "one",
@@ -392,7 +394,7 @@
                                 ask.rank(),
                                 null,
                                 null,
-                                Arrival.NOT_TOLD,
+                                InboundRequest.NOT_STATED,
                                 ask.body()),
                             one));
           });
@@ -411,7 +413,7 @@
                   machine.starts(),
                   () -> {
                     if (one.exchange != null) {
-                      machine.broker.gone(one.exchange);
+                      machine.broker.cancelled(one.exchange);
                     }
                   });
             }
@@ -431,7 +433,7 @@
               machine.run(
                   machine.starts(),
                   () ->
-                      machine.broker.check(
+                      machine.broker.healthCheck(
                           false, good -> net.send(server, gateway, () -> then.accept(good))));
             }
           });
@@ -442,7 +444,7 @@
    * The link between a server and its pool: commands may be lost with it, notices come again on the
    * next one.
    */
-  private final class PoolLine implements Workers {
+  private final class PoolLine implements WorkerPool {
     private record Notice(String id, String code, long took, byte[] body) {}
 
     private final Machine machine;
@@ -498,9 +500,10 @@
             read = number;
             switch (one.code) {
               case "done" ->
-                  broker.finished(one.id, Outcome.GOOD, one.took, StandInPool.made(one.body));
-              case "stale" -> broker.finished(one.id, Outcome.MOOT, 0, null);
-              default -> broker.finished(one.id, Outcome.STOPPED, one.took, null);
+                  broker.runEnded(
+                      one.id, RunOutcome.SUCCEEDED, one.took, StandInPool.made(one.body));
+              case "stale" -> broker.runEnded(one.id, RunOutcome.NOT_STARTED, 0, null);
+              default -> broker.runEnded(one.id, RunOutcome.STOPPED, one.took, null);
             }
           });
     }
@@ -511,8 +514,8 @@
       }
       linked = false;
       link++;
-      machine.run(mine, () -> broker.unlinked());
-      time.at(time.now() + RELINK, this::again);
+      machine.run(mine, () -> broker.poolDisconnected());
+      time.schedule(time.now() + RELINK, this::again);
     }
 
     private void again() {
@@ -525,50 +528,50 @@
             for (int number = read + 1; number <= notices.size(); number++) {
               tell(number);
             }
-            back(() -> broker.caughtUp());
+            back(() -> broker.resynchronized());
           });
     }
 
     @Override
-    public boolean ready() {
+    public boolean isReady() {
       return linked;
     }
 
     @Override
-    public boolean spawn(Exchange exchange) {
+    public boolean startRun(Exchange exchange) {
       if (!linked) {
         return false;
       }
-      Arrival one = exchange.arrival();
-      command(() -> cores.spawn(one.id(), one.kind(), one.body(), mine, this::ended));
+      InboundRequest one = exchange.request();
+      command(() -> cores.spawn(one.id(), one.className(), one.body(), mine, this::ended));
       return true;
     }
 
     @Override
-    public void suspend(String id) {
+    public void stopRun(String id) {
       command(() -> cores.suspend(id));
     }
 
     @Override
-    public void proceed(String id) {
+    public void resumeRun(String id) {
       command(() -> cores.proceed(id));
     }
 
     @Override
-    public void poll(String echo) {
+    public void requestGauges(String echo) {
       command(
           () -> {
             if (!cores.answersPoll()) {
               return;
             }
             double[] gauges = cores.gauges();
-            back(() -> broker.polled(echo, gauges));
+            back(() -> broker.gaugesReceived(echo, gauges));
           });
     }
 
     @Override
-    public void verify(String echo) {
-      command(() -> back(() -> broker.verified(echo, true)));
+    public void startHealthCheck(String echo) {
+      command(() -> back(() -> broker.healthCheckEnded(echo, true)));
     }
   }
 }
--- a/src/main/java/mothwing/lab/VirtualMachine.java
+++ b/src/main/java/mothwing/trial/VirtualMachine.java
@@ -1,7 +1,7 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.ArrayDeque;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /**
  * A machine on virtual time: it starts, stands still and ends, and what belongs to a start is done
@@ -68,25 +68,25 @@
 
   /** Its clock on the wall, in Unix milliseconds. */
   long wallMs() {
-    return time.wallMs();
+    return time.wallClockMillis();
   }
 
   /** The timers of one start. */
-  final Timers timers(int start) {
-    return new Timers() {
+  final Scheduler timers(int start) {
+    return new Scheduler() {
       @Override
       public long now() {
         return time.now();
       }
 
       @Override
-      public long wallMs() {
+      public long wallClockMillis() {
         return VirtualMachine.this.wallMs();
       }
 
       @Override
-      public void at(long at, Runnable what) {
-        time.at(at, () -> run(start, what));
+      public void schedule(long at, Runnable what) {
+        time.schedule(at, () -> run(start, what));
       }
     };
   }
--- a/src/main/java/mothwing/lab/VirtualTime.java
+++ b/src/main/java/mothwing/trial/VirtualTime.java
@@ -1,10 +1,10 @@
-package mothwing.lab;
+package mothwing.trial;
 
 import java.util.PriorityQueue;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
 
 /** A clock that moves from one thing that is due to the next, in the same order every time. */
-final class VirtualTime implements Timers {
+final class VirtualTime implements Scheduler {
   private static final long MILLI = 1000;
 
   private record Due(long at, long order, Runnable work) {}
@@ -21,12 +21,12 @@
   }
 
   @Override
-  public long wallMs() {
-    return Stand.WALL_MS + Math.floorDiv(now, MILLI);
+  public long wallClockMillis() {
+    return BrokerFixture.WALL_MS + Math.floorDiv(now, MILLI);
   }
 
   @Override
-  public void at(long at, Runnable work) {
+  public void schedule(long at, Runnable work) {
     dues.add(new Due(Math.max(now, at), order++, work));
   }
 
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -8,12 +8,12 @@
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Host;
-import mothwing.OverloadControl.Request;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
-import mothwing.broker.Timers;
+import mothwing.broker.Scheduler;
+import mothwing.control.Controller;
+import mothwing.control.ControllerHost;
+import mothwing.control.Request;
 import mothwing.settings.Site;
 import mothwing.testing.DnsPeer;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
 import org.xbill.DNS.Type;
 
 /** What becomes of messages when the controller turns them away, before and after they ran. */
-class DnsOverloadTest implements Timers {
+class DnsOverloadTest implements Scheduler {
   private final ArrayDeque<Runnable> work = new ArrayDeque<>();
   private final List<byte[]> answers = new ArrayList<>();
   private final Counters counters = new Counters();
@@ -35,12 +35,12 @@
   }
 
   @Override
-  public long wallMs() {
+  public long wallClockMillis() {
     return 1_764_576_000_000L + now / 1000;
   }
 
   @Override
-  public void at(long at, Runnable due) {
+  public void schedule(long at, Runnable due) {
     if (at <= now + 1000) {
       work.add(due);
     }
@@ -52,7 +52,7 @@
 
   /** What a controller does with a request that was read. */
   private interface Decision {
-    void on(Host host, String id);
+    void on(ControllerHost host, String id);
   }
 
   private void read(byte[] message, Decision decision) throws IOException {
@@ -77,7 +77,7 @@
             line -> {});
     engine.broker(broker);
     engine.signer(new Signer(new Site.Dns(null, null, limits(), List.of(), List.of())));
-    broker.bound(false, 1);
+    broker.poolConnected(false, 1);
     Query query = Query.read(message);
     engine.read(
         new DnsRequest(
@@ -96,7 +96,9 @@
 
   @Test
   void aQueryIsRefusedEarlyWithItsReason() throws IOException {
-    read(DnsPeer.question("till", Type.A, 1232).toWire(), (host, id) -> host.refuse(id, false, 0));
+    read(
+        DnsPeer.question("till", Type.A, 1232).toWire(),
+        (host, id) -> host.rejectRequest(id, false, 0));
     assertEquals(1, answers.size());
     Message answer = new Message(answers.get(0));
     assertEquals(Rcode.REFUSED, answer.getRcode());
@@ -115,8 +117,8 @@
     read(
         update,
         (host, id) -> {
-          host.start(id);
-          host.refuse(id, false, 0);
+          host.startRun(id);
+          host.rejectRequest(id, false, 0);
         });
     assertEquals(1, answers.size());
     assertEquals(Rcode.SERVFAIL, answers.get(0)[3] & 15);
--- a/src/test/java/mothwing/witness/AjpWitnessTest.java
+++ b/src/test/java/mothwing/witness/AjpWitnessTest.java
@@ -9,17 +9,17 @@
 import java.util.ArrayList;
 import java.util.List;
 import mothwing.ajp.AjpConnection;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
 import mothwing.net.Connection;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import org.junit.jupiter.api.Test;
 
 /** The recorded bytes of the AJP front, and what a gateway reads in them. */
 class AjpWitnessTest {
   private static final String REQUESTS = "ajp-requests.txt";
 
-  private static Connection connection(Stand stand) {
+  private static Connection connection(BrokerFixture stand) {
     return new AjpConnection(stand.broker, stand.lines::add, stand.counters);
   }
 
--- a/src/test/java/mothwing/witness/AnnounceWitnessTest.java
+++ b/src/test/java/mothwing/witness/AnnounceWitnessTest.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
-import mothwing.announce.Announcer;
-import mothwing.lab.Stand;
+import mothwing.discovery.LoadReporter;
 import mothwing.net.Connection;
+import mothwing.trial.BrokerFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
@@ -21,9 +21,9 @@
   private static final String REPORTS = "announce-reports.txt";
 
   private final List<EmbeddedChannel> links = new ArrayList<>();
-  private final Stand stand = new Stand();
-  private final Announcer announcer =
-      new Announcer(
+  private final BrokerFixture stand = new BrokerFixture();
+  private final LoadReporter announcer =
+      new LoadReporter(
           this::dial, "n1", () -> this.accepting, stand, stand.counters, stand.lines::add);
   private boolean accepting = true;
   private GoldenFile golden;
@@ -47,7 +47,7 @@
       }
       case "pass-ms" -> stand.pass(1000 * Long.parseLong(rest));
       case "close" -> links.get(links.size() - 1).close();
-      case "move" -> announcer.moved(this::dial);
+      case "move" -> announcer.changeAddress(this::dial);
       case "stop" -> announcer.stop();
       default -> throw new AssertionError("no step " + word);
     }
--- a/src/test/java/mothwing/witness/FastCgiWitnessTest.java
+++ b/src/test/java/mothwing/witness/FastCgiWitnessTest.java
@@ -9,10 +9,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import mothwing.fastcgi.FastCgiConnection;
-import mothwing.lab.Answer;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
 import mothwing.net.Connection;
+import mothwing.trial.Answer;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 import org.junit.jupiter.api.Test;
 
 /** The recorded bytes of the FastCGI front, and what a gateway reads in them. */
@@ -20,7 +20,7 @@
   private static final String REQUESTS = "fastcgi-requests.txt";
   private static final String RECORDS = "fastcgi-records.txt";
 
-  private static Connection connection(Stand stand) {
+  private static Connection connection(BrokerFixture stand) {
     return new FastCgiConnection(stand.broker, stand.lines::add, stand.counters);
   }
 
--- a/src/test/java/mothwing/witness/FrontWitness.java
+++ b/src/test/java/mothwing/witness/FrontWitness.java
@@ -5,23 +5,23 @@
 import java.io.IOException;
 import java.util.HexFormat;
 import java.util.function.Function;
-import mothwing.OverloadControl.Outcome;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
+import mothwing.control.RunOutcome;
 import mothwing.net.Connection;
-import mothwing.testing.Undecided;
+import mothwing.testing.NoDecisionController;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
 
 /** The steps of a recorded conversation between a gateway and a front, with decisions by hand. */
 final class FrontWitness {
   private static final long SETTLING = 10_000; // microseconds: events are given in batches
 
-  private final Stand stand = new Stand(new Undecided()).bound();
+  private final BrokerFixture stand = new BrokerFixture(new NoDecisionController()).bound();
   private final GoldenFile golden;
-  private final Function<Stand, Connection> maker;
+  private final Function<BrokerFixture, Connection> maker;
   private EmbeddedChannel channel;
 
   /** Makes the steps of a recorded conversation. */
-  FrontWitness(String name, Function<Stand, Connection> maker) throws IOException {
+  FrontWitness(String name, Function<BrokerFixture, Connection> maker) throws IOException {
     golden = new GoldenFile(name);
     this.maker = maker;
   }
@@ -46,16 +46,17 @@
     switch (word) {
       case "open" -> open();
       case "send" -> send(rest);
-      case "start" -> stand.broker.start(rest);
-      case "done" -> finish(words, Outcome.GOOD);
-      case "crashed" -> finish(words, Outcome.FAILED);
-      case "refuse" -> stand.broker.refuse(rest, false, 0);
-      case "refuse-for-ms" -> stand.broker.refuse(words[0], false, 1000 * Long.parseLong(words[1]));
-      case "refuse-last" -> stand.broker.refuse(rest, true, 0);
-      case "fail" -> stand.broker.fail(rest);
-      case "say" -> stand.broker.say(Double.parseDouble(rest));
-      case "leave" -> stand.broker.away(true);
-      case "join" -> stand.broker.away(false);
+      case "start" -> stand.broker.startRun(rest);
+      case "done" -> finish(words, RunOutcome.SUCCEEDED);
+      case "crashed" -> finish(words, RunOutcome.FAILED);
+      case "refuse" -> stand.broker.rejectRequest(rest, false, 0);
+      case "refuse-for-ms" ->
+          stand.broker.rejectRequest(words[0], false, 1000 * Long.parseLong(words[1]));
+      case "refuse-last" -> stand.broker.rejectRequest(rest, true, 0);
+      case "fail" -> stand.broker.failRequest(rest);
+      case "say" -> stand.broker.publishFreeValue(Double.parseDouble(rest));
+      case "leave" -> stand.broker.outOfRotation(true);
+      case "join" -> stand.broker.outOfRotation(false);
       case "drain" -> stand.broker.drain(stand.now(), stand.now() + 3_000_000, false);
       default -> throw new AssertionError("no step " + word);
     }
@@ -75,7 +76,7 @@
     channel.writeInbound(Unpooled.wrappedBuffer(GoldenFile.hex(digits)));
   }
 
-  private void finish(String[] words, Outcome outcome) {
+  private void finish(String[] words, RunOutcome outcome) {
     byte[] result = words.length > 1 ? GoldenFile.bytes(words[1]) : new byte[0];
     stand.running.put(words[0], result);
     stand.finish(words[0], outcome);
--- a/src/test/java/mothwing/witness/LedgerWitnessTest.java
+++ b/src/test/java/mothwing/witness/LedgerWitnessTest.java
@@ -13,13 +13,13 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import mothwing.OverloadControl.Outcome;
-import mothwing.broker.Caller;
 import mothwing.broker.Exchange;
-import mothwing.lab.Stand;
-import mothwing.ledger.Ledger;
+import mothwing.broker.ResponseSink;
+import mothwing.control.RunOutcome;
+import mothwing.dependency.DependencyConnectionManager;
 import mothwing.net.Connection;
-import mothwing.testing.Undecided;
+import mothwing.testing.NoDecisionController;
+import mothwing.trial.BrokerFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -34,12 +34,13 @@
   private final Map<String, Integer> supplied = new HashMap<>();
   private boolean refusing;
   private GoldenFile golden;
-  private Stand stand;
+  private BrokerFixture stand;
 
   @BeforeEach
   void makeClient() {
-    stand = new Stand(new NotingController());
-    new Ledger(this::dial, stand, stand.counters, stand.lines::add).serve(stand.bound().broker);
+    stand = new BrokerFixture(new NotingController());
+    new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add)
+        .attach(stand.bound().broker);
   }
 
   @AfterEach
@@ -48,44 +49,44 @@
   }
 
   private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    stand.at(stand.now(), refusing ? failed : () -> links.add(stand.open(maker.get())));
+    stand.schedule(stand.now(), refusing ? failed : () -> links.add(stand.open(maker.get())));
   }
 
   /** Notes how calls end. */
-  private final class NotingController extends Undecided {
+  private final class NotingController extends NoDecisionController {
     @Override
-    public void callEnded(long now, String id, Outcome outcome, long took) {
+    public void callEnded(long now, String id, RunOutcome outcome, long took) {
       golden.output("event call ended " + id + " " + word(outcome));
     }
   }
 
-  private static String word(Outcome outcome) {
+  private static String word(RunOutcome outcome) {
     return switch (outcome) {
-      case GOOD -> "well";
-      case DECLINED -> "declined";
+      case SUCCEEDED -> "well";
+      case REJECTED -> "declined";
       case FAILED -> "badly";
       case TIMED_OUT -> "timed out";
-      case UNREACHED -> "unreached";
-      case CUT -> "cut";
-      case MOOT -> "not started";
+      case UNREACHABLE -> "unreached";
+      case CONNECTION_LOST -> "cut";
+      case NOT_STARTED -> "not started";
       default -> "otherwise";
     };
   }
 
   /** A caller whose answer is of no matter here. */
-  private static final class UnreadCaller implements Caller {
+  private static final class UnreadCaller implements ResponseSink {
     @Override
-    public void served(byte[] result) {
+    public void sendResult(byte[] result) {
       // not looked at
     }
 
     @Override
-    public void refused(boolean last, long holdOffMs) {
+    public void sendRejection(boolean last, long holdOffMs) {
       // not looked at
     }
 
     @Override
-    public void failed(String code) {
+    public void sendFailure(String code) {
       // not looked at
     }
   }
@@ -94,12 +95,13 @@
     String[] words = rest.split(" ", 2);
     switch (word) {
       case "begin" -> {
-        asked.put(rest, stand.ask(rest, Stand.LOOK, new byte[3], new UnreadCaller()));
-        stand.broker.start(rest);
+        asked.put(rest, stand.ask(rest, BrokerFixture.LOOK, new byte[3], new UnreadCaller()));
+        stand.broker.startRun(rest);
       }
-      case "blocked" -> stand.broker.blocked(words[0], GoldenFile.bytes(words[1]));
-      case "call-for-us" -> stand.broker.call(words[0], stand.now() + Long.parseLong(words[1]));
-      case "gone" -> stand.broker.gone(asked.get(rest));
+      case "blocked" -> stand.broker.runAwaitsCall(words[0], GoldenFile.bytes(words[1]));
+      case "call-for-us" ->
+          stand.broker.startCall(words[0], stand.now() + Long.parseLong(words[1]));
+      case "gone" -> stand.broker.cancelled(asked.get(rest));
       case "receive" -> {
         EmbeddedChannel newest = links.get(links.size() - 1);
         newest.writeInbound(Unpooled.wrappedBuffer(GoldenFile.bytes(rest)));
--- a/src/test/java/mothwing/witness/OperatorsWitnessTest.java
+++ b/src/test/java/mothwing/witness/OperatorsWitnessTest.java
@@ -18,17 +18,17 @@
 import java.util.Map;
 import java.util.Random;
 import java.util.Set;
-import mothwing.lab.Gateway;
-import mothwing.lab.Stand;
-import mothwing.lab.StandInPool;
-import mothwing.lab.Till;
-import mothwing.management.DoorConnection;
-import mothwing.management.Operations;
-import mothwing.peer.Peer;
+import mothwing.admin.AdminConnection;
+import mothwing.admin.AdminOperations;
+import mothwing.peer.PeerTransport;
 import mothwing.server.Config;
 import mothwing.server.Server;
 import mothwing.settings.Site;
 import mothwing.testing.Loopback;
+import mothwing.trial.BrokerFixture;
+import mothwing.trial.Gateway;
+import mothwing.trial.GatewayConnection;
+import mothwing.trial.StandInPool;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
@@ -41,19 +41,19 @@
   private GoldenFile golden;
 
   /** What a server says of itself, set by the steps. */
-  private static final class SetOperations implements Operations {
+  private static final class SetOperations implements AdminOperations {
     private boolean serving = true;
     private boolean mayLeave = true;
     private String members;
     private final List<Boolean> told = new ArrayList<>();
 
     @Override
-    public boolean serving() {
+    public boolean isServing() {
       return serving;
     }
 
     @Override
-    public String figures() {
+    public String statistics() {
       return "{\"pending\":0}";
     }
 
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public boolean away(boolean away) {
+    public boolean setOutOfRotation(boolean away) {
       told.add(away);
       return mayLeave;
     }
@@ -73,7 +73,7 @@
   void callsAreAnsweredAsRecorded() throws IOException {
     golden = new GoldenFile(CONNECTION);
     SetOperations operations = new SetOperations();
-    Stand stand = new Stand();
+    BrokerFixture stand = new BrokerFixture();
     golden.replay(
         (word, rest) -> {
           switch (word) {
@@ -88,20 +88,20 @@
     assertEquals(List.of(true, false, true, false, true, false), operations.told);
   }
 
-  private void call(Stand stand, Operations operations, byte[] bytes) {
+  private void call(BrokerFixture stand, AdminOperations operations, byte[] bytes) {
     EmbeddedChannel channel =
-        stand.open(new DoorConnection(operations, stand.lines::add, stand.counters));
+        stand.open(new AdminConnection(operations, stand.lines::add, stand.counters));
     channel.writeInbound(Unpooled.wrappedBuffer(bytes));
     golden.outputText("", channel);
     golden.output("open=" + channel.isOpen());
     channel.finishAndReleaseAll();
   }
 
-  private static String members(Stand stand, String name) {
+  private static String members(BrokerFixture stand, String name) {
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7946);
     Site.Fleet fleet = new Site.Fleet(name, address, address, List.of(address), "east");
-    Peer peer =
-        new Peer(
+    PeerTransport peer =
+        new PeerTransport(
             fleet,
             "n1",
             new EmbeddedChannel().eventLoop(),
@@ -128,7 +128,7 @@
               Loopback.any(),
               3200,
               256,
-              Stand.settings(4.5, 2),
+              BrokerFixture.settings(4.5, 2),
               null);
       Server server = new Server(config, Loopback.any(), lines::add);
       try {
@@ -166,7 +166,8 @@
   }
 
   private void ask(Server server, String[] words) throws IOException {
-    try (Till till = new Till(new Gateway.FastCgi(), server.listening().get(0))) {
+    try (GatewayConnection till =
+        new GatewayConnection(new Gateway.FastCgi(), server.listening().get(0))) {
       till.ask(1, words[0], words[1], new byte[] {1});
       golden.output("status=" + till.answer().status());
     }
--- a/src/test/java/mothwing/witness/PeerMessageTest.java
+++ b/src/test/java/mothwing/witness/PeerMessageTest.java
@@ -6,72 +6,82 @@
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.List;
-import mothwing.member.Claim;
-import mothwing.member.Message;
-import mothwing.member.State;
+import mothwing.membership.MemberRecord;
+import mothwing.membership.MemberState;
+import mothwing.membership.MembershipMessage;
 import mothwing.peer.CodecAccess;
 import org.junit.jupiter.api.Test;
 
 /** Each kind of message between servers as recorded: written again to the byte, and read again. */
 class PeerMessageTest {
-  private static final Claim SELF =
-      new Claim("cairo-1", 0x0123456789abcdefL, "10.1.0.7:7946", "west", 0, State.ALIVE, "cairo-1");
-  private static final List<Claim> CLAIMS =
+  private static final MemberRecord SELF =
+      new MemberRecord(
+          "cairo-1", 0x0123456789abcdefL, "10.1.0.7:7946", "west", 0, MemberState.ALIVE, "cairo-1");
+  private static final List<MemberRecord> CLAIMS =
       List.of(
-          new Claim("giza-2", 1, "[2001:db8::7]:7946", "", 127, State.ALIVE, "giza-2"),
-          new Claim("luxor", 128, "10.1.0.9:1", "west", 128, State.SUSPECT, "cairo-1"),
-          new Claim("n".repeat(31), 65_535, "h:2", "z".repeat(31), 65_536, State.DEAD, "luxor"),
-          new Claim("n".repeat(32), 1L << 32, "h:3", "z", 1L << 33, State.LEFT, ""),
-          new Claim(
-              "\u0645\u0635\u0631", Long.MAX_VALUE, "h:4", "", Long.MAX_VALUE, State.DEAD, "x"));
+          new MemberRecord("giza-2", 1, "[2001:db8::7]:7946", "", 127, MemberState.ALIVE, "giza-2"),
+          new MemberRecord("luxor", 128, "10.1.0.9:1", "west", 128, MemberState.SUSPECT, "cairo-1"),
+          new MemberRecord(
+              "n".repeat(31), 65_535, "h:2", "z".repeat(31), 65_536, MemberState.DEAD, "luxor"),
+          new MemberRecord("n".repeat(32), 1L << 32, "h:3", "z", 1L << 33, MemberState.LEFT, ""),
+          new MemberRecord(
+              "\u0645\u0635\u0631",
+              Long.MAX_VALUE,
+              "h:4",
+              "",
+              Long.MAX_VALUE,
+              MemberState.DEAD,
+              "x"));
 
-  private static void assertRecorded(String name, Message message) throws IOException {
+  private static void assertRecorded(String name, MembershipMessage message) throws IOException {
     HexFile.assertRecorded("peer/" + name, CodecAccess.bytes(message));
     assertEquals(message, CodecAccess.message(HexFile.read("peer/" + name)));
   }
 
-  private static Message message(Message.Kind kind, long seq, String about, List<Claim> claims) {
-    return new Message("cairo", kind, seq, about, SELF, claims);
+  private static MembershipMessage message(
+      MembershipMessage.Kind kind, long seq, String about, List<MemberRecord> claims) {
+    return new MembershipMessage("cairo", kind, seq, about, SELF, claims);
   }
 
   @Test
   void ping() throws IOException {
-    assertRecorded("ping", message(Message.Kind.PING, 0, "", List.of()));
-    assertRecorded("ping-with-claims", message(Message.Kind.PING, 300, "", CLAIMS));
+    assertRecorded("ping", message(MembershipMessage.Kind.PING, 0, "", List.of()));
+    assertRecorded("ping-with-claims", message(MembershipMessage.Kind.PING, 300, "", CLAIMS));
   }
 
   @Test
   void ack() throws IOException {
-    assertRecorded("ack", message(Message.Kind.ACK, 127, "", CLAIMS.subList(0, 1)));
+    assertRecorded("ack", message(MembershipMessage.Kind.ACK, 127, "", CLAIMS.subList(0, 1)));
   }
 
   @Test
   void ask() throws IOException {
-    assertRecorded("ask", message(Message.Kind.ASK, 128, "giza-2", CLAIMS.subList(1, 2)));
+    assertRecorded("ask", message(MembershipMessage.Kind.ASK, 128, "giza-2", CLAIMS.subList(1, 2)));
   }
 
   @Test
   void nack() throws IOException {
-    assertRecorded("nack", message(Message.Kind.NACK, Long.MAX_VALUE, "", List.of()));
+    assertRecorded("nack", message(MembershipMessage.Kind.NACK, Long.MAX_VALUE, "", List.of()));
   }
 
   @Test
   void sync() throws IOException {
-    assertRecorded("sync", message(Message.Kind.SYNC, 70_000, "", CLAIMS));
+    assertRecorded("sync", message(MembershipMessage.Kind.SYNC, 70_000, "", CLAIMS));
   }
 
   @Test
   void syncedWithMoreClaimsThanAShortArrayHas() throws IOException {
-    List<Claim> sixteen =
+    List<MemberRecord> sixteen =
         java.util.stream.IntStream.range(0, 16)
-            .mapToObj(i -> new Claim("m" + i, i, "h:" + i, "z", i, State.ALIVE, "m" + i))
+            .mapToObj(
+                i -> new MemberRecord("m" + i, i, "h:" + i, "z", i, MemberState.ALIVE, "m" + i))
             .toList();
-    assertRecorded("synced", message(Message.Kind.SYNCED, 5_000_000_000L, "", sixteen));
+    assertRecorded("synced", message(MembershipMessage.Kind.SYNCED, 5_000_000_000L, "", sixteen));
   }
 
   @Test
   void passesOverFieldsOfALaterProgram() throws IOException {
-    Message expected = message(Message.Kind.ACK, 127, "", CLAIMS.subList(0, 1));
+    MembershipMessage expected = message(MembershipMessage.Kind.ACK, 127, "", CLAIMS.subList(0, 1));
     assertEquals(expected, CodecAccess.message(HexFile.read("peer/ack-with-unknown-fields")));
   }
 
--- a/src/test/java/mothwing/witness/PoolWitnessTest.java
+++ b/src/test/java/mothwing/witness/PoolWitnessTest.java
@@ -16,17 +16,17 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Supplier;
-import mothwing.OverloadControl.Controller;
-import mothwing.OverloadControl.Outcome;
-import mothwing.OverloadControl.Sample;
-import mothwing.OverloadControl.Settings;
-import mothwing.broker.Caller;
-import mothwing.broker.Calls;
+import mothwing.broker.DependencyClient;
 import mothwing.broker.Exchange;
-import mothwing.lab.Stand;
+import mothwing.broker.ResponseSink;
+import mothwing.control.Controller;
+import mothwing.control.GaugeSample;
+import mothwing.control.RunOutcome;
+import mothwing.control.Settings;
 import mothwing.net.Connection;
-import mothwing.pool.Pool;
-import mothwing.testing.Undecided;
+import mothwing.pool.WorkerPoolClient;
+import mothwing.testing.NoDecisionController;
+import mothwing.trial.BrokerFixture;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -38,19 +38,19 @@
   private final List<EmbeddedChannel> links = new ArrayList<>();
   private final Map<String, Exchange> asked = new HashMap<>();
   private GoldenFile golden;
-  private Stand stand;
-  private Pool pool;
+  private BrokerFixture stand;
+  private WorkerPoolClient pool;
 
   @BeforeEach
   void makePool() {
     stand =
-        new Stand(
+        new BrokerFixture(
             (settings, host) -> controller(settings),
             of -> {
-              pool = new Pool(this::dial, of, of.counters, of.lines::add);
+              pool = new WorkerPoolClient(this::dial, of, of.counters, of.lines::add);
               return pool;
             });
-    stand.broker.callWith(new AcceptingCalls());
+    stand.broker.setDependencyClient(new AcceptingCalls());
   }
 
   @AfterEach
@@ -63,62 +63,62 @@
   }
 
   private Controller controller(Settings settings) {
-    golden.output("controller made, cold=" + settings.machine().cold());
+    golden.output("controller made, cold=" + settings.machine().coldStart());
     return new NotingController();
   }
 
   /** Takes every call, and leaves its end to the steps. */
-  private static final class AcceptingCalls implements Calls {
+  private static final class AcceptingCalls implements DependencyClient {
     @Override
-    public boolean make(String id, long limitMs, byte[] content) {
+    public boolean startCall(String id, long limitMs, byte[] content) {
       return true;
     }
 
     @Override
-    public void abandon(String id) {
+    public void abandonCall(String id) {
       // its end is not told
     }
   }
 
   /** Notes the events that notices lead to. */
-  private final class NotingController extends Undecided {
+  private final class NotingController extends NoDecisionController {
     @Override
-    public void started(long now) {
+    public void serverStarted(long now) {
       golden.output("event started " + (stand.now() - now) + " us ago");
     }
 
     @Override
-    public void atCall(long now, String id) {
+    public void callAwaited(long now, String id) {
       golden.output("event at call " + id);
     }
 
     @Override
-    public void finished(long now, String id, Outcome outcome, long took) {
+    public void runEnded(long now, String id, RunOutcome outcome, long took) {
       golden.output("event finished " + id + " " + word(outcome) + " took=" + took);
     }
 
     @Override
-    public void timer(long now, String tag, Sample sample) {
+    public void timerFired(long now, String tag, GaugeSample sample) {
       golden.output(
           "event timer "
               + tag
               + " "
-              + (sample.known() ? sample.gauges().toString() : "without gauges"));
+              + (sample.isKnown() ? sample.gauges().toString() : "without gauges"));
     }
   }
 
-  private static String word(Outcome outcome) {
+  private static String word(RunOutcome outcome) {
     return switch (outcome) {
-      case GOOD -> "well";
+      case SUCCEEDED -> "well";
       case FAILED -> "badly";
       case STOPPED -> "stopped";
-      case MOOT -> "not started";
+      case NOT_STARTED -> "not started";
       default -> "otherwise";
     };
   }
 
   /** Notes how a request is answered. */
-  private final class NotingCaller implements Caller {
+  private final class NotingCaller implements ResponseSink {
     private final String id;
 
     NotingCaller(String id) {
@@ -126,18 +126,18 @@
     }
 
     @Override
-    public void served(byte[] result) {
+    public void sendResult(byte[] result) {
       String text = new String(result, StandardCharsets.ISO_8859_1);
       golden.output("caller " + id + " served '" + GoldenFile.escaped(text) + "'");
     }
 
     @Override
-    public void refused(boolean last, long holdOffMs) {
+    public void sendRejection(boolean last, long holdOffMs) {
       golden.output("caller " + id + " refused");
     }
 
     @Override
-    public void failed(String code) {
+    public void sendFailure(String code) {
       golden.output("caller " + id + " failed " + code);
     }
   }
@@ -148,20 +148,20 @@
 
   private void step(String word, String rest) {
     switch (word) {
-      case "link" -> pool.link(stand.broker);
+      case "link" -> pool.attach(stand.broker);
       case "notice" -> newest().writeInbound(buffer(rest + "\\n"));
       case "bytes" -> newest().writeInbound(buffer(rest));
       case "close" -> newest().close();
       case "pass-time" -> stand.pass(Long.parseLong(rest));
-      case "timer" -> stand.broker.timer(stand.now(), rest);
-      case "check" -> stand.broker.check(true, good -> golden.output("check good=" + good));
+      case "timer" -> stand.broker.scheduleTimer(stand.now(), rest);
+      case "check" -> stand.broker.healthCheck(true, good -> golden.output("check good=" + good));
       default -> request(word, rest);
     }
     stand.pass(SETTLING);
     for (EmbeddedChannel link : links) {
       golden.outputText("link " + (links.indexOf(link) + 1) + ": ", link);
     }
-    golden.output("ready=" + pool.ready() + " open=" + open());
+    golden.output("ready=" + pool.isReady() + " open=" + open());
   }
 
   private static ByteBuf buffer(String escaped) {
@@ -178,18 +178,19 @@
     switch (word) {
       case "ask" ->
           asked.put(id, stand.ask(id, words[1], GoldenFile.bytes(words[2]), new NotingCaller(id)));
-      case "start" -> stand.broker.start(id);
-      case "halt" -> stand.broker.halt(id);
-      case "call" -> stand.broker.call(id, stand.now() + 1_000_000);
-      case "call-over" -> stand.broker.callOver(id, Outcome.GOOD, GoldenFile.bytes(words[1]));
+      case "start" -> stand.broker.startRun(id);
+      case "halt" -> stand.broker.stopRun(id);
+      case "call" -> stand.broker.startCall(id, stand.now() + 1_000_000);
+      case "call-over" ->
+          stand.broker.callEnded(id, RunOutcome.SUCCEEDED, GoldenFile.bytes(words[1]));
       case "skip-call" -> stand.broker.skipCall(id);
-      case "spawn" -> pool.spawn(asked.get(id));
-      case "suspend" -> pool.suspend(id);
-      case "proceed" -> pool.proceed(id);
-      case "supply" -> pool.supply(id, GoldenFile.bytes(words[1]));
-      case "pass" -> pool.pass(id);
-      case "poll" -> pool.poll(id);
-      case "verify" -> pool.verify(id);
+      case "spawn" -> pool.startRun(asked.get(id));
+      case "suspend" -> pool.stopRun(id);
+      case "proceed" -> pool.resumeRun(id);
+      case "supply" -> pool.resumeWithResult(id, GoldenFile.bytes(words[1]));
+      case "pass" -> pool.resumeWithoutResult(id);
+      case "poll" -> pool.requestGauges(id);
+      case "verify" -> pool.startHealthCheck(id);
       default -> throw new AssertionError("no step " + word);
     }
   }
--- a/src/test/java/mothwing/witness/SettingsWitnessTest.java
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -20,11 +20,11 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
-import mothwing.OverloadControl.FreeValue;
-import mothwing.OverloadControl.Halting;
-import mothwing.OverloadControl.Repeats;
-import mothwing.OverloadControl.RequestClass;
-import mothwing.OverloadControl.Settings;
+import mothwing.control.FreeValue;
+import mothwing.control.Idempotency;
+import mothwing.control.RequestClass;
+import mothwing.control.Settings;
+import mothwing.control.StopMode;
 import mothwing.server.Config;
 import org.junit.jupiter.api.Test;
 
@@ -82,20 +82,20 @@
   @Test
   void eachKeyAtTheTopOfTheSettingsSetsItsField() throws IOException {
     Settings settings = full();
-    assertEquals(11, settings.round());
+    assertEquals(11, settings.batchInterval());
     assertEquals(12, settings.replicas());
-    assertTrue(settings.worthByWork());
-    assertFalse(changed("\"work\"", "\"request\"").worthByWork());
-    assertEquals(0.13, settings.overShareWorth());
-    assertEquals(0.14, settings.goal().whole());
-    assertEquals(0.15, settings.goal().worstWindow());
-    assertEquals(0.16, settings.goal().worstClass());
-    assertEquals(0.17, settings.goal().worstTenant());
+    assertTrue(settings.weightByWork());
+    assertFalse(changed("\"work\"", "\"request\"").weightByWork());
+    assertEquals(0.13, settings.overQuotaWeightRatio());
+    assertEquals(0.14, settings.goal().overallWeight());
+    assertEquals(0.15, settings.goal().worstWindowWeight());
+    assertEquals(0.16, settings.goal().worstClassWeight());
+    assertEquals(0.17, settings.goal().worstTenantWeight());
     assertEquals(2, settings.tenants().size());
     assertEquals("alder", settings.tenants().get(0).name());
-    assertEquals(0.51, settings.tenants().get(0).quota());
+    assertEquals(0.51, settings.tenants().get(0).requestsPerSecond());
     assertEquals("birch", settings.tenants().get(1).name());
-    assertEquals(0, settings.tenants().get(1).quota());
+    assertEquals(0, settings.tenants().get(1).requestsPerSecond());
   }
 
   @Test
@@ -104,75 +104,75 @@
     assertEquals(3, classes.size());
     RequestClass peek = classes.get(0);
     assertEquals("peek", peek.name());
-    assertEquals(21, peek.aim());
+    assertEquals(21, peek.latencyObjective());
     assertEquals(22, peek.deadline());
-    assertEquals(0.23, peek.worth());
-    assertEquals(0.24, peek.lateWorth());
-    assertEquals(Repeats.SAFE, peek.repeats());
-    assertEquals(25, peek.window());
-    assertFalse(peek.calls());
-    assertEquals(0.83, peek.skipWorth());
+    assertEquals(0.23, peek.priorityWeight());
+    assertEquals(0.24, peek.lateWeightRatio());
+    assertEquals(Idempotency.SAFE, peek.idempotency());
+    assertEquals(25, peek.idempotencyWindow());
+    assertFalse(peek.callsDependency());
+    assertEquals(0.83, peek.degradedWeightRatio());
     RequestClass stow = classes.get(1);
     assertEquals("stow", stow.name());
-    assertEquals(31, stow.aim());
+    assertEquals(31, stow.latencyObjective());
     assertEquals(32, stow.deadline());
-    assertEquals(0.33, stow.worth());
-    assertEquals(0.34, stow.lateWorth());
-    assertEquals(Repeats.GUARDED, stow.repeats());
-    assertEquals(35, stow.window());
-    assertTrue(stow.calls());
-    assertEquals(0.84, stow.skipWorth());
+    assertEquals(0.33, stow.priorityWeight());
+    assertEquals(0.34, stow.lateWeightRatio());
+    assertEquals(Idempotency.GUARDED, stow.idempotency());
+    assertEquals(35, stow.idempotencyWindow());
+    assertTrue(stow.callsDependency());
+    assertEquals(0.84, stow.degradedWeightRatio());
     RequestClass mint = classes.get(2);
     assertEquals("mint", mint.name());
-    assertEquals(41, mint.aim());
+    assertEquals(41, mint.latencyObjective());
     assertEquals(42, mint.deadline());
-    assertEquals(0, mint.worth());
-    assertEquals(0, mint.lateWorth());
-    assertEquals(Repeats.SINGLE_SHOT, mint.repeats());
-    assertEquals(0, mint.window());
-    assertFalse(mint.calls());
-    assertEquals(0, mint.skipWorth());
+    assertEquals(0, mint.priorityWeight());
+    assertEquals(0, mint.lateWeightRatio());
+    assertEquals(Idempotency.SINGLE_SHOT, mint.idempotency());
+    assertEquals(0, mint.idempotencyWindow());
+    assertFalse(mint.callsDependency());
+    assertEquals(0, mint.degradedWeightRatio());
   }
 
   @Test
   void eachKeyOfTheRulesAndTheDependencySetsItsField() throws IOException {
     Settings settings = full();
     assertEquals(61, settings.rules().answerSlack());
-    assertEquals(62, settings.rules().drainGrace());
-    assertEquals(0.63, settings.rules().crowdPerCore());
-    assertEquals(64, settings.rules().crowdWindow());
-    assertEquals(0.65, settings.rules().coldSpeed());
-    assertEquals(66, settings.rules().warmAfter());
+    assertEquals(62, settings.rules().drainGracePeriod());
+    assertEquals(0.63, settings.rules().concurrencyPerCore());
+    assertEquals(64, settings.rules().concurrencyWindow());
+    assertEquals(0.65, settings.rules().coldSpeedRatio());
+    assertEquals(66, settings.rules().warmUpDuration());
     assertEquals(81, settings.callers());
-    assertEquals(82, settings.freshFor());
-    assertEquals(0.85, settings.dependency().share());
+    assertEquals(82, settings.cacheLifetime());
+    assertEquals(0.85, settings.dependency().concurrencyQuota());
     assertEquals(86, settings.dependency().window());
-    assertEquals(87, settings.dependency().linger());
+    assertEquals(87, settings.dependency().abandonedCallDuration());
   }
 
   @Test
   void eachKeyOfTheMachineAndTheSignalsSetsItsField() throws IOException {
     Settings settings = full();
     assertEquals(88, settings.machine().cores());
-    assertEquals(0.89, settings.machine().memory());
-    assertEquals(0.91, settings.machine().runFactor());
-    assertEquals(0.92, settings.machine().entryMemory());
-    assertTrue(settings.machine().cold());
-    assertEquals(List.of("cpu_busy", "runnable"), settings.machine().gauges());
-    assertEquals(93, settings.signals().heardFor());
-    assertTrue(settings.signals().mayAdvise());
-    assertEquals(71, settings.signals().longestAdvice());
-    assertTrue(settings.signals().goneNotices());
-    assertEquals(94, settings.signals().idle());
+    assertEquals(0.89, settings.machine().memoryKb());
+    assertEquals(0.91, settings.machine().runMemoryFactor());
+    assertEquals(0.92, settings.machine().keyMemoryKb());
+    assertTrue(settings.machine().coldStart());
+    assertEquals(List.of("cpu_busy", "runnable"), settings.machine().gaugeNames());
+    assertEquals(93, settings.signals().freeValueLifetime());
+    assertTrue(settings.signals().retryAfterHonoured());
+    assertEquals(71, settings.signals().maxRetryAfter());
+    assertTrue(settings.signals().cancellationsReported());
+    assertEquals(94, settings.signals().idleTimeout());
   }
 
   @Test
   void eachWordThatHaltAndSayKnowSetsItsValue() throws IOException {
     String halt = "\"suspend\"";
-    assertEquals(Halting.SUSPEND, full().machine().halting());
-    assertEquals(Halting.ABORT, changed(halt, "\"abort\"").machine().halting());
-    assertEquals(Halting.NONE, changed(halt, "\"silent\"").machine().halting());
-    assertEquals(Halting.NONE, changed(halt, "\"other\"").machine().halting());
+    assertEquals(StopMode.SUSPEND, full().machine().stopMode());
+    assertEquals(StopMode.ABORT, changed(halt, "\"abort\"").machine().stopMode());
+    assertEquals(StopMode.NONE, changed(halt, "\"silent\"").machine().stopMode());
+    assertEquals(StopMode.NONE, changed(halt, "\"other\"").machine().stopMode());
     String say = "\"share_of\"";
     assertEquals(FreeValue.SHARE, full().signals().freeValue());
     assertEquals(FreeValue.LEVEL, changed(say, "\"threshold\"").signals().freeValue());
@@ -187,45 +187,45 @@
     assertNull(config.ledger());
     assertEquals(System.getenv("EDGE_MANAGEMENT") == null, config.management() == null);
     Settings settings = config.settings();
-    assertEquals(0, settings.round());
+    assertEquals(0, settings.batchInterval());
     assertEquals(List.of(), settings.tenants());
     assertEquals(1, settings.replicas());
     assertEquals(0, settings.callers());
-    assertFalse(settings.worthByWork());
-    assertEquals(1, settings.overShareWorth());
-    assertEquals(0, settings.freshFor());
-    assertEquals(0, settings.goal().whole());
-    assertEquals(0, settings.goal().worstWindow());
-    assertEquals(0, settings.goal().worstClass());
-    assertEquals(0, settings.goal().worstTenant());
-    assertEquals(Repeats.SAFE, settings.classes().get(0).repeats());
+    assertFalse(settings.weightByWork());
+    assertEquals(1, settings.overQuotaWeightRatio());
+    assertEquals(0, settings.cacheLifetime());
+    assertEquals(0, settings.goal().overallWeight());
+    assertEquals(0, settings.goal().worstWindowWeight());
+    assertEquals(0, settings.goal().worstClassWeight());
+    assertEquals(0, settings.goal().worstTenantWeight());
+    assertEquals(Idempotency.SAFE, settings.classes().get(0).idempotency());
   }
 
   @Test
   void whatStandsForAnAbsentKeyFurtherDownIsHeld() throws IOException {
     Settings settings = least();
     assertEquals(0, settings.rules().answerSlack());
-    assertEquals(0, settings.rules().drainGrace());
-    assertEquals(1, settings.rules().crowdPerCore());
-    assertEquals(0, settings.rules().crowdWindow());
-    assertEquals(1, settings.rules().coldSpeed());
-    assertEquals(0, settings.rules().warmAfter());
-    assertEquals(0, settings.dependency().share());
+    assertEquals(0, settings.rules().drainGracePeriod());
+    assertEquals(1, settings.rules().concurrencyPerCore());
+    assertEquals(0, settings.rules().concurrencyWindow());
+    assertEquals(1, settings.rules().coldSpeedRatio());
+    assertEquals(0, settings.rules().warmUpDuration());
+    assertEquals(0, settings.dependency().concurrencyQuota());
     assertEquals(0, settings.dependency().window());
-    assertEquals(0, settings.dependency().linger());
+    assertEquals(0, settings.dependency().abandonedCallDuration());
     assertEquals(1, settings.machine().cores());
-    assertEquals(0, settings.machine().memory());
-    assertEquals(1, settings.machine().runFactor());
-    assertEquals(0, settings.machine().entryMemory());
-    assertFalse(settings.machine().cold());
-    assertEquals(List.of(), settings.machine().gauges());
-    assertEquals(Halting.NONE, settings.machine().halting());
+    assertEquals(0, settings.machine().memoryKb());
+    assertEquals(1, settings.machine().runMemoryFactor());
+    assertEquals(0, settings.machine().keyMemoryKb());
+    assertFalse(settings.machine().coldStart());
+    assertEquals(List.of(), settings.machine().gaugeNames());
+    assertEquals(StopMode.NONE, settings.machine().stopMode());
     assertEquals(FreeValue.NONE, settings.signals().freeValue());
-    assertEquals(0, settings.signals().heardFor());
-    assertFalse(settings.signals().mayAdvise());
-    assertEquals(0, settings.signals().longestAdvice());
-    assertFalse(settings.signals().goneNotices());
-    assertEquals(0, settings.signals().idle());
+    assertEquals(0, settings.signals().freeValueLifetime());
+    assertFalse(settings.signals().retryAfterHonoured());
+    assertEquals(0, settings.signals().maxRetryAfter());
+    assertFalse(settings.signals().cancellationsReported());
+    assertEquals(0, settings.signals().idleTimeout());
   }
 
   /**
--- a/src/test/java/mothwing/witness/StoredJournalTest.java
+++ b/src/test/java/mothwing/witness/StoredJournalTest.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import mothwing.store.Corrupt;
+import mothwing.store.CorruptRecordException;
 import mothwing.store.Disk;
 import mothwing.store.Journal;
 import org.junit.jupiter.api.Test;
@@ -68,7 +68,7 @@
   }
 
   private void assertCorrupt(String message) {
-    assertEquals(message, assertThrows(Corrupt.class, this::open).getMessage());
+    assertEquals(message, assertThrows(CorruptRecordException.class, this::open).getMessage());
   }
 
   private static byte[] flipped(byte[] content, int at) {
