--- /dev/null
+++ b/src/main/java/mothwing/overload/RequestAdmission.java
@@ -0,0 +1,142 @@
+package mothwing.overload;
+
+import mothwing.control.ControllerHost;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+import mothwing.overload.TrackedRequest.State;
+
+/**
+ * Admits or rejects each request when it is read, in this order: a repeat of a remembered request
+ * waits for the result of the original; the due time must lie ahead; memory must suffice; the
+ * filter in force must have tokens; runs and calls must not fail; the deadline must be within
+ * reach.
+ */
+final class RequestAdmission {
+  private final ControllerContext context;
+  private final ControllerHost host;
+  private final RequestTable requests;
+  private final MemoryBudget memory;
+  private final IdempotencyKeyExpiry keys;
+  private final TenantQuotas quotas;
+  private final PriorityOrder order;
+  private final CostEstimator costs;
+  private final AdmissionFilter filter;
+  private final FaultAdmission faults;
+  private final DeadlineAdmission deadlines;
+  private final RunScheduler runs;
+  private final RequestCompletion completion;
+  private final BackpressureSignal backpressure;
+
+  RequestAdmission(
+      ControllerState state,
+      IdempotencyKeyExpiry keys,
+      TenantQuotas quotas,
+      PriorityOrder order,
+      AdmissionFilter filter,
+      FaultAdmission faults,
+      DeadlineAdmission deadlines,
+      RunScheduler runs,
+      RequestCompletion completion,
+      BackpressureSignal backpressure) {
+    context = state.context();
+    host = state.host();
+    requests = state.requests();
+    memory = state.memory();
+    costs = state.costs();
+    this.keys = keys;
+    this.quotas = quotas;
+    this.order = order;
+    this.filter = filter;
+    this.faults = faults;
+    this.deadlines = deadlines;
+    this.runs = runs;
+    this.completion = completion;
+    this.backpressure = backpressure;
+  }
+
+  /** Takes a request that was just read. */
+  void read(Request request) {
+    TrackedRequest tracked = track(request);
+    requests.add(tracked);
+    memory.reserve(request.memoryKb());
+    filter.offer(tracked);
+    backpressure.read(costs.expected(tracked));
+    decide(tracked);
+  }
+
+  private TrackedRequest track(Request request) {
+    RequestClass requestClass = context.settings().classes().get(request.classIndex());
+    long arrivedAt = context.now() - request.queueingDelay();
+    long dueAt =
+        request.callerDeadline() > 0
+            ? request.callerDeadline()
+            : arrivedAt + requestClass.deadline();
+    boolean overQuota = quotas.isOverQuota(request.tenantIndex());
+    TrackedRequest tracked =
+        new TrackedRequest(
+            request, requestClass, arrivedAt, context.boundedDueAt(dueAt), overQuota);
+    order.assign(tracked);
+    return tracked;
+  }
+
+  private void decide(TrackedRequest request) {
+    if (repeatsKnownRequest(request)) {
+      replay(request);
+      return;
+    }
+    boolean tooLate = isAlmostDue(request) || context.isAfterShutdownNotice(request.arrivedAt());
+    if (tooLate || !hasMemory(request)) {
+      completion.reject(request);
+      return;
+    }
+    if (!filter.admit(request) || faults.holdsBack(request) || !deadlines.canMeet(request)) {
+      backpressure.refused(costs.expected(request));
+      completion.reject(request);
+      return;
+    }
+    quotas.charge(request.request().tenantIndex());
+    if (request.hasIdempotencyKey()) {
+      rememberKey(request);
+    }
+  }
+
+  private boolean isAlmostDue(TrackedRequest request) {
+    return context.now() + context.dueMargin() >= request.dueAt();
+  }
+
+  /** Whether a request repeats one that is held or ran, and so must not run itself. */
+  private boolean repeatsKnownRequest(TrackedRequest request) {
+    String originalId = request.request().originalId();
+    if (originalId == null || requests.wasRejectedInBatch(originalId)) {
+      return false;
+    }
+    return request.hasIdempotencyKey()
+        || context.settings().cacheLifetime() > 0
+        || requests.contains(originalId);
+  }
+
+  private void replay(TrackedRequest request) {
+    // waiting repeats must not fill the memory
+    if (isAlmostDue(request) || memory.usedKb() > memory.plannedKb()) {
+      completion.fail(request);
+    } else {
+      request.moveTo(State.REPLAYING);
+      host.replayResult(request.id());
+    }
+  }
+
+  /** Whether memory is left for its run, for the planned runs and for one batch of reads. */
+  private boolean hasMemory(TrackedRequest request) {
+    double keyKb = request.hasIdempotencyKey() ? memory.keyKb() : 0;
+    double runsKb = runs.freeSlots() * memory.additionalRunKb(request);
+    return memory.usedKb() + keyKb + runsKb <= memory.plannedKb();
+  }
+
+  private void rememberKey(TrackedRequest request) {
+    long sample = context.samplePeriod();
+    long windowEnd = request.arrivedAt() + request.requestClass().idempotencyWindow();
+    long expiresAt = Math.max(context.now() + sample, windowEnd + sample);
+    host.rememberKey(request.id(), expiresAt - context.now());
+    keys.remember(request.id(), expiresAt);
+  }
+}
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -27,7 +27,6 @@
   private static final Map<String, Integer> LONG_FILES =
       Map.ofEntries(
           Map.entry("Broker.java", 1050),
-          Map.entry("OverloadController.java", 985),
           Map.entry("ProcessStage.java", 751),
           Map.entry("Membership.java", 726),
           Map.entry("SimulationStage.java", 574),
