--- a/src/main/java/mothwing/control/ControllerHost.java
+++ b/src/main/java/mothwing/control/ControllerHost.java
@@ -1,48 +1,60 @@
 package mothwing.control;
 
-/** Carries out actions, at the moment of the event that led to them, in order. */
+/**
+ * Carries out the actions of a controller, in order, at the time of the event that led to them.
+ * Times and durations are microseconds.
+ */
 public interface ControllerHost {
-  /** Runs a held request or resumes a paused one. */
+  /** Starts the run of a held request, or resumes a suspended one. */
   void startRun(String id);
 
-  /** Lets a request at a call make it, until the given time. */
+  /** Makes the dependency call that a request awaits; it is abandoned at the given time. */
   void startCall(String id, long until);
 
-  /** Leaves the call out. */
+  /** Continues the run of a request without the dependency call that it awaits. */
   void skipCall(String id);
 
-  /** Stops running work, as the halting setting says. */
+  /** Stops a run, in the way that {@link Machine#stopMode} states. */
   void stopRun(String id);
 
-  /** Ends a request unserved: nothing was done. */
-  void rejectRequest(String id, boolean dontRetry, long stayAway);
+  /**
+   * Rejects a request of which nothing was done.
+   *
+   * @param id the request
+   * @param finalAnswer whether the caller should not retry at another server
+   * @param retryAfter time for which the caller should avoid this server; 0 for no advice
+   */
+  void rejectRequest(String id, boolean finalAnswer, long retryAfter);
 
-  /** Answers with a failure. */
+  /** Answers a request with a failure. */
   void failRequest(String id);
 
-  /** Remembers a request's key for a span. */
-  void rememberKey(String id, long span);
+  /** Remembers the idempotency key of a request for a duration. */
+  void rememberKey(String id, long duration);
 
-  /** Forgets a request's key. */
+  /** Forgets the idempotency key of a request. */
   void forgetKey(String id);
 
-  /** Answers a repeat from its forerunner's result. */
+  /** Answers a repeated request with the result of the original. */
   void replayResult(String id);
 
-  /** Asks for a timer. */
+  /** Schedules a timer for a time. */
   void scheduleTimer(long at, String tag);
 
-  /** Sets the free value. */
+  /** Publishes the free value, in the meaning of {@link Signals#freeValue}. */
   void publishFreeValue(double value);
 
-  /** Sets the answer to health checks. */
-  void setHealth(boolean cheap, boolean good);
-
   /**
-   * Closes connections from now on that have been idle for a span, at most that of the settings.
+   * Sets the answer to health checks.
+   *
+   * @param cheap whether health checks are answered without the controller
+   * @param healthy the answer
    */
-  void closeIdleConnections(long span);
+  void setHealth(boolean cheap, boolean healthy);
+
+  /** Closes connections that are idle for a duration, from now on; at most that of the settings. */
+  void closeIdleConnections(long idleTimeout);
 
-  /** Adds a line to the report. */
+  /** Writes a line to the server's log. */
   void log(String text);
 }
--- a/src/main/java/mothwing/control/Dependency.java
+++ b/src/main/java/mothwing/control/Dependency.java
@@ -1,11 +1,12 @@
 package mothwing.control;
 
 /**
- * The shared dependency.
+ * The dependency that all servers share.
  *
- * @param concurrencyQuota this server's part of the calls it survives, as a mean number in hand; 0
- *     for no dependency
- * @param window span over which calls are averaged
- * @param abandonedCallDuration span for which a given-up call may stay in its hands
+ * @param concurrencyQuota this server's quota of the calls that the dependency survives, as a mean
+ *     number of calls in flight; 0 where there is no dependency
+ * @param window microseconds over which the calls are averaged
+ * @param abandonedCallDuration microseconds for which the dependency may go on with a call that was
+ *     abandoned
  */
 public record Dependency(double concurrencyQuota, long window, long abandonedCallDuration) {}
--- a/src/main/java/mothwing/control/FreeValue.java
+++ b/src/main/java/mothwing/control/FreeValue.java
@@ -1,13 +1,13 @@
 package mothwing.control;
 
-/** What callers make of the free value. */
+/** What the published free value means to callers. */
 public enum FreeValue {
-  /** There is none. */
+  /** No value is published. */
   NONE,
-  /** Requests of lower rank stay away. */
+  /** Callers send no request whose rank is lower than the value. */
   LEVEL,
-  /** So many requests of each caller may be out here. */
+  /** Each caller has at most this many requests in flight at this server. */
   WINDOW,
-  /** The chance that a caller does not pass this server over. */
+  /** The probability, of 0 to 1, that a caller considers this server for a request. */
   SHARE
 }
--- a/src/main/java/mothwing/control/GaugeSample.java
+++ b/src/main/java/mothwing/control/GaugeSample.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The gauges of one moment, or their absence. What was known before is never given again: a
- * controller that is told the same twice would take it for news.
+ * The gauges of one moment, or their absence. A sample is never delivered twice, since a controller
+ * counts each as a new measurement.
  *
  * @param gauges in the order of the settings; empty where they are not known
  * @param age microseconds since gauges were last known; 0 where these are of this moment
--- a/src/main/java/mothwing/control/Goal.java
+++ b/src/main/java/mothwing/control/Goal.java
@@ -1,12 +1,12 @@
 package mothwing.control;
 
 /**
- * The parts of the users' goal.
+ * The weights of the parts of the service objective. The controller does not decide by them.
  *
- * @param overallWeight weight of the whole time
- * @param worstWindowWeight weight of the worst stretch
- * @param worstClassWeight weight of the worst-served class
- * @param worstTenantWeight weight of the worst-served tenant
+ * @param overallWeight weight of the mean over the whole time
+ * @param worstWindowWeight weight of the worst time window
+ * @param worstClassWeight weight of the class that is served worst
+ * @param worstTenantWeight weight of the tenant that is served worst
  */
 public record Goal(
     double overallWeight,
--- a/src/main/java/mothwing/control/Idempotency.java
+++ b/src/main/java/mothwing/control/Idempotency.java
@@ -1,11 +1,13 @@
 package mothwing.control;
 
-/** Whether a class of requests may be run more than once. */
+/** Whether a request of a class may be run more than once. */
 public enum Idempotency {
-  /** May run any number of times. */
+  /** It may run any number of times. */
   SAFE,
-  /** Runs once within its window, however often it arrives. */
+  /**
+   * Its idempotency key makes sure that it runs once within its window, however often it arrives.
+   */
   GUARDED,
-  /** Runs once; a repeat cannot be recognised. */
+  /** It runs once; a repeat cannot be recognized. */
   SINGLE_SHOT
 }
--- a/src/main/java/mothwing/control/Machine.java
+++ b/src/main/java/mothwing/control/Machine.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * The machine and what it can do.
+ * The machine that the server runs on.
  *
  * @param cores number of cores
- * @param memoryKb kilobytes in all
- * @param runMemoryFactor memory of a running request as a multiple of that of a held one
- * @param keyMemoryKb kilobytes of a remembered key
- * @param coldStart whether it has just started
- * @param gaugeNames names of the gauges that come with timers, in order
- * @param stopMode what can be done to running work
+ * @param memoryKb memory for requests and idempotency keys, in kilobytes
+ * @param runMemoryFactor memory of a running request as a multiple of that of a held one, at least
+ *     1
+ * @param keyMemoryKb memory of a remembered idempotency key, in kilobytes
+ * @param coldStart whether it starts cold, and so needs a slow start
+ * @param gaugeNames names of the gauges that come with timers, in their order
+ * @param stopMode how a run can be stopped
  */
 public record Machine(
     int cores,
--- a/src/main/java/mothwing/control/Request.java
+++ b/src/main/java/mothwing/control/Request.java
@@ -1,18 +1,18 @@
 package mothwing.control;
 
 /**
- * A request that was read and is now held.
+ * A request that was read and is held. Times and durations are microseconds.
  *
- * @param id its name, never used twice
- * @param classIndex place of its class in the settings
- * @param tenantIndex place of its tenant in the settings, or -1
- * @param estimatedCoreTime a guess of its core time, or 0
- * @param queueingDelay span since it arrived at the machine
- * @param subject what it is about, or null
- * @param memoryKb kilobytes while held
- * @param originalId the remembered request that it repeats, or null
- * @param rank its rank as callers compare it with a level
- * @param callerDeadline when its caller gives up, or 0
+ * @param id its identifier, never used twice
+ * @param classIndex index of its class in the settings
+ * @param tenantIndex index of its tenant in the settings, or -1
+ * @param estimatedCoreTime an estimate of its core time, or 0
+ * @param queueingDelay time between its arrival at the machine and its reading
+ * @param subject the key of what it is about, or null
+ * @param memoryKb memory while it is held, in kilobytes
+ * @param originalId the request of the same idempotency key that it repeats, or null
+ * @param rank its rank, which callers compare with a published level
+ * @param callerDeadline when its caller gives up, or 0 where that is not known
  * @param mutating whether it writes
  */
 public record Request(
--- a/src/main/java/mothwing/control/RequestClass.java
+++ b/src/main/java/mothwing/control/RequestClass.java
@@ -1,17 +1,21 @@
 package mothwing.control;
 
 /**
- * A class of requests.
+ * A class of requests. Durations are microseconds.
  *
- * @param name its name
- * @param latencyObjective span from the first try within which an answer earns full worth
- * @param deadline span that a client waits in all
- * @param priorityWeight worth of one request
- * @param lateWeightRatio share of the worth earned between aim and deadline
- * @param idempotency whether it may run again
- * @param idempotencyWindow span after its arrival in which a guarded request may come again
+ * @param name its name, unique among the classes
+ * @param latencyObjective duration from the first attempt within which an answer earns the full
+ *     priority weight
+ * @param deadline duration from the first attempt after which no client waits any longer
+ * @param priorityWeight weight of one answered request, at least 0
+ * @param lateWeightRatio share of the weight, of 0 to 1, that an answer earns between the latency
+ *     objective and the deadline
+ * @param idempotency whether a request may run more than once
+ * @param idempotencyWindow duration after its arrival in which a request may be repeated with the
+ *     same idempotency key
  * @param callsDependency whether its runs may call the dependency
- * @param degradedWeightRatio share of the worth earned by an answer that leaves the call out
+ * @param degradedWeightRatio share of the weight, of 0 to 1, that an answer without its dependency
+ *     call earns; 0 where the call must be made
  */
 public record RequestClass(
     String name,
--- a/src/main/java/mothwing/control/Rules.java
+++ b/src/main/java/mothwing/control/Rules.java
@@ -1,14 +1,15 @@
 package mothwing.control;
 
 /**
- * The figures of the rules.
+ * The limits that a server must keep. Durations are microseconds.
  *
- * @param answerSlack span past the due time in which an answer still counts
- * @param drainGracePeriod span after the notice in which arrivals may still run
- * @param concurrencyPerCore running requests a core that a warm server survives
- * @param concurrencyWindow span over which the crowd is averaged
- * @param coldSpeedRatio least share of full speed at a cold start
- * @param warmUpDuration span after which a started server is warm at the latest
+ * @param answerSlack duration after the due time in which an answer still counts
+ * @param drainGracePeriod duration after the notice of a shutdown in which requests that arrive may
+ *     still run
+ * @param concurrencyPerCore running requests for each core that a warm server survives
+ * @param concurrencyWindow duration over which the running requests are averaged
+ * @param coldSpeedRatio share of its full speed, of 0 to 1, with which a cold server starts
+ * @param warmUpDuration duration of the slow start
  */
 public record Rules(
     long answerSlack,
--- a/src/main/java/mothwing/control/Settings.java
+++ b/src/main/java/mothwing/control/Settings.java
@@ -5,20 +5,22 @@
 /**
  * All settings of one controller.
  *
- * @param seed seed of its random numbers
- * @param batchInterval least span between two batches of events
+ * @param seed seed of its random numbers; a deterministic controller does not use it
+ * @param batchInterval least time between two batches of events, in microseconds
  * @param classes the classes of requests
  * @param tenants the tenants, possibly none
- * @param replicas servers of this kind at the start
- * @param callers callers of this kind of server at the start
- * @param weightByWork whether worth counts by work rather than by request
- * @param overQuotaWeightRatio share of the worth that traffic beyond a tenant's quota keeps
- * @param cacheLifetime span for which the answer to a read may serve others
- * @param goal the users' goal
- * @param rules the figures of the rules
- * @param dependency the shared dependency
- * @param machine the machine
- * @param signals what can be said to callers
+ * @param replicas number of servers of this kind at the start
+ * @param callers number of callers of this kind of server at the start
+ * @param weightByWork whether priority weights count by core time rather than by request
+ * @param overQuotaWeightRatio share of the priority weight, of 0 to 1, that requests beyond their
+ *     tenant's quota keep
+ * @param cacheLifetime microseconds for which the answer to a read may serve other requests; 0
+ *     where answers are not cached
+ * @param goal the weights of the service objective
+ * @param rules the limits that the server must keep
+ * @param dependency the dependency that all servers share
+ * @param machine the machine that the server runs on
+ * @param signals what callers understand
  */
 public record Settings(
     long seed,
--- a/src/main/java/mothwing/control/Signals.java
+++ b/src/main/java/mothwing/control/Signals.java
@@ -1,15 +1,15 @@
 package mothwing.control;
 
 /**
- * What can be said to callers.
+ * The signals that callers understand. Durations are microseconds.
  *
- * @param freeValue meaning of the free value
- * @param freeValueLifetime span for which a caller keeps the value
- * @param retryAfterHonoured whether advice to stay away is passed on
- * @param maxRetryAfter longest span of advice that is honoured
- * @param cancellationsReported whether the server is told of callers who left
- * @param idleTimeout span after which callers close idle connections themselves; 0 where
- *     connections are not trimmed
+ * @param freeValue the meaning of the free value
+ * @param freeValueLifetime duration for which a caller keeps a value
+ * @param retryAfterHonoured whether callers honour a Retry-After duration
+ * @param maxRetryAfter the longest Retry-After duration that is honoured
+ * @param cancellationsReported whether the server learns of cancelled requests
+ * @param idleTimeout idle time after which callers close connections themselves; 0 where the server
+ *     cannot close them sooner
  */
 public record Signals(
     FreeValue freeValue,
--- a/src/main/java/mothwing/control/StopMode.java
+++ b/src/main/java/mothwing/control/StopMode.java
@@ -1,11 +1,11 @@
 package mothwing.control;
 
-/** What the server can do to work that runs. */
+/** How a run can be stopped. */
 public enum StopMode {
-  /** Nothing. */
+  /** It cannot be stopped. */
   NONE,
-  /** Stop it; what was done is lost. */
+  /** It is aborted, and what it did is lost. */
   ABORT,
-  /** Stop it and take it up again later. */
+  /** It is suspended and can be resumed. */
   SUSPEND
 }
--- a/src/main/java/mothwing/control/Tenant.java
+++ b/src/main/java/mothwing/control/Tenant.java
@@ -1,9 +1,9 @@
 package mothwing.control;
 
 /**
- * One that shares the fleet with others.
+ * A tenant of the service.
  *
- * @param name its name
- * @param requestsPerSecond requests a second over the whole fleet within its share
+ * @param name its name, unique among the tenants
+ * @param requestsPerSecond its quota over all servers, in requests a second
  */
 public record Tenant(String name, double requestsPerSecond) {}
--- a/src/main/java/mothwing/overload/BackpressureSignal.java
+++ b/src/main/java/mothwing/overload/BackpressureSignal.java
@@ -6,100 +6,125 @@
 import mothwing.control.Settings;
 
 /**
- * What the controller tells its callers of itself: the free value, and how long idle connections
- * may stay.
+ * Tells the callers how much traffic this server wants, by the free value, and closes idle
+ * connections sooner where many callers hold them for few requests.
  */
 final class BackpressureSignal {
-  private static final double LEAST_SHARE =
-      0.1; // of traffic still asked for, so that a recovery shows
-  private static final double SHARE_STEPS = 20; // count: the free value is said in twentieths
-  private static final double REFUSED_DECAY =
-      0.98; // a sample, of the share refused: some fifty samples
-  private static final double IDLE_DECAY =
-      0.8; // the same on idle cores, which have room for what was refused
-  private static final double REUSE_SECONDS =
-      15; // between a caller's requests: past it idling costs more
-  private static final double STORM =
-      0.85; // share refused: over it handshakes cost more than full tables
-  private static final double STORM_OVER = 0.6; // share refused under which they no longer do
-  private static final long TRIM_LEAST =
-      10_000; // microseconds: the shortest idle span a host can keep
-  private static final double SECOND = 1e6; // microseconds
+  /** Share of the traffic that is wanted at least, so that a recovery shows. */
+  private static final double MIN_WANTED_RATIO = 0.1;
+
+  /** The wanted share is published in steps of one twentieth. */
+  private static final double WANTED_RATIO_STEPS = 20;
+
+  /** Decay of the read and rejected work with each sample: some fifty samples count. */
+  private static final double DECAY_RATIO = 0.98;
+
+  /** Further decay of the rejected work on idle cores, which have capacity for it. */
+  private static final double IDLE_DECAY_RATIO = 0.8;
+
+  /** Seconds between the requests of one caller above which an idle connection costs more. */
+  private static final double MAX_REUSE_SECONDS = 15;
+
+  /** Rejected share above which handshakes cost more than full tables; while trimming. */
+  private static final double RETRY_STORM_START_RATIO = 0.85;
+
+  /** The same bound while connections are not trimmed. */
+  private static final double RETRY_STORM_END_RATIO = 0.6;
+
+  /** The shortest idle timeout that a host can keep. */
+  private static final long MIN_IDLE_TIMEOUT_MICROS = 10_000;
+
+  /** The highest load level that is published: the level of a server that wants something. */
+  private static final double MAX_LEVEL = 0.95;
+
+  private static final double NOTHING_PUBLISHED = -1;
 
   private final Supplier<Settings> settings;
   private final ControllerHost host;
   private double readWork;
-  private double refusedWork;
-  private double said = -1;
-  private FreeValue saidAs;
-  private boolean trimmed;
-  private boolean leaving;
-  private int reads;
+  private double rejectedWork;
+  private double publishedRatio = NOTHING_PUBLISHED;
+  private FreeValue publishedMeaning;
+  private boolean trimming;
+  private boolean draining;
+  private int requestsRead;
 
   BackpressureSignal(Supplier<Settings> settings, ControllerHost host) {
     this.settings = settings;
     this.host = host;
   }
 
-  /** A request was read, of so much work. */
-  void read(double work) {
-    reads++;
+  /** Counts a request that was read, with its expected core time in microseconds. */
+  void countRead(double work) {
+    requestsRead++;
     readWork += work;
   }
 
-  /** A request that was read is refused, as there is too much work. */
-  void refused(double work) {
-    refusedWork += work;
+  /** Counts a request that is rejected because there is too much work. */
+  void countRejected(double work) {
+    rejectedWork += work;
   }
 
-  /** The notice to leave: callers are asked for nothing more. */
-  void leave() {
-    leaving = true;
-    say(0);
+  /** A graceful shutdown begins: no more traffic is wanted. */
+  void startDraining() {
+    draining = true;
+    publish(0);
   }
 
   /**
-   * Says what has changed, once a sample: whether runs fail, cores idle, and how long ago this
-   * server started.
+   * Publishes what has changed since the sample before.
+   *
+   * @param runsFail whether the runs of this server fail
+   * @param idle whether cores are idle
+   * @param ageMicros time since this server started
    */
-  void sample(boolean failing, boolean idle, long age) {
-    refusedWork *= idle ? IDLE_DECAY : 1;
-    say(leaving ? 0 : failing ? LEAST_SHARE : share());
-    trimConnections(age);
+  void sample(boolean runsFail, boolean idle, long ageMicros) {
+    rejectedWork *= idle ? IDLE_DECAY_RATIO : 1;
+    if (draining) {
+      publish(0);
+    } else if (runsFail) {
+      publish(MIN_WANTED_RATIO);
+    } else {
+      publish(wantedRatio());
+    }
+    trimConnections(ageMicros);
   }
 
-  /** What callers should bring, as a share of what they would. */
-  private double share() {
-    double ratio = readWork > 0 ? refusedWork / readWork : 0;
-    readWork *= REFUSED_DECAY;
-    refusedWork *= REFUSED_DECAY;
-    return Math.max(LEAST_SHARE, Math.round((1 - ratio) * SHARE_STEPS) / SHARE_STEPS);
+  /** The share of their traffic that callers should send here. */
+  private double wantedRatio() {
+    double rejectedRatio = readWork > 0 ? rejectedWork / readWork : 0;
+    readWork *= DECAY_RATIO;
+    rejectedWork *= DECAY_RATIO;
+    double rounded = Math.round((1 - rejectedRatio) * WANTED_RATIO_STEPS) / WANTED_RATIO_STEPS;
+    return Math.max(MIN_WANTED_RATIO, rounded);
   }
 
-  private void say(double share) {
+  private void publish(double ratio) {
     FreeValue meaning = settings.get().signals().freeValue();
-    if (meaning != FreeValue.NONE
-        && meaning != FreeValue.WINDOW
-        && (share != said || meaning != saidAs)) {
-      said = share;
-      saidAs = meaning;
-      host.publishFreeValue(
-          meaning == FreeValue.LEVEL ? (share >= 1 ? 0 : Math.min(0.95, 1 - share)) : share);
+    boolean canPublish = meaning != FreeValue.NONE && meaning != FreeValue.WINDOW;
+    boolean changed = ratio != publishedRatio || meaning != publishedMeaning;
+    if (canPublish && changed) {
+      publishedRatio = ratio;
+      publishedMeaning = meaning;
+      host.publishFreeValue(meaning == FreeValue.LEVEL ? level(ratio) : ratio);
     }
   }
 
-  /**
-   * Hundreds of callers that come seldom fill the table with idle connections, and others find no
-   * room.
-   */
-  private void trimConnections(long age) {
-    double rate = Math.max(2 * settings.get().machine().cores(), reads * SECOND / age);
-    boolean storm = refusedWork > readWork * (trimmed ? STORM : STORM_OVER);
-    boolean seldom = settings.get().callers() > REUSE_SECONDS * rate && !storm;
-    long idle = settings.get().signals().idleTimeout();
-    if (idle > TRIM_LEAST && seldom != trimmed) {
-      trimmed = seldom;
-      host.closeIdleConnections(seldom ? TRIM_LEAST : idle);
+  private static double level(double wantedRatio) {
+    return wantedRatio >= 1 ? 0 : Math.min(MAX_LEVEL, 1 - wantedRatio);
+  }
+
+  /** Shortens the idle timeout while many callers send few requests: they fill the table. */
+  private void trimConnections(long ageMicros) {
+    double measured = requestsRead * ControllerContext.SECOND_MICROS / ageMicros;
+    double rate = Math.max(2 * settings.get().machine().cores(), measured);
+    double stormRatio = trimming ? RETRY_STORM_START_RATIO : RETRY_STORM_END_RATIO;
+    boolean retryStorm = rejectedWork > readWork * stormRatio;
+    boolean shouldTrim = settings.get().callers() > MAX_REUSE_SECONDS * rate && !retryStorm;
+    long idleTimeout = settings.get().signals().idleTimeout();
+    if (idleTimeout > MIN_IDLE_TIMEOUT_MICROS && shouldTrim != trimming) {
+      trimming = shouldTrim;
+      host.closeIdleConnections(shouldTrim ? MIN_IDLE_TIMEOUT_MICROS : idleTimeout);
     }
   }
 }
--- a/src/main/java/mothwing/overload/ConcurrencyLimit.java
+++ b/src/main/java/mothwing/overload/ConcurrencyLimit.java
@@ -1,52 +1,49 @@
 package mothwing.overload;
 
 /**
- * How many requests may run at once: at least as many as there are cores, more while cores idle
- * though work waits, and never more on old news. Without gauges it does not grow, and the longer
- * they are missing the closer it comes to the cores.
+ * How many requests may run at once: at least one for each core, more while cores are idle though
+ * work waits. Without gauges it does not grow, and after a while it shrinks to the cores.
  */
-public final class ConcurrencyLimit {
-  private static final double IDLE_CORES = 0.9; // busy share under which it may grow
-  private static final int IGNORANCE =
-      5; // samples without gauges that it outlives: one lost answer and a relink
+final class ConcurrencyLimit {
+  /** Utilization of the cores below which the limit may grow. */
+  private static final double IDLE_UTILIZATION_RATIO = 0.9;
+
+  /** Sample periods without gauges after which it shrinks: a lost sample and a reconnect fit in. */
+  private static final int MAX_PERIODS_WITHOUT_GAUGES = 5;
 
   private int limit;
-  private boolean ignorant; // whether it shrinks for want of gauges
+  private boolean shrinking;
 
   /**
-   * Makes one.
+   * Makes one at its minimum.
    *
    * @param cores the number of cores
    */
-  public ConcurrencyLimit(int cores) {
+  ConcurrencyLimit(int cores) {
     limit = cores;
   }
 
-  /**
-   * The limit in force.
-   *
-   * @return a number of requests
-   */
-  public int limit() {
+  /** The number of requests that may run. */
+  int limit() {
     return limit;
   }
 
   /**
-   * Takes a sample: grows fast while cores idle and work waits, and falls back to the cores.
+   * Takes a sample: grows fast while cores are idle and work waits, falls slowly back to the cores.
    *
-   * @param steps samples that this one stands for
-   * @param busy share of the cores that are busy
-   * @param waiting whether a request waits to run that the limit keeps waiting
-   * @param ceiling what it must not grow over
+   * @param periods sample periods that this sample stands for
+   * @param utilization share of the cores that is busy
+   * @param waiting whether the limit alone keeps a request from running
+   * @param ceiling the highest limit, in requests
    * @param cores the number of cores
    * @param mayFall whether it is time to fall by one
    */
-  public void sampled(
-      int steps, double busy, boolean waiting, int ceiling, int cores, boolean mayFall) {
-    ignorant = false;
-    if (waiting && busy < IDLE_CORES) {
-      limit = Math.min(limit + steps, ceiling);
-    } else if (busy > IDLE_CORES && limit > cores && mayFall) {
+  void sampled(
+      int periods, double utilization, boolean waiting, int ceiling, int cores, boolean mayFall) {
+    shrinking = false;
+    if (waiting && utilization < IDLE_UTILIZATION_RATIO) {
+      limit = Math.min(limit + periods, ceiling);
+    } else if (utilization > IDLE_UTILIZATION_RATIO && limit > cores && mayFall) {
       limit--;
     }
     limit = Math.max(cores, limit);
@@ -55,19 +52,19 @@
   /**
    * Takes the absence of a sample.
    *
-   * @param steps samples that are missing
-   * @param ignorance microseconds since gauges were known
-   * @param sample microseconds between samples
+   * @param periods sample periods without one
+   * @param gaugeAge microseconds since gauges were known
+   * @param samplePeriod microseconds between samples
    * @param cores the number of cores
-   * @return whether it begins to shrink with this one
+   * @return whether it starts to shrink now
    */
-  public boolean unsampled(int steps, long ignorance, long sample, int cores) {
-    if (ignorance <= IGNORANCE * sample || limit <= cores) {
+  boolean unsampled(int periods, long gaugeAge, long samplePeriod, int cores) {
+    if (gaugeAge <= MAX_PERIODS_WITHOUT_GAUGES * samplePeriod || limit <= cores) {
       return false;
     }
-    boolean begins = !ignorant;
-    ignorant = true;
-    limit = Math.max(cores, limit - steps);
-    return begins;
+    boolean starts = !shrinking;
+    shrinking = true;
+    limit = Math.max(cores, limit - periods);
+    return starts;
   }
 }
--- a/src/main/java/mothwing/overload/FilterLadder.java
+++ b/src/main/java/mothwing/overload/FilterLadder.java
@@ -3,78 +3,86 @@
 import java.util.Arrays;
 
 /**
- * The ladder of filters of QGuard and the damped step through it: from the first, which admits all,
- * to the last, which refuses all. Each inner filter has a rate of admitted work, falling down the
- * list, finer about a focal point that is moved to where the ladder stood of late.
+ * The ladder of filters of QGuard and the damped step through it: from the first filter, which
+ * admits everything, to the last, which rejects everything. Each inner filter has a rate of
+ * admitted work; the rates fall along the ladder and lie closer about a focal point, which is moved
+ * to the mean rate of the filters that were in force.
  *
- * <p>Switches lie a sojourn apart at the least, or twice the learned lag between a step and its
- * effect; tightening wants several overloaded intervals for each underloaded one. Times are
- * microseconds of one clock; rates are cores' worth of expected work.
+ * <p>Two steps are a sojourn apart at the least, or twice the learned lag between a step and its
+ * effect; tightening needs several overloaded intervals for each underloaded one. Times are
+ * microseconds of one clock, rates are cores of expected work.
  */
-public final class FilterLadder {
-  /** Filters between admit-all and refuse-all: unrefined steps are a tenth of the range. */
-  public static final int INNER_FILTERS = 12;
-
-  private static final double MODERATOR =
-      3; // overloaded for each underloaded interval (m): paper, 3 to 6
-  private static final int SOJOURN = 10; // samples between switches (s): one full history
-  private static final int LONGEST_WAIT = 6; // sojourns: an outage's lag must not freeze the ladder
-  private static final double TOP_RATE = 1.25; // ratio of the best completion rate: hardly shapes
-  private static final double BOTTOM_RATE = 0.2; // the same for the last filter before refuse-all
-  private static final double BEND = 1.6; // exponent: steps are finer about the focal point
-  private static final int REFINE = 20; // sojourns between refinements: time enough to oscillate
-  private static final double LEARN_LAG = 0.1; // weight of one overload in the learned lag
-  private static final double BEST_SECONDS = 60; // in which a best completion rate fades
-  private static final double SECOND = 1e6; // microseconds
+final class FilterLadder {
+  /** Filters between the one that admits and the one that rejects everything. */
+  static final int INNER_FILTERS = 12;
+
+  /** Overloaded intervals for each underloaded one that tightening needs. */
+  private static final double MODERATOR_RATIO = 3;
+
+  /** Samples between two steps: one full history of the load index. */
+  private static final int SOJOURN_SAMPLES = 10;
+
+  /** The longest time between two steps: the lag of an outage must not freeze the ladder. */
+  private static final int MAX_WAIT_SOJOURNS = 6;
+
+  /** Rate of the first inner filter over the best completion rate: it hardly shapes traffic. */
+  private static final double TOP_RATE_RATIO = 1.25;
+
+  /** Rate of the last inner filter over the best completion rate. */
+  private static final double BOTTOM_RATE_RATIO = 0.2;
+
+  /** Exponent that puts the rates closer together about the focal point. */
+  private static final double SPACING_EXPONENT = 1.6;
+
+  /** Sojourns between two moves of the focal point. */
+  private static final int REFINEMENT_SOJOURNS = 20;
+
+  /** Weight of one overload in the learned lag. */
+  private static final double LAG_WEIGHT = 0.1;
+
+  /** Seconds in which the best completion rate fades. */
+  private static final double BEST_RATE_SECONDS = 60;
 
   private double[] rates;
   private int filter;
-  private double best;
-  private double focal;
-  private final double[] timeIn = new double[INNER_FILTERS + 2];
-  private int overloads;
-  private int underloads;
-  private long overSince;
+  private double bestRate;
+  private double focalRate;
+  private final double[] secondsInFilter = new double[INNER_FILTERS + 2];
+  private int overloadedIntervals;
+  private int underloadedIntervals;
+  private long overloadedSince;
   private double lag;
-  private long lastSwitch;
-  private long lastRefine;
+  private long lastStepAt;
+  private long refinedAt;
 
   /**
-   * Makes one that admits all.
+   * Makes one that admits everything.
    *
-   * @param cores the number of cores, taken for the best completion rate until one is known
+   * @param cores the number of cores, the best completion rate until one is measured
    */
-  public FilterLadder(int cores) {
-    best = cores;
-    focal = cores;
+  FilterLadder(int cores) {
+    bestRate = cores;
+    focalRate = cores;
     rates = ladder();
   }
 
-  /**
-   * The server has started.
-   *
-   * @param now the clock
-   */
-  public void started(long now) {
-    lastSwitch = now;
-    lastRefine = now;
+  /** The server has started at the given time. */
+  void started(long now) {
+    lastStepAt = now;
+    refinedAt = now;
   }
 
   /**
    * The filter in force.
    *
-   * @return 0 where all is admitted, over {@link #INNER_FILTERS} where all is refused
+   * @return 0 where everything is admitted, above {@link #INNER_FILTERS} where it is rejected
    */
-  public int filter() {
+  int filter() {
     return filter;
   }
 
-  /**
-   * The rate of the filter in force.
-   *
-   * @return cores' worth of expected work
-   */
-  public double rate() {
+  /** The rate of the filter in force, in cores of expected work. */
+  double rate() {
     return rates[filter];
   }
 
@@ -82,73 +90,73 @@
    * Takes the rate at which work was completed in an interval.
    *
    * @param index the load index of the interval
-   * @param rate cores' worth of work a second
-   * @param cores the number of cores, over which no rate is believed
+   * @param rate cores of expected work that were completed
+   * @param cores the number of cores, which bounds the rate
    * @param span seconds of the interval
    */
-  public void completed(int index, double rate, int cores, double span) {
+  void completed(int index, double rate, int cores, double span) {
     if (index < LoadIndex.OVERLOADED) {
-      best = Math.min(cores, Math.max(best * (1 - span / BEST_SECONDS), rate));
+      bestRate = Math.min(cores, Math.max(bestRate * (1 - span / BEST_RATE_SECONDS), rate));
     }
   }
 
   /**
-   * Takes one interval, and steps where it is time.
+   * Takes one interval, and takes a step where it is time.
    *
    * @param now the clock
    * @param index the load index of the interval
    * @param span seconds of the interval
    * @param sample microseconds between samples
-   * @return whether refuse-all was reached by it
+   * @return whether this step reached the filter that rejects everything
    */
-  public boolean step(long now, int index, double span, long sample) {
-    timeIn[filter] += span;
+  boolean step(long now, int index, double span, long sample) {
+    secondsInFilter[filter] += span;
     count(now, index);
-    long sojourn = SOJOURN * sample;
-    if (now - lastSwitch < Math.max(sojourn, Math.min(2 * lag, LONGEST_WAIT * sojourn))) {
+    long sojourn = SOJOURN_SAMPLES * sample;
+    if (now - lastStepAt < Math.max(sojourn, Math.min(2 * lag, MAX_WAIT_SOJOURNS * sojourn))) {
       return false;
     }
     int next = filter;
-    if (overloads > 0 && overloads >= MODERATOR * underloads) {
+    if (overloadedIntervals > 0 && overloadedIntervals >= MODERATOR_RATIO * underloadedIntervals) {
       next = Math.min(rates.length - 1, filter + 1);
-    } else if (underloads > overloads) {
+    } else if (underloadedIntervals > overloadedIntervals) {
       next = Math.max(0, filter - 1);
     }
-    overloads = 0;
-    underloads = 0;
-    lastSwitch = now;
-    boolean refusesAll = next > filter && next == rates.length - 1;
+    overloadedIntervals = 0;
+    underloadedIntervals = 0;
+    lastStepAt = now;
+    boolean rejectsAll = next > filter && next == rates.length - 1;
     filter = next;
-    if (now - lastRefine > REFINE * sojourn) {
+    if (now - refinedAt > REFINEMENT_SOJOURNS * sojourn) {
       refine(now);
     }
-    return refusesAll;
+    return rejectsAll;
   }
 
   private void count(long now, int index) {
     if (index >= LoadIndex.OVERLOADED) {
-      overloads++;
-      overSince = overSince == 0 ? now : overSince;
+      overloadedIntervals++;
+      overloadedSince = overloadedSince == 0 ? now : overloadedSince;
     } else if (index <= LoadIndex.UNDERLOADED) {
-      underloads++;
-      if (overSince > 0) {
-        lag += ((now - overSince) - lag) * LEARN_LAG;
-        overSince = 0;
+      underloadedIntervals++;
+      if (overloadedSince > 0) {
+        lag += ((now - overloadedSince) - lag) * LAG_WEIGHT;
+        overloadedSince = 0;
       }
     }
   }
 
-  /** Moves the focal point to the mean rate of late and the filter to the one of like rate. */
+  /** Moves the focal point to the mean rate in force and the filter to the one of similar rate. */
   private void refine(long now) {
-    lastRefine = now;
+    refinedAt = now;
     double time = 0;
     double sum = 0;
     for (int i = 1; i <= INNER_FILTERS; i++) {
-      time += timeIn[i];
-      sum += timeIn[i] * rates[i];
+      time += secondsInFilter[i];
+      sum += secondsInFilter[i] * rates[i];
     }
-    focal = time > 0 ? sum / time : best;
-    Arrays.fill(timeIn, 0);
+    focalRate = time > 0 ? sum / time : bestRate;
+    Arrays.fill(secondsInFilter, 0);
     double rate = rates[filter];
     rates = ladder();
     if (filter > 0 && filter <= INNER_FILTERS) {
@@ -159,17 +167,18 @@
     }
   }
 
-  /** Rates down to refuse-all, finer about the focal point. */
+  /** The rates of all filters, closer together about the focal point. */
   private double[] ladder() {
     double[] all = new double[INNER_FILTERS + 2];
-    double top = best * TOP_RATE;
-    double bottom = best * BOTTOM_RATE;
-    double middle = Math.max(bottom, Math.min(top, focal));
-    all[0] = Double.MAX_VALUE / SECOND / SECOND;
+    double top = bestRate * TOP_RATE_RATIO;
+    double bottom = bestRate * BOTTOM_RATE_RATIO;
+    double middle = Math.max(bottom, Math.min(top, focalRate));
+    all[0] = Double.MAX_VALUE / ControllerContext.SECOND_MICROS / ControllerContext.SECOND_MICROS;
     for (int i = 1; i <= INNER_FILTERS; i++) {
-      double place = 1 - 2.0 * (i - 1) / (INNER_FILTERS - 1);
-      double reach = place > 0 ? top - middle : middle - bottom;
-      all[i] = middle + Math.signum(place) * Math.pow(Math.abs(place), BEND) * reach;
+      double position = 1 - 2.0 * (i - 1) / (INNER_FILTERS - 1);
+      double reach = position > 0 ? top - middle : middle - bottom;
+      double spacing = Math.pow(Math.abs(position), SPACING_EXPONENT);
+      all[i] = middle + Math.signum(position) * spacing * reach;
     }
     return all;
   }
--- a/src/main/java/mothwing/overload/LoadIndex.java
+++ b/src/main/java/mothwing/overload/LoadIndex.java
@@ -1,70 +1,81 @@
 package mothwing.overload;
 
 import java.util.Arrays;
+import java.util.List;
 
 /**
- * The load index of QGuard: each gauge's moving average scores +1 over its overload threshold, -1
- * under its underload threshold, else 0; the index is the sum.
- *
- * <p>Gauges, in order: busy cores, memory, run queue, wait of held requests, each as a share of its
- * ceiling.
+ * The load index of QGuard: the moving average of each gauge scores +1 above its overload
+ * threshold, -1 below its underload threshold and 0 between them; the index is the sum of the
+ * scores.
  */
-public final class LoadIndex {
-  /** Samples averaged (h): the middle of the paper's 5 to 15. */
-  public static final int HISTORY = 10;
+final class LoadIndex {
+  /** Samples in a moving average. */
+  static final int HISTORY = 10;
 
-  /**
-   * Index from which an interval counts as overloaded: one busy gauge alone is a server well used.
-   */
-  public static final int OVERLOADED = 2;
+  /** Index from which an interval counts as overloaded: a single busy gauge is no overload. */
+  static final int OVERLOADED = 2;
 
   /** Index up to which an interval counts as underloaded. */
-  public static final int UNDERLOADED = 0;
+  static final int UNDERLOADED = 0;
+
+  /** Utilization of the cores below which they count as idle. */
+  private static final double IDLE_CORES_RATIO = 0.8;
 
-  private static final double[] OVER = {0.95, 0.85, 0.5, 0.4};
-  private static final double[] UNDER = {0.8, 0.02, 0.02, 0.1};
+  /** The last values of one gauge, each a share of its ceiling, and its thresholds. */
+  private static final class Gauge {
+    private final double underload;
+    private final double overload;
+    private final double[] history = new double[HISTORY];
+
+    Gauge(double underload, double overload) {
+      this.underload = underload;
+      this.overload = overload;
+    }
+
+    void add(int sample, double value) {
+      history[sample % HISTORY] = value;
+    }
+
+    int score() {
+      double mean = Arrays.stream(history).sum() / HISTORY;
+      if (mean > overload) {
+        return 1;
+      }
+      return mean < underload ? -1 : 0;
+    }
+  }
 
-  private final double[][] history = new double[OVER.length][HISTORY];
+  private final Gauge cores = new Gauge(IDLE_CORES_RATIO, 0.95);
+  private final Gauge memory = new Gauge(0.02, 0.85);
+  private final Gauge runQueue = new Gauge(0.02, 0.5);
+  private final Gauge backlog = new Gauge(0.1, 0.4);
   private int samples;
 
-  /**
-   * The share of busy cores under which they count as idle.
-   *
-   * @return a share of 0 to 1
-   */
-  public static double idleCores() {
-    return UNDER[0];
+  /** The utilization of the cores below which they count as idle, of 0 to 1. */
+  static double idleCores() {
+    return IDLE_CORES_RATIO;
   }
 
   /**
-   * Takes one sample.
+   * Adds one sample.
    *
-   * @param cores share of the cores that are busy
-   * @param memory share of the memory in use
-   * @param runQueue running requests as a share of those that the machine survives
-   * @param holdWait the wait that the work in hand means, as a share of deadlines
+   * @param coresRatio share of the cores that is busy
+   * @param memoryRatio share of the memory in use
+   * @param runQueueRatio running requests as a share of those that the machine survives
+   * @param backlogRatio wait that the open requests cause, as a share of their deadlines
    * @return the index, from minus to plus the number of gauges
    */
-  public int take(double cores, double memory, double runQueue, double holdWait) {
-    double[] shares = {cores, memory, runQueue, holdWait};
-    for (int gauge = 0; gauge < shares.length; gauge++) {
-      history[gauge][samples % HISTORY] = shares[gauge];
-    }
+  int add(double coresRatio, double memoryRatio, double runQueueRatio, double backlogRatio) {
+    cores.add(samples, coresRatio);
+    memory.add(samples, memoryRatio);
+    runQueue.add(samples, runQueueRatio);
+    backlog.add(samples, backlogRatio);
     samples++;
-    int index = 0;
-    for (int gauge = 0; gauge < shares.length; gauge++) {
-      double mean = Arrays.stream(history[gauge]).sum() / HISTORY;
-      index += mean > OVER[gauge] ? 1 : mean < UNDER[gauge] ? -1 : 0;
-    }
-    return index;
+    return List.of(cores, memory, runQueue, backlog).stream().mapToInt(Gauge::score).sum();
   }
 
-  /**
-   * How many samples were taken.
-   *
-   * @return their number
-   */
-  public int samples() {
+  /** The number of samples that were added. */
+  int samples() {
     return samples;
   }
 }
--- a/src/main/java/mothwing/overload/LoadMonitor.java
+++ b/src/main/java/mothwing/overload/LoadMonitor.java
@@ -80,7 +80,7 @@
       double backlogRatio,
       double completedWork) {
     double runQueue = gauge(sample, "runnable", clock.running()) / survivable;
-    int index = loadIndex.take(utilization, memoryRatio, runQueue, backlogRatio);
+    int index = loadIndex.add(utilization, memoryRatio, runQueue, backlogRatio);
     double rate = completedWork / ControllerContext.SECOND_MICROS / secondsSinceSample;
     completionRate += (rate - completionRate) * Math.min(1, secondsSinceSample / 2);
     ladder.completed(index, completionRate, context.cores(), secondsSinceSample);
--- a/src/main/java/mothwing/overload/OverloadController.java
+++ b/src/main/java/mothwing/overload/OverloadController.java
@@ -169,7 +169,7 @@
       request.dueBefore(context.boundedDueAt(request.dueAt()));
     }
     host.setHealth(true, false);
-    backpressure.leave();
+    backpressure.startDraining();
   }
 
   @Override
--- a/src/main/java/mothwing/overload/RequestAdmission.java
+++ b/src/main/java/mothwing/overload/RequestAdmission.java
@@ -60,7 +60,7 @@
     requests.add(tracked);
     memory.reserve(request.memoryKb());
     filter.offer(tracked);
-    backpressure.read(costs.expected(tracked));
+    backpressure.countRead(costs.expected(tracked));
     decide(tracked);
   }
 
@@ -90,7 +90,7 @@
       return;
     }
     if (!filter.admit(request) || faults.holdsBack(request) || !deadlines.canMeet(request)) {
-      backpressure.refused(costs.expected(request));
+      backpressure.countRejected(costs.expected(request));
       completion.reject(request);
       return;
     }
