--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -22,7 +22,9 @@
 import mothwing.testing.SettingsVariants;
 import org.junit.jupiter.api.Test;
 
-/** Drives the module with scripted events; the host asserts the four rules on every sequence. */
+/**
+ * Drives the controller with scripted events; the host asserts on every one what must always hold.
+ */
 class OverloadControllerTest {
   private static final int READ = 0;
   private static final int SAVE = 1;
@@ -105,7 +107,7 @@
   }
 
   @Test
-  void runsWhatIsWorthMoreFirst() {
+  void runsTheHighestPriorityFirst() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "cheap", READ), request(host, "dear", COMMIT));
@@ -126,7 +128,7 @@
   }
 
   @Test
-  void takesTheDeadlineOfTheClassWhereNoPatienceIsTold() {
+  void usesTheDeadlineOfTheClassWithoutACallerDeadline() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ, null, 0));
@@ -135,14 +137,14 @@
   }
 
   @Test
-  void answersAtOnceWhatIsPastDueWhenRead() {
+  void rejectsAtOnceARequestThatIsReadAfterItsDueTime() {
     RecordingHost host = host();
     host.read(request(host, "late", READ, null, -SECOND));
     assertTrue(host.did("refuse late"));
   }
 
   @Test
-  void stopsRunningWorkInTheReplyThatFailsIt() {
+  void stopsARunInTheReplyThatFailsItsRequest() {
     RecordingHost host = host();
     fillCores(host);
     host.passUntil(START + 3 * SECOND);
@@ -152,7 +154,7 @@
   }
 
   @Test
-  void neverHaltsWhereThatIsNotAllowed() {
+  void stopsNoRunWhereRunsCannotBeStopped() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, false, 5), START);
     host.gauges(1.0, 3.0);
     fillCores(host);
@@ -163,7 +165,7 @@
   }
 
   @Test
-  void remembersGuardedWorkBeforeItStarts() {
+  void remembersAnIdempotencyKeyBeforeTheRunStarts() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
     int remembered = host.actions.indexOf("remember turn");
@@ -171,7 +173,7 @@
   }
 
   @Test
-  void aRepeatFollowsItsForerunner() {
+  void aRepeatWaitsForTheResultOfItsOriginal() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "turn", COMMIT));
@@ -184,7 +186,7 @@
   }
 
   @Test
-  void aRepeatOfWhatRanIsFailedRatherThanTurnedAway() {
+  void aRepeatOfARequestThatRanIsFailedNotRejected() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
     host.finish("turn", RunOutcome.SUCCEEDED);
@@ -193,7 +195,7 @@
   }
 
   @Test
-  void forgetsTheKeyOfWhatItTurnsAwayUnrun() {
+  void forgetsTheKeyOfARejectedRequest() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
@@ -203,7 +205,7 @@
   }
 
   @Test
-  void turnsGuardedWorkAwayWhenTheTableHasNoRoom() {
+  void rejectsIdempotencyKeysBeyondTheMemory() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * ENTRY, false, 5), START);
     for (int i = 0; i < 10; i++) {
       host.read(request(host, "turn" + i, COMMIT));
@@ -226,7 +228,7 @@
   }
 
   @Test
-  void repeatsACallOnlyWhereItIsProvenNotToHaveRun() {
+  void retriesACallOnlyAfterProofThatItHadNoEffect() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.atCall("turn");
@@ -240,7 +242,7 @@
   }
 
   @Test
-  void keepsCallsWithinItsPartOfTheDependency() {
+  void keepsCallsWithinItsQuotaOfTheDependency() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "one", READ), request(host, "two", READ));
     host.atCall("one");
@@ -253,7 +255,7 @@
   }
 
   @Test
-  void aDrainAnswersAllAndRunsNothingPastItsGrace() {
+  void aShutdownAnswersEverythingAndRunsNothingAfterItsGracePeriod() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ));
@@ -269,19 +271,19 @@
   }
 
   @Test
-  void aCallerThatLeftIsOwedNothing() {
+  void aCancelledRequestGetsNoAnswer() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ));
-    host.gone("held");
-    host.gone("busy1");
+    host.cancel("held");
+    host.cancel("busy1");
     assertTrue(host.did("halt busy1"));
     host.passUntil(START + 6 * SECOND);
     assertFalse(host.did("fail held") || host.did("refuse held") || host.did("fail busy1"));
   }
 
   @Test
-  void overloadTightensTheLadderAndRefusesOnRead() {
+  void overloadTightensTheLadderAndRejectsOnRead() {
     RecordingHost host = host();
     host.gauges(1.0, 7.0);
     int refusedOnRead = 0;
@@ -327,7 +329,7 @@
   }
 
   @Test
-  void whatBetterWorkLeavesNoTimeForIsRefusedOnRead() {
+  void rejectsOnReadWhatCannotMeetItsDeadlineBehindHigherPriorities() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
@@ -340,7 +342,7 @@
   }
 
   @Test
-  void aColdServerCrowdsItsCoresLess() {
+  void slowStartLowersTheConcurrency() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, true, 5), START);
     for (int i = 0; i < 12; i++) {
       host.read(request(host, "r" + i, COMMIT));
@@ -357,7 +359,7 @@
   }
 
   @Test
-  void theFreeValueFollowsTheShareRefused() {
+  void theFreeValueFollowsTheRejectedShare() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     for (int i = 0; i < 100; i++) {
@@ -372,7 +374,7 @@
    * work.
    */
   @Test
-  void whoHearsOfAnEndLateTakesThePoolsWordForWhatTheRunTook() {
+  void usesTheMeasuredDurationOfARunWhoseEndWasReportedLate() {
     for (long told : new long[] {SECOND / 10, 0}) {
       RecordingHost host = host();
       host.gauges(0.5, 1);
@@ -403,7 +405,7 @@
    * place of some in time.
    */
   @Test
-  void lateWorthIsSoughtOnlyWhileCoresIdle() {
+  void runsForLateAnswersOnlyOnIdleCores() {
     assertTrue(
         readsBehindEachOther(1).count("refuse") >= 20, "2 s of work on two cores, an aim of 1 s");
     assertEquals(0, readsBehindEachOther(0.3).count("refuse"));
@@ -428,7 +430,7 @@
   }
 
   @Test
-  void trimsIdleConnectionsWhereCallersComeTooSeldomToUseThemAgain() {
+  void closesIdleConnectionsWhereCallersReuseThemTooSeldom() {
     RecordingHost many =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 1_000), START);
     many.passUntil(START + SECOND);
@@ -440,7 +442,7 @@
   }
 
   @Test
-  void takesChancesOnIdleCoresOnly() {
+  void attemptsUnlikelyRunsOnlyOnIdleCores() {
     for (double busy : new double[] {0, 1}) {
       RecordingHost host = host();
       host.gauges(busy, 0);
@@ -467,7 +469,7 @@
    * none.
    */
   @Test
-  void afterSlowCallsThoseThatCallAreTriedAgain() {
+  void admitsCallingClassesAgainAfterSlowCalls() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0), START);
     for (int i = 0; i < 12; i++) {
       String id = "slow" + i;
@@ -508,7 +510,7 @@
   }
 
   @Test
-  void aStuckServerLetsItsCallersGoOn() {
+  void aStuckServerLetsItsCallersRetryElsewhere() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "early", SAVE, null, 100_000));
@@ -522,7 +524,7 @@
   }
 
   @Test
-  void aServerThatTurnsSlowRefusesWithinSecondsWhatItCannotServeInTime() {
+  void aSlowdownIsSeenWithinSeconds() {
     RecordingHost host = host();
     host.gauges(1, 2);
     for (int i = 0; i < 30; i++) {
@@ -564,7 +566,7 @@
    * Guards against idle cores that refuse a class for ever, as what is refused shows nothing new.
    */
   @Test
-  void idleCoresTryWhatWasSlow() {
+  void idleCoresAttemptWhatWasSlow() {
     RecordingHost host = afterASlowStretch();
     host.gauges(0.3, 0);
     host.passUntil(host.now() + SECOND / 10);
@@ -574,7 +576,7 @@
 
   /** Guards against the same on cores that other classes keep busy, quickly again. */
   @Test
-  void aClassThatIsRefusedIsJudgedByTheOthersAfterAWhile() {
+  void aRejectedClassTakesTheCostsOfOtherClassesAfterAWhile() {
     RecordingHost host = afterASlowStretch();
     String[] running = {"", ""};
     for (int i = 0; i < 50; i++) {
@@ -600,7 +602,7 @@
    * be refused.
    */
   @Test
-  void keepsRoomForBetterWorkThatIsToCome() {
+  void reservesCapacityForArrivalsOfHigherPriority() {
     for (boolean rush : new boolean[] {true, false}) {
       RecordingHost host = host();
       host.gauges(1, 2);
@@ -629,7 +631,7 @@
    * higher cost.
    */
   @Test
-  void idleCoresAskForAllAgainAtOnce() {
+  void idleCoresWantAllTrafficAgainAtOnce() {
     for (boolean idle : new boolean[] {true, false}) {
       RecordingHost host = afterASlowStretch();
       for (int i = 0; i < 20; i++) {
@@ -644,7 +646,7 @@
   }
 
   @Test
-  void aHangingDependencyIsNeverHeldForMoreThanThisServersPart() {
+  void aHangingDependencyNeverHoldsMoreThanTheQuota() {
     double share = 0.6;
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, share), START);
     long held = 0;
@@ -658,7 +660,7 @@
       if (host.count("call") > calls) {
         calls = host.count("call");
         long began = host.now();
-        host.passUntil(Math.min(host.lastTimeOut(), START + 5 * SECOND));
+        host.passUntil(Math.min(host.lastCallTimeout(), START + 5 * SECOND));
         host.callEnded(id, RunOutcome.TIMED_OUT);
         held += host.now() - began + 200_000;
       }
@@ -669,7 +671,7 @@
   }
 
   @Test
-  void aSlowDependencyGetsTheCallsWorthMostAndTheRestIsRefusedOnRead() {
+  void aSlowDependencyGetsTheCallsOfTheHighestPriority() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.25), START);
     host.read(request(host, "slow", READ));
     host.atCall("slow");
@@ -696,7 +698,7 @@
   }
 
   @Test
-  void triesThatAreRefusedDoNotUseUpATenantsShare() {
+  void rejectedRequestsDoNotUseUpATenantsQuota() {
     RecordingHost host = host();
     fillCores(host);
     for (int i = 0; i < 400; i++) {
@@ -712,7 +714,7 @@
   }
 
   @Test
-  void workThatMayWaitLongDoesNotTightenTheLadder() {
+  void longDeadlinesDoNotTightenTheLadder() {
     for (boolean patient : new boolean[] {true, false}) {
       Settings base = settings(StopMode.ABORT, 4_000, false, 5);
       List<RequestClass> kinds = new ArrayList<>(base.classes());
@@ -766,7 +768,7 @@
   }
 
   @Test
-  void runsThatReturnFromCallsNeverCrowdTheCores() {
+  void runsThatReturnFromCallsStayWithinTheConcurrency() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 200_000, false, 0.5), START);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "read" + i, READ));
@@ -794,11 +796,11 @@
   }
 
   @Test
-  void aCallWhoseCallerLeftStaysInTheDependencysHands() {
+  void aCallOfACancelledRequestStillCounts() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "left", READ));
     host.atCall("left");
-    host.gone("left");
+    host.cancel("left");
     host.finish("left", RunOutcome.STOPPED);
     host.read(request(host, "next", READ));
     host.atCall("next");
@@ -809,7 +811,7 @@
 
   /** Guards against a link that breaks being taken for the end of the call that was out on it. */
   @Test
-  void aCallThatWasCutOffStaysInTheDependencysHands() {
+  void aCallOnALostConnectionStillCounts() {
     for (RunOutcome end : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
       RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
       host.read(request(host, "one", READ));
@@ -824,7 +826,7 @@
   }
 
   @Test
-  void whatIsGivenUpIsAnsweredAtOnceNotNearItsDeadline() {
+  void anAbandonedRequestIsAnsweredAtOnce() {
     Settings base = settings(StopMode.ABORT, 20_000, false, 0.5);
     List<RequestClass> kinds =
         base.classes().stream()
@@ -857,7 +859,7 @@
   }
 
   @Test
-  void aCallIsLeftOutWhereThePoorerAnswerIsWorthMoreThanNone() {
+  void leavesACallOutWhereADegradedAnswerEarnsMore() {
     Settings base = settings(StopMode.NONE, 20_000, false, 0.5);
     List<RequestClass> kinds =
         base.classes().stream()
@@ -888,7 +890,7 @@
   }
 
   @Test
-  void inAStormOfTriesATableMayFillAgain() {
+  void keepsIdleConnectionsInARetryStorm() {
     RecordingHost host =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10_000), START);
     host.gauges(1, 8);
@@ -916,7 +918,7 @@
   }
 
   @Test
-  void aDrainAnswersWhatIsDueOnlyAfterTheKill() {
+  void aShutdownAnswersWhatIsDueAfterTheKill() {
     for (StopMode halting : StopMode.values()) {
       RecordingHost host = new RecordingHost(settings(halting, 20_000, false, 5), START);
       host.gauges(1, 3);
@@ -940,7 +942,7 @@
    * before had used up.
    */
   @Test
-  void aTenantThatTakesThePlaceOfAnotherDoesNotInheritItsDebt() {
+  void aNewTenantAtTheSameIndexDoesNotInheritADebt() {
     for (boolean same : new boolean[] {true, false}) {
       RecordingHost host = host();
       for (int i = 0; i < 400; i++) {
@@ -948,7 +950,7 @@
         host.finish("spent" + i, RunOutcome.SUCCEEDED);
       }
       Settings base = host.settings();
-      host.retune(
+      host.changeSettings(
           SettingsVariants.parts(
               base,
               base.classes(),
@@ -966,12 +968,12 @@
    * meaning.
    */
   @Test
-  void theFreeValueIsSaidAgainOnceItMeansSomethingElse() {
+  void publishesTheFreeValueAgainInANewMeaning() {
     RecordingHost host = host();
     for (FreeValue meaning :
         List.of(
             FreeValue.SHARE, FreeValue.LEVEL, FreeValue.WINDOW, FreeValue.SHARE, FreeValue.NONE)) {
-      host.retune(SettingsVariants.meaning(host.settings(), meaning));
+      host.changeSettings(SettingsVariants.meaning(host.settings(), meaning));
       int before = host.actions.size();
       host.passUntil(host.now() + SECOND / 5);
       List<String> says =
@@ -992,7 +994,7 @@
    * its place before.
    */
   @Test
-  void aClassThatTakesThePlaceOfAnotherDoesNotInheritWhatCameOfIt() {
+  void aNewClassAtTheSameIndexDoesNotInheritArrivals() {
     for (boolean same : new boolean[] {true, false}) {
       RecordingHost host = host();
       host.gauges(0.9, 2);
@@ -1008,7 +1010,7 @@
           READ,
           new RequestClass(
               same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Idempotency.SAFE, 0, true, 0));
-      host.retune(withClasses(host.settings(), kinds));
+      host.changeSettings(withClasses(host.settings(), kinds));
       host.read(request(host, "next", SAVE));
       assertEquals(
           same, host.answered("next"), "room is kept for what came of this class, and of no other");
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -22,8 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random sequences with fixed seeds; the host asserts the four rules after every batch of every
- * one.
+ * Random sequences of events with fixed seeds; the host asserts what must always hold after each.
  */
 class RandomFaultTest {
   private static final long SECOND = 1_000_000;
@@ -73,7 +72,7 @@
   }
 
   @Test
-  void noRuleBreaksUnderRandomTrouble() {
+  void guaranteesHoldUnderRandomFaults() {
     long answered = 0;
     for (StopMode halting : StopMode.values()) {
       for (int seed = 0; seed < SEQUENCES; seed++) {
@@ -85,22 +84,22 @@
 
   private static long play(Random random, StopMode halting) {
     RecordingHost host = new RecordingHost(settings(random, halting), 77 * SECOND);
-    boolean told = random.nextBoolean();
+    boolean hasCallerDeadline = random.nextBoolean();
     String[] last = new String[SUBJECTS];
     long drainAt = random.nextInt(STEPS * 2);
-    int retuneAt = random.nextInt(STEPS);
+    int settingsChangeAt = random.nextInt(STEPS);
     for (int step = 0; step < STEPS; step++) {
       host.consequences();
       host.gauges(random.nextDouble(), random.nextInt(8));
       if (step == drainAt) {
         host.drain(host.now() + 4 * SECOND);
       }
-      if (step == retuneAt) {
-        host.retune(retuned(host.settings()));
+      if (step == settingsChangeAt) {
+        host.changeSettings(changed(host.settings()));
       }
       double what = random.nextDouble();
       if (what < 0.45) {
-        host.read(request(host, random, "r" + step, told, last));
+        host.read(request(host, random, "r" + step, hasCallerDeadline, last));
       } else if (what < 0.6) {
         any(random, host.onCores())
             .ifPresent(
@@ -119,15 +118,15 @@
         };
         any(random, host.callsOut()).ifPresent(id -> host.callEnded(id, ends[random.nextInt(5)]));
       } else if (what < 0.91) {
-        any(random, host.owed()).ifPresent(host::gone);
+        any(random, host.pending()).ifPresent(host::cancel);
       }
       host.passUntil(host.now() + 5_000L * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 6)));
     }
-    for (int i = 0; i < 300 && !host.owed().isEmpty(); i++) {
+    for (int i = 0; i < 300 && !host.pending().isEmpty(); i++) {
       host.consequences();
       host.passUntil(host.now() + 20_000);
     }
-    assertTrue(host.owed().isEmpty(), "all is answered");
+    assertTrue(host.pending().isEmpty(), "all is answered");
     return host.count("refuse") + host.count("fail") + host.count("start");
   }
 
@@ -135,7 +134,7 @@
    * A class and a tenant more, one class with less time, and the class "save" gone for another at
    * its place.
    */
-  private static Settings retuned(Settings one) {
+  private static Settings changed(Settings one) {
     List<RequestClass> classes = new ArrayList<>(one.classes());
     classes.set(
         1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0));
@@ -164,7 +163,7 @@
   }
 
   private static Request request(
-      RecordingHost host, Random random, String id, boolean told, String[] last) {
+      RecordingHost host, Random random, String id, boolean hasCallerDeadline, String[] last) {
     int place = random.nextInt(host.settings().classes().size());
     int subject = random.nextInt(SUBJECTS);
     String before = null;
@@ -182,7 +181,7 @@
         5 + random.nextInt(20),
         before,
         random.nextDouble(),
-        told ? host.now() + 200_000 + random.nextInt(4_000_000) : 0,
+        hasCallerDeadline ? host.now() + 200_000 + random.nextInt(4_000_000) : 0,
         place != 0);
   }
 }
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -19,13 +19,14 @@
 import mothwing.control.StopMode;
 
 /**
- * Feeds one Brain with scripted events, records its actions and asserts the four rules on every one
- * of them: one answer by the due time, no effect twice, nothing run past a drain's grace, memory
- * and crowd within bounds.
+ * Feeds one controller with scripted events, records its actions and asserts on every one of them
+ * what must always hold: each request is answered once and before it is due, nothing takes effect
+ * twice, nothing that arrives after the grace period of a shutdown runs, and memory and concurrency
+ * stay within their bounds.
  */
 final class RecordingHost implements ControllerHost {
-  /** What the server knows of a request. */
-  private static final class Known {
+  /** The state of a request as the server sees it. */
+  private static final class RequestState {
     Request request;
     RequestClass kind;
     long arrived;
@@ -44,16 +45,16 @@
   }
 
   private Settings settings;
-  final OverloadController brain;
+  final OverloadController controller;
   final List<String> actions = new ArrayList<>();
-  private final Map<String, Known> requests = new LinkedHashMap<>();
+  private final Map<String, RequestState> requests = new LinkedHashMap<>();
   private final Map<String, Long> keys = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private long now;
-  private long noticeAt = Long.MAX_VALUE;
-  private long lastTimeOut;
+  private long drainingSince = Long.MAX_VALUE;
+  private long lastCallTimeout;
   private final long startedAt;
-  private double crowd;
+  private double averageRunning;
   private double[] gauges;
 
   RecordingHost(Settings settings, long start) {
@@ -61,8 +62,8 @@
     gauges = new double[settings.machine().gaugeNames().size()];
     now = start;
     startedAt = start;
-    brain = new OverloadController(settings, this);
-    brain.serverStarted(now);
+    controller = new OverloadController(settings, this);
+    controller.serverStarted(now);
     settle();
   }
 
@@ -87,7 +88,7 @@
       List<Long> due = timers.stream().filter(timer -> timer <= now).toList();
       timers.removeAll(due);
       for (int i = 0; i < due.size(); i++) {
-        brain.timerFired(now, "sample", GaugeSample.of(gauges));
+        controller.timerFired(now, "sample", GaugeSample.of(gauges));
       }
       settle();
       if (now >= end) {
@@ -102,9 +103,9 @@
   }
 
   private void step(long next) {
-    long running = requests.values().stream().filter(one -> one.onCore).count();
+    long running = requests.values().stream().filter(request -> request.onCore).count();
     double weight = 1 - Math.exp(-(double) (next - now) / settings.rules().concurrencyWindow());
-    crowd += (running - crowd) * weight;
+    averageRunning += (running - averageRunning) * weight;
     now = next;
     double cold = settings.rules().coldSpeedRatio();
     double speed =
@@ -113,45 +114,45 @@
             : 1;
     double bound =
         (1 + (settings.rules().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
-    assertTrue(crowd <= bound, "crowd " + crowd + " over " + bound);
+    assertTrue(averageRunning <= bound, "running " + averageRunning + " over " + bound);
   }
 
   /** Reads requests in one batch. */
   void read(Request... batch) {
     for (Request request : batch) {
-      Known known = new Known();
-      known.request = request;
-      known.kind = settings.classes().get(request.classIndex());
-      known.arrived = now - request.queueingDelay();
+      RequestState state = new RequestState();
+      state.request = request;
+      state.kind = settings.classes().get(request.classIndex());
+      state.arrived = now - request.queueingDelay();
       long due =
           request.callerDeadline() > 0
               ? request.callerDeadline()
-              : known.arrived + known.kind.deadline();
-      known.due = Math.max(now, due);
-      requests.put(request.id(), known);
+              : state.arrived + state.kind.deadline();
+      state.due = Math.max(now, due);
+      requests.put(request.id(), state);
     }
     for (Request request : batch) {
-      brain.requestRead(now, request);
+      controller.requestRead(now, request);
     }
     settle();
   }
 
   void atCall(String id) {
-    known(id).onCore = false;
-    known(id).atCall = true;
-    known(id).lastCall = null;
-    brain.callAwaited(now, id);
+    state(id).onCore = false;
+    state(id).atCall = true;
+    state(id).lastCall = null;
+    controller.callAwaited(now, id);
     settle();
   }
 
   void callEnded(String id, RunOutcome outcome) {
-    known(id).lastCall = outcome;
-    known(id).calling = false;
+    state(id).lastCall = outcome;
+    state(id).calling = false;
     if (outcome == RunOutcome.SUCCEEDED) {
-      known(id).onCore = true;
-      known(id).atCall = false;
+      state(id).onCore = true;
+      state(id).atCall = false;
     }
-    brain.callEnded(now, id, outcome, 1);
+    controller.callEnded(now, id, outcome, 1);
     settle();
   }
 
@@ -159,29 +160,29 @@
     finish(id, outcome, 0);
   }
 
-  void finish(String id, RunOutcome outcome, long took) {
-    Known known = known(id);
-    known.onCore = false;
-    known.atCall = false;
-    known.calling = false;
-    known.replaying = false;
-    known.over = true;
-    known.answered |= outcome == RunOutcome.SUCCEEDED || outcome == RunOutcome.FAILED;
-    brain.runEnded(now, id, outcome, took);
+  void finish(String id, RunOutcome outcome, long durationMicros) {
+    RequestState state = state(id);
+    state.onCore = false;
+    state.atCall = false;
+    state.calling = false;
+    state.replaying = false;
+    state.over = true;
+    state.answered |= outcome == RunOutcome.SUCCEEDED || outcome == RunOutcome.FAILED;
+    controller.runEnded(now, id, outcome, durationMicros);
     settle();
   }
 
-  void gone(String id) {
-    known(id).answered = true;
-    known(id).over = !known(id).onCore && !known(id).atCall;
-    known(id).replaying = false;
-    brain.requestCancelled(now, id);
+  void cancel(String id) {
+    state(id).answered = true;
+    state(id).over = !state(id).onCore && !state(id).atCall;
+    state(id).replaying = false;
+    controller.requestCancelled(now, id);
     settle();
   }
 
-  void retune(Settings now) {
-    settings = now;
-    brain.settingsChanged(this.now, now);
+  void changeSettings(Settings changed) {
+    settings = changed;
+    controller.settingsChanged(now, changed);
     settle();
   }
 
@@ -190,88 +191,89 @@
   }
 
   void drain(long stopAt) {
-    noticeAt = now;
-    for (Known known : requests.values()) {
-      known.due = Math.min(known.due, stopAt);
+    drainingSince = now;
+    for (RequestState state : requests.values()) {
+      state.due = Math.min(state.due, stopAt);
     }
-    brain.shutdownRequested(now, stopAt);
+    controller.shutdownRequested(now, stopAt);
     settle();
   }
 
   private void settle() {
-    brain.batchEnded(now);
+    controller.batchEnded(now);
     double memory = 0;
-    for (Known known : requests.values()) {
-      boolean holds = !known.over;
-      double factor = known.ran ? settings.machine().runMemoryFactor() : 1;
-      memory += holds ? known.request.memoryKb() * factor : 0;
+    for (RequestState state : requests.values()) {
+      boolean holds = !state.over;
+      double factor = state.ran ? settings.machine().runMemoryFactor() : 1;
+      memory += holds ? state.request.memoryKb() * factor : 0;
       assertTrue(
-          known.answered || now <= known.due + settings.rules().answerSlack(),
-          known.request.id() + " is overdue");
+          state.answered || now <= state.due + settings.rules().answerSlack(),
+          state.request.id() + " is overdue");
     }
     keys.values().removeIf(until -> until <= now);
     memory += keys.size() * settings.machine().keyMemoryKb();
     assertTrue(memory <= settings.machine().memoryKb(), "memory " + memory);
   }
 
-  // ---- what tests ask
+  // ---- queries of the tests
 
   boolean did(String action) {
-    return actions.stream().anyMatch(one -> one.equals(action) || one.startsWith(action + " "));
+    return actions.stream()
+        .anyMatch(entry -> entry.equals(action) || entry.startsWith(action + " "));
   }
 
   long count(String verb) {
-    return actions.stream().filter(one -> one.startsWith(verb + " ")).count();
+    return actions.stream().filter(entry -> entry.startsWith(verb + " ")).count();
   }
 
   boolean answered(String id) {
-    return known(id).answered;
+    return state(id).answered;
   }
 
-  /** The time-out of the last call that was made. */
-  long lastTimeOut() {
-    return lastTimeOut;
+  /** When the last call is abandoned. */
+  long lastCallTimeout() {
+    return lastCallTimeout;
   }
 
   /**
-   * Plays what follows of itself: stops that take effect, calls given up, repeats whose forerunner
-   * is over.
+   * Plays what follows without a new event: runs that stop, calls abandoned at their timeout, and
+   * repeats whose original has ended.
    */
   void consequences() {
-    for (Map.Entry<String, Known> one : new ArrayList<>(requests.entrySet())) {
-      Known known = one.getValue();
-      if (known.over) {
+    for (Map.Entry<String, RequestState> entry : new ArrayList<>(requests.entrySet())) {
+      RequestState state = entry.getValue();
+      if (state.over) {
         continue;
       }
-      if (known.halted && known.onCore || known.atCall && known.answered) {
-        finish(one.getKey(), RunOutcome.STOPPED);
-      } else if (known.calling && known.callUntil <= now) {
-        callEnded(one.getKey(), RunOutcome.TIMED_OUT);
-      } else if (known.replaying && known(known.request.originalId()).over) {
-        boolean ran = known(known.request.originalId()).ran;
-        finish(one.getKey(), ran ? RunOutcome.SUCCEEDED : RunOutcome.FAILED);
+      if (state.halted && state.onCore || state.atCall && state.answered) {
+        finish(entry.getKey(), RunOutcome.STOPPED);
+      } else if (state.calling && state.callUntil <= now) {
+        callEnded(entry.getKey(), RunOutcome.TIMED_OUT);
+      } else if (state.replaying && state(state.request.originalId()).over) {
+        boolean ran = state(state.request.originalId()).ran;
+        finish(entry.getKey(), ran ? RunOutcome.SUCCEEDED : RunOutcome.FAILED);
       }
     }
   }
 
   /** Names of open requests on a core. */
   List<String> onCores() {
-    return requests.keySet().stream().filter(id -> !known(id).over && known(id).onCore).toList();
+    return requests.keySet().stream().filter(id -> !state(id).over && state(id).onCore).toList();
   }
 
   /** Whether the class of a request may call. */
   boolean calls(String id) {
-    return known(id).kind.callsDependency();
+    return state(id).kind.callsDependency();
   }
 
   /** Names of open requests whose call is out. */
   List<String> callsOut() {
-    return requests.keySet().stream().filter(id -> !known(id).over && known(id).calling).toList();
+    return requests.keySet().stream().filter(id -> !state(id).over && state(id).calling).toList();
   }
 
-  /** Names of open requests that are owed an answer. */
-  List<String> owed() {
-    return requests.keySet().stream().filter(id -> !known(id).over && !known(id).answered).toList();
+  /** Names of open requests whose answer is pending. */
+  List<String> pending() {
+    return requests.keySet().stream().filter(id -> !state(id).over && !state(id).answered).toList();
   }
 
   /** Whether a key is still remembered. */
@@ -279,107 +281,107 @@
     return keys.getOrDefault(id, 0L) > now;
   }
 
-  private Known known(String id) {
-    Known known = requests.get(id);
-    assertNotNull(known, id + " was never given");
-    return known;
+  private RequestState state(String id) {
+    RequestState state = requests.get(id);
+    assertNotNull(state, id + " was never given");
+    return state;
   }
 
-  private Known owed(String id) {
-    Known known = known(id);
-    assertFalse(known.answered, id + " is answered twice");
-    known.answered = true;
-    return known;
+  private RequestState takeAnswer(String id) {
+    RequestState state = state(id);
+    assertFalse(state.answered, id + " is answered twice");
+    state.answered = true;
+    return state;
   }
 
   // ---- actions
 
   @Override
   public void startRun(String id) {
-    Known known = known(id);
-    assertFalse(known.over, id + " is over");
+    RequestState state = state(id);
+    assertFalse(state.over, id + " is over");
     assertTrue(
-        known.arrived - settings.rules().drainGracePeriod() <= noticeAt,
+        state.arrived - settings.rules().drainGracePeriod() <= drainingSince,
         id + " came after the grace");
-    assertRepeatsNothingThatRan(known);
-    if (known.kind.idempotency() == Idempotency.GUARDED && !known.ran) {
+    assertRepeatsNothingThatRan(state);
+    if (state.kind.idempotency() == Idempotency.GUARDED && !state.ran) {
       assertTrue(keys.containsKey(id), id + " runs without its key");
     }
-    assertFalse(known.aborted && known.kind.idempotency() != Idempotency.SAFE, id + " runs again");
-    known.ran = true;
-    known.onCore = true;
+    assertFalse(state.aborted && state.kind.idempotency() != Idempotency.SAFE, id + " runs again");
+    state.ran = true;
+    state.onCore = true;
     actions.add("start " + id);
   }
 
   /** A repeat of guarded work that ran must not run. */
-  private void assertRepeatsNothingThatRan(Known known) {
-    String forerunner = known.request.originalId();
-    if (forerunner != null && known.kind.idempotency() == Idempotency.GUARDED) {
-      Known before = requests.get(forerunner);
+  private void assertRepeatsNothingThatRan(RequestState state) {
+    String originalId = state.request.originalId();
+    if (originalId != null && state.kind.idempotency() == Idempotency.GUARDED) {
+      RequestState before = requests.get(originalId);
       boolean refused = before != null && before.answered && !before.ran;
-      assertTrue(refused, known.request.id() + " repeats what ran or is held");
+      assertTrue(refused, state.request.id() + " repeats what ran or is held");
     }
   }
 
   @Override
   public void startCall(String id, long until) {
-    Known known = known(id);
-    assertTrue(known.atCall, id + " is at no call");
-    boolean proven = known.lastCall == null || known.lastCall.provesNoEffect();
-    assertTrue(proven || known.kind.idempotency() == Idempotency.SAFE, id + " calls again");
+    RequestState state = state(id);
+    assertTrue(state.atCall, id + " is at no call");
+    boolean proven = state.lastCall == null || state.lastCall.provesNoEffect();
+    assertTrue(proven || state.kind.idempotency() == Idempotency.SAFE, id + " calls again");
     assertTrue(until > now, "a time-out in the past");
-    known.calling = true;
-    known.callUntil = until;
-    lastTimeOut = until;
+    state.calling = true;
+    state.callUntil = until;
+    lastCallTimeout = until;
     actions.add("call " + id);
   }
 
   @Override
   public void skipCall(String id) {
-    Known known = known(id);
-    assertTrue(known.atCall && !known.calling, id + " is at no call");
-    assertTrue(known.kind.degradedWeightRatio() > 0, id + " is worth nothing without its call");
-    known.atCall = false;
-    known.onCore = true;
+    RequestState state = state(id);
+    assertTrue(state.atCall && !state.calling, id + " is at no call");
+    assertTrue(state.kind.degradedWeightRatio() > 0, id + " earns nothing without its call");
+    state.atCall = false;
+    state.onCore = true;
     actions.add("skip " + id);
   }
 
   @Override
   public void stopRun(String id) {
     assertTrue(settings.machine().stopMode() != StopMode.NONE, "halting is not allowed");
-    Known known = known(id);
-    known.halted = true;
-    known.aborted |= settings.machine().stopMode() == StopMode.ABORT;
+    RequestState state = state(id);
+    state.halted = true;
+    state.aborted |= settings.machine().stopMode() == StopMode.ABORT;
     actions.add("halt " + id);
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
-    Known known = owed(id);
+  public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
+    RequestState state = takeAnswer(id);
     assertFalse(
-        known.ran && known.kind.idempotency() != Idempotency.SAFE, id + " ran and is turned away");
-    if (known.request.originalId() != null && known.kind.idempotency() == Idempotency.GUARDED) {
-      Known before = requests.get(known.request.originalId());
-      assertTrue(before != null && !before.ran, id + " repeats what ran and is turned away");
+        state.ran && state.kind.idempotency() != Idempotency.SAFE, id + " ran and is rejected");
+    if (state.request.originalId() != null && state.kind.idempotency() == Idempotency.GUARDED) {
+      RequestState before = requests.get(state.request.originalId());
+      assertTrue(before != null && !before.ran, id + " repeats what ran and is rejected");
     }
-    known.over = true;
-    actions.add("refuse " + id + (dontRetry ? " last" : "") + (stayAway > 0 ? " away" : ""));
+    state.over = true;
+    actions.add("refuse " + id + (finalAnswer ? " last" : "") + (retryAfter > 0 ? " away" : ""));
   }
 
   @Override
   public void failRequest(String id) {
     // What was answered while it ran and reaches a call is ended there; that is no second answer.
-    Known known = known(id).answered && known(id).atCall ? known(id) : owed(id);
-    known.over = !known.onCore && !known.atCall;
-    known.replaying = false;
+    RequestState state = state(id).answered && state(id).atCall ? state(id) : takeAnswer(id);
+    state.over = !state.onCore && !state.atCall;
+    state.replaying = false;
     actions.add("fail " + id);
   }
 
   @Override
   public void rememberKey(String id, long span) {
-    Known known = known(id);
+    RequestState state = state(id);
     assertTrue(
-        now + span >= known.arrived + known.kind.idempotencyWindow(),
+        now + span >= state.arrived + state.kind.idempotencyWindow(),
         id + " is forgotten within its window");
     keys.put(id, now + span);
     actions.add("remember " + id);
@@ -387,15 +389,15 @@
 
   @Override
   public void forgetKey(String id) {
-    assertFalse(known(id).ran, id + " ran and is forgotten");
+    assertFalse(state(id).ran, id + " ran and is forgotten");
     keys.remove(id);
     actions.add("forget " + id);
   }
 
   @Override
   public void replayResult(String id) {
-    assertNotNull(known(id).request.originalId());
-    known(id).replaying = true;
+    assertNotNull(state(id).request.originalId());
+    state(id).replaying = true;
     actions.add("replay " + id);
   }
 
@@ -411,8 +413,8 @@
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean good) {
-    actions.add("health " + good);
+  public void setHealth(boolean cheap, boolean healthy) {
+    actions.add("health " + healthy);
   }
 
   @Override
