--- a/src/main/java/mothwing/pool/WorkerPoolClient.java
+++ b/src/main/java/mothwing/pool/WorkerPoolClient.java
@@ -1,6 +1,5 @@
 package mothwing.pool;
 
-import java.util.Set;
 import java.util.function.Supplier;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
@@ -13,303 +12,261 @@
 import mothwing.net.Connector;
 
 /**
- * The worker pool over its links: a link that breaks is opened again and goes on after the last
- * notice read, and so does the link to a new address. The old link is heard until the pool has
- * taken the new one, so that what was sent on it last is read.
+ * The worker pool over one connection at a time. A connection that breaks is replaced by another,
+ * on which the pool replays the notices after the last one read; so is the connection to a former
+ * address. The former connection is read until the pool has accepted its replacement, so that its
+ * last notices are not lost.
  */
 public final class WorkerPoolClient implements WorkerPool {
-  static final Set<String> NOTICES =
-      Set.of("bound", "finished", "blocked", "polled", "verified", "unknown", "chatter");
-
-  private static final long MILLI = 1000;
-  private static final long LONGEST_WAIT = 500 * MILLI;
-  private static final long LEAST_WAIT = 5 * MILLI;
-
-  /** A link that lived for so long broke by itself; one that lived for less is one of a row. */
-  private static final long STEADY = 2000 * MILLI;
-
-  private static final int LIFE_TO_WAIT =
-      8; // a row of short links costs a ninth of the time at most
-  private static final long LOOK =
-      250 * MILLI; // between looks at a silent link; a look later by as much stood still
-
   /**
-   * For so long a link may be silent behind a question, or unbound once the pool was up, before
-   * another is opened beside it.
+   * Interval of the checks for a silent connection; a check that is late by as much was stalled.
    */
-  static final long SILENT = 2000 * MILLI;
+  private static final long SILENCE_CHECK_MICROS = 250_000;
 
-  /**
-   * For so long a first link may be unbound at first: the pool may come up long after this process,
-   * or the link may lead nowhere.
-   */
-  static final long UNBOUND = 4000 * MILLI;
+  /** Silence of an accepted pool, with an answer pending, after which another connection opens. */
+  static final long MAX_SILENCE_MICROS = 2_000_000;
+
+  /** The same before the pool has accepted any connection, as it may start after this process. */
+  static final long MAX_INITIAL_SILENCE_MICROS = 4_000_000;
 
-  private static final long MOST_GAP =
-      1 << 20; // numbers that a notice may be ahead: the pool keeps 4,000
+  private static final long MAX_SILENCE_BACKOFF_MICROS = 8 * MAX_SILENCE_MICROS;
 
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final Counters counters;
   private final EventLog log;
-  private Connector dialer;
+  private final PoolEvents events;
+  private final NoticeSequence sequence;
+  private final ReconnectBackoff backoff = new ReconnectBackoff();
+  private Connector connector;
   private Broker broker;
-  private WorkerPoolConnection attach;
+  private WorkerPoolConnection connection;
   private WorkerPoolConnection former;
-  private long last;
-  private long wait;
-  private int dials;
-  private boolean dialing;
+  private int attempt; // numbers the attempts to connect; all but the latest are obsolete
+  private boolean connecting;
   private boolean stopped;
-  private long patience = UNBOUND;
-  private long lookedAt;
-  private long gapAfter = -1;
+  private long maxSilenceMicros = MAX_INITIAL_SILENCE_MICROS;
+  private long silenceCheckedAt;
 
   /**
-   * Makes a pool that is not linked yet.
+   * Makes a client that is not connected yet.
    *
-   * @param dialer opens links to the pool's address
-   * @param timers the clocks
-   * @param counters counts what happens
+   * @param connector opens connections to the pool's address
+   * @param scheduler the clock and its timers
+   * @param counters counts events
    * @param log takes lines of the log
    */
-  public WorkerPoolClient(Connector dialer, Scheduler timers, Counters counters, EventLog log) {
-    this.dialer = dialer;
-    this.timers = timers;
+  public WorkerPoolClient(
+      Connector connector, Scheduler scheduler, Counters counters, EventLog log) {
+    this.connector = connector;
+    this.scheduler = scheduler;
     this.counters = counters;
     this.log = log;
+    events = new PoolEvents(counters, log);
+    sequence = new NoticeSequence(events);
   }
 
   /**
-   * Opens the first link.
+   * Opens the first connection.
    *
-   * @param to takes what the pool says
+   * @param notified takes the pool's notices
    */
-  public void attach(Broker to) {
-    broker = to;
-    dial();
-    look();
+  public void attach(Broker notified) {
+    broker = notified;
+    connect();
+    checkSilence();
   }
 
   /**
-   * A link that is open and silent may be half dead. Another is opened beside it, and it is left
-   * only once the pool has taken that: a pool that is merely slow loses nothing. A pool that has
-   * not come up yet is asked ever more seldom.
+   * Opens another connection beside one that is silent, as it may be half open. The silent one is
+   * closed only once the pool has accepted the other: a slow pool loses nothing. The permitted
+   * silence doubles each time, so that a pool that has not started yet is tried ever more seldom.
    */
-  private void look() {
+  private void checkSilence() {
     if (stopped) {
       return;
     }
-    long now = timers.now();
-    boolean stoodStill = now - lookedAt > 2 * LOOK;
-    lookedAt = now;
-    timers.schedule(now + LOOK, this::look);
-    if (attach != null) {
-      attach.askAgain();
+    long now = scheduler.now();
+    boolean stalled = now - silenceCheckedAt > 2 * SILENCE_CHECK_MICROS;
+    silenceCheckedAt = now;
+    scheduler.schedule(now + SILENCE_CHECK_MICROS, this::checkSilence);
+    if (connection == null) {
+      return;
     }
-    if (!stoodStill && !dialing && attach != null && attach.silentFor(now) > patience) {
-      counters.add("pool-silent-link");
-      log.write("pool-silent ms=" + attach.silentFor(now) / MILLI);
-      patience =
-          Math.min(
-              8 * SILENT,
-              2 * patience); // before the pool first came up, too: it may be long in coming
-      dial();
+    connection.retryResynchronization();
+    long silentMicros = connection.silentMicros(now);
+    if (!stalled && !connecting && silentMicros > maxSilenceMicros) {
+      events.connectionSilent(silentMicros);
+      maxSilenceMicros = Math.min(MAX_SILENCE_BACKOFF_MICROS, 2 * maxSilenceMicros);
+      connect();
     }
   }
 
   /**
-   * The pool is to be reached elsewhere from now on: any attempt at the old address is given up.
+   * Moves to another address of the pool; attempts at the former address are obsolete.
    *
-   * @param elsewhere opens links to the new address
+   * @param replacement opens connections to the new address
    */
-  public void changeAddress(Connector elsewhere) {
-    dialer = elsewhere;
-    wait = 0;
+  public void changeAddress(Connector replacement) {
+    connector = replacement;
+    backoff.reset();
     if (broker != null) {
-      dial();
+      connect();
     }
   }
 
-  private void dial() {
+  private void connect() {
     if (stopped) {
       return;
     }
-    dialing = true;
-    int mine = ++dials;
-    Supplier<Connection> maker = () -> new WorkerPoolConnection(this, mine, broker, log, counters);
-    dialer.connect(maker, () -> again(mine));
+    connecting = true;
+    int current = ++attempt;
+    Supplier<Connection> maker =
+        () -> new WorkerPoolConnection(this, current, broker, log, counters);
+    connector.connect(maker, () -> retry(current));
   }
 
-  /**
-   * Dials again after a while, unless another dial, of a new address, has taken the place of this
-   * one.
-   */
-  private void again(int mine) {
-    if (mine != dials) {
+  /** Connects again after the backoff, unless a later attempt has been made by then. */
+  private void retry(int failedAttempt) {
+    if (failedAttempt != attempt) {
       return;
     }
-    dialing = true;
-    counters.add("pool-relinks");
-    timers.schedule(
-        timers.now() + wait,
+    connecting = true;
+    events.reconnecting();
+    scheduler.schedule(
+        scheduler.now() + backoff.delayMicros(),
         () -> {
-          if (mine == dials) {
-            dial();
+          if (failedAttempt == attempt) {
+            connect();
           }
         });
-    wait = Math.min(LONGEST_WAIT, Math.max(LEAST_WAIT, 2 * wait));
+    backoff.increase();
   }
 
   /**
-   * A link is open: it takes the place of the one before it, unless a later dial has overtaken it.
+   * A connection is open and replaces the one before it.
+   *
+   * @return false if a later attempt has been made, and the connection is to be closed
    */
-  boolean opened(WorkerPoolConnection opened, int dial) {
-    if (dial != dials) {
+  boolean opened(WorkerPoolConnection opened, int openedAttempt) {
+    if (openedAttempt != attempt) {
       return false;
     }
-    dialing = false;
-    leaveFormer();
-    former = attach;
-    attach = opened;
+    connecting = false;
+    closeFormer();
+    former = connection;
+    connection = opened;
     if (former != null) {
       broker.poolDisconnected();
     }
     return true;
   }
 
-  private void leaveFormer() {
+  private void closeFormer() {
     if (former != null) {
       former.close(CloseReason.MOVED, "");
       former = null;
     }
   }
 
-  /** Opens no link any more. */
+  /** Opens no further connection. */
   public void stop() {
     stopped = true;
   }
 
+  /** The sequence number of the last notice that was processed. */
   long lastNotice() {
-    return last;
+    return sequence.lastRead();
   }
 
-  /**
-   * Whether a numbered notice is the next one: one that was read before is passed over, and so is a
-   * number that no pool reaches. Behind a gap the link is opened again, once, for what is missing;
-   * the pool gives all notices after the last.
-   */
-  boolean isNext(WorkerPoolConnection on, long place) {
-    if (place <= last) {
-      counters.add("pool-notices-repeated");
-      return false;
-    }
-    if (place - last > MOST_GAP) {
-      counters.add("pool-notices-misnumbered");
-      return false;
-    }
-    if (place > last + 1) {
-      log.write("pool-gap after=" + last + " next=" + place);
-      if (gapAfter != last) {
-        gapAfter = last;
-        on.close(CloseReason.MISSED, "");
-        return false;
-      }
-      counters.add("pool-notices-missed", place - last - 1);
+  /** Whether the notice of this number is to be processed; a gap closes its connection. */
+  boolean accept(WorkerPoolConnection source, long number) {
+    NoticeSequence.Decision decision = sequence.accept(number);
+    if (decision == NoticeSequence.Decision.RECONNECT) {
+      source.close(CloseReason.MISSED, "");
     }
-    last = place;
-    return true;
+    return decision == NoticeSequence.Decision.PROCESS;
   }
 
-  void bound() {
-    leaveFormer();
+  /** The pool has accepted a connection. */
+  void connectionAccepted() {
+    closeFormer();
   }
 
-  /** All that the pool had to say on a new link has been read. */
-  void caughtUp() {
-    patience = SILENT;
+  /** All missed notices have been read on a new connection. */
+  void resynchronized() {
+    maxSilenceMicros = MAX_SILENCE_MICROS;
   }
 
   long now() {
-    return timers.now();
+    return scheduler.now();
   }
 
-  void ended(WorkerPoolConnection which) {
-    if (attach == which) {
-      attach = null;
-      if (which.caughtUp()) {
-        wait = waitAfter(timers.now() - which.openedAt());
-      }
-      log.write(
-          "pool-link-lost lived_ms="
-              + (timers.now() - which.openedAt()) / MILLI
-              + " caught_up="
-              + which.caughtUp()
-              + " next_ms="
-              + wait / MILLI);
-      broker.poolDisconnected();
-      if (!dialing) {
-        again(dials);
-      }
+  /** A connection has ended; if it was the one in use, another is opened after the backoff. */
+  void ended(WorkerPoolConnection ended) {
+    if (connection != ended) {
+      return;
+    }
+    connection = null;
+    long openMicros = scheduler.now() - ended.openedAt();
+    if (ended.isResynchronized()) {
+      backoff.connectionEnded(openMicros);
+    }
+    events.connectionLost(openMicros, ended.isResynchronized(), backoff.delayMicros());
+    broker.poolDisconnected();
+    if (!connecting) {
+      retry(attempt);
     }
-  }
-
-  /**
-   * How long to wait behind a good link of so long a life: none at first, ever longer in a row of
-   * short ones.
-   */
-  private long waitAfter(long lived) {
-    return lived >= STEADY ? 0 : Math.max(LEAST_WAIT, Math.min(wait, lived / LIFE_TO_WAIT));
   }
 
   @Override
   public boolean isReady() {
-    return attach != null && attach.isReady();
+    return connection != null && connection.isReady();
   }
 
   @Override
   public boolean startRun(Exchange exchange) {
-    return isReady() && attach.startRun(exchange);
+    return isReady() && connection.startRun(exchange);
   }
 
   @Override
   public void stopRun(String id) {
     if (isReady()) {
-      attach.stopRun(id);
+      connection.stopRun(id);
     }
   }
 
   @Override
   public void resumeRun(String id) {
     if (isReady()) {
-      attach.resumeRun(id);
+      connection.resumeRun(id);
     }
   }
 
   @Override
   public void resumeWithResult(String id, byte[] result) {
     if (isReady()) {
-      attach.resumeWithResult(id, result);
+      connection.resumeWithResult(id, result);
     }
   }
 
   @Override
   public void resumeWithoutResult(String id) {
     if (isReady()) {
-      attach.resumeWithoutResult(id);
+      connection.resumeWithoutResult(id);
     }
   }
 
   @Override
   public void requestGauges(String echo) {
     if (isReady()) {
-      attach.requestGauges(echo);
+      connection.requestGauges(echo);
     }
   }
 
   @Override
   public void startHealthCheck(String echo) {
     if (isReady()) {
-      attach.startHealthCheck(echo);
+      connection.startHealthCheck(echo);
     }
   }
 }
--- a/src/main/java/mothwing/pool/WorkerPoolConnection.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -1,13 +1,9 @@
 package mothwing.pool;
 
-import com.google.gson.Gson;
 import com.google.gson.JsonParseException;
-import com.google.gson.stream.JsonReader;
 import io.netty.buffer.ByteBuf;
 import java.io.IOException;
-import java.io.StringReader;
 import java.nio.charset.StandardCharsets;
-import java.util.Base64;
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
 import mothwing.broker.EventLog;
@@ -19,59 +15,60 @@
 import mothwing.net.ProtocolException;
 import mothwing.settings.JsonFields;
 
-/** One link to the worker pool: commands and notices as JSON objects, one a line. */
+/** One connection to the worker pool: sends commands and passes notices on to the broker. */
 final class WorkerPoolConnection extends Connection implements WorkerPool {
-  /** Most bytes of one line: a result of 4 KiB in base64, with much to spare. */
-  static final int MOST_LINE = 64 << 10;
+  /** Bounds one line; a result of 4 KiB in base64 takes far less. */
+  static final int MAX_LINE_BYTES = 64 << 10;
 
-  /** Most bytes of a line without an end that are passed over; after that the link is given up. */
-  static final int MOST_PASSED_OVER = 1 << 20;
+  /** Bounds the bytes of an unterminated line that are skipped before the connection is closed. */
+  static final int MAX_SKIPPED_BYTES = 1 << 20;
 
-  private static final long MILLI = 1000;
-  private static final String CAUGHT_UP = "bind";
-  private static final Gson GSON = new Gson();
-
-  private final WorkerPoolClient pool;
-  private final int dial;
+  private final WorkerPoolClient client;
+  private final int attempt;
   private final Broker broker;
-  private final EventLog log;
+  private final PoolEvents events;
   private final long openedAt;
-  private boolean bound;
-  private boolean caughtUp;
-  private int passedOver;
-  private long waitsSince = NEVER;
+  private boolean accepted;
+  private boolean resynchronized;
+  private int skippedBytes;
+  private long awaitsAnswerSince = NEVER;
 
   WorkerPoolConnection(
-      WorkerPoolClient pool, int dial, Broker broker, EventLog log, Counters counters) {
-    super("pool", MOST_LINE, log, counters);
-    this.pool = pool;
-    this.dial = dial;
+      WorkerPoolClient client, int attempt, Broker broker, EventLog log, Counters counters) {
+    super("pool", MAX_LINE_BYTES, log, counters);
+    this.client = client;
+    this.attempt = attempt;
     this.broker = broker;
-    this.log = log;
-    openedAt = pool.now();
+    this.events = new PoolEvents(counters, log);
+    openedAt = client.now();
   }
 
-  /** When it was opened. */
+  /** When it was opened, in microseconds of the broker's clock. */
   long openedAt() {
     return openedAt;
   }
 
-  /** Whether all that was missed before it has been read. */
-  boolean caughtUp() {
-    return caughtUp;
+  /** Whether all notices that were missed before it was opened have been read. */
+  boolean isResynchronized() {
+    return resynchronized;
   }
 
-  /** Asks again whether all that was missed has been read, where the pool has not answered yet. */
-  void askAgain() {
-    if (isReady() && !caughtUp) {
-      requestGauges(CAUGHT_UP);
+  /** Queries once more whether all missed notices have been read, unless that is known. */
+  void retryResynchronization() {
+    if (isReady() && !resynchronized) {
+      requestGauges(PoolProtocol.RESYNC_ECHO);
     }
   }
 
+  /** Microseconds for which nothing has arrived though an answer is pending, 0 if none is. */
+  long silentMicros(long now) {
+    return awaitsAnswerSince == NEVER ? 0 : now - awaitsAnswerSince;
+  }
+
   @Override
   protected void onOpened() {
-    if (pool.opened(this, dial)) {
-      ask("{\"action\":\"bind\",\"pos\":" + pool.lastNotice() + "}");
+    if (client.opened(this, attempt)) {
+      query(PoolProtocol.connect(client.lastNotice()));
     } else {
       close(CloseReason.MOVED, "");
     }
@@ -79,191 +76,142 @@
 
   @Override
   protected void onClosed() {
-    bound = false;
-    pool.ended(this);
+    accepted = false;
+    client.ended(this);
   }
 
   /**
-   * A line that cannot be understood costs itself alone: the same would be said again on a new
-   * link, for ever.
+   * A malformed line is skipped and the connection stays open: after a reconnect the pool would
+   * replay the same line, without end.
    */
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
-    waitsSince = NEVER;
+    awaitsAnswerSince = NEVER;
     int length = in.bytesBefore((byte) '\n');
-    if (length < 0 && in.readableBytes() <= MOST_LINE && passedOver == 0) {
+    if (length < 0 && in.readableBytes() <= MAX_LINE_BYTES && skippedBytes == 0) {
       return false;
-    } else if (length < 0 || length > MOST_LINE || passedOver > 0) {
-      passOver(in, length);
+    } else if (length < 0 || length > MAX_LINE_BYTES || skippedBytes > 0) {
+      skip(in, length);
       return true;
     }
     String line = in.toString(in.readerIndex(), length, StandardCharsets.UTF_8);
     in.skipBytes(length + 1);
-    try (JsonReader reader = new JsonReader(new StringReader(line))) {
-      notice(JsonFields.read(reader));
+    try {
+      receive(PoolProtocol.parse(line));
     } catch (IOException | IllegalStateException | JsonParseException | ProtocolException bad) {
-      bad(bad.getMessage());
+      events.noticeMalformed(bad.getMessage());
     }
     return true;
   }
 
-  private void passOver(ByteBuf in, int length) throws ProtocolException {
+  private void skip(ByteBuf in, int length) throws ProtocolException {
     int part = length < 0 ? in.readableBytes() : length + 1;
     in.skipBytes(part);
-    passedOver += part;
-    if (passedOver > MOST_PASSED_OVER) {
+    skippedBytes += part;
+    if (skippedBytes > MAX_SKIPPED_BYTES) {
       throw new ProtocolException(
-          CloseReason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes without an end");
+          CloseReason.OVERSIZED, "over " + MAX_SKIPPED_BYTES + " bytes without an end");
     } else if (length >= 0) {
-      bad("a line of " + passedOver + " bytes");
-      passedOver = 0;
+      events.noticeMalformed("a line of " + skippedBytes + " bytes");
+      skippedBytes = 0;
     }
   }
 
-  private void bad(String why) {
-    count("bad-notices");
-    log.write("pool-bad-notice what=\"" + why + "\"");
-  }
-
-  /** For how long nothing has come though something was asked. */
-  long silentFor(long now) {
-    return waitsSince == NEVER ? 0 : now - waitsSince;
-  }
-
-  private void notice(JsonFields notice) throws IOException, ProtocolException {
-    String action = notice.text("action");
-    count("notice-" + (WorkerPoolClient.NOTICES.contains(action) ? action : "other"));
-    long place = notice.whole("pos", 0);
-    if (place > 0 && !pool.isNext(this, place)) {
+  private void receive(JsonFields fields) throws IOException, ProtocolException {
+    PoolNotice.Kind kind = PoolProtocol.kind(fields);
+    events.noticeRead(kind);
+    long sequence = PoolProtocol.sequence(fields);
+    if (sequence > 0 && !client.accept(this, sequence)) {
       return;
     }
-    switch (action) {
-      case "bound" -> {
-        bound = true;
-        pool.bound();
-        broker.poolConnected(
-            notice.text("code").equals("fresh"), notice.whole("wall_ms", 0) * MILLI);
-        requestGauges(CAUGHT_UP);
-      }
-      case "finished" -> finished(notice);
-      case "blocked" ->
-          broker.runAwaitsCall(notice.text("uid"), decoded(notice.text("content", "")));
-      case "polled" -> {
-        if (!caughtUp) { // any answer: all missed notices come before it
-          caughtUp = true;
-          pool.caughtUp();
-          broker.resynchronized();
-        }
-        if (!notice.text("echo", "").equals(CAUGHT_UP)) {
-          broker.gaugesReceived(notice.text("echo", ""), notice.numbers("meters"));
-        }
-      }
-      case "verified" ->
-          broker.healthCheckEnded(notice.text("echo", ""), notice.text("code", "").equals("done"));
-      case "unknown" -> {
-        log.write("pool-unknown code=" + notice.text("code", "") + " id=" + notice.text("uid", ""));
-        if (notice.text("code", "").equals("spawn")) {
-          broker.runEnded(notice.text("uid", ""), RunOutcome.NOT_STARTED, 0, null);
-        }
-      }
-      default -> {}
-    }
-  }
-
-  private void finished(JsonFields notice) throws IOException, ProtocolException {
-    String id = notice.text("uid");
-    try {
-      String code = notice.text("code");
-      RunOutcome outcome =
-          switch (code) {
-            case "done" -> RunOutcome.SUCCEEDED;
-            case "crashed" -> RunOutcome.FAILED;
-            case "aborted" -> RunOutcome.STOPPED;
-            case "stale" -> RunOutcome.NOT_STARTED;
-            default -> throw new ProtocolException(CloseReason.MALFORMED, "finished as " + code);
-          };
-      byte[] result = outcome == RunOutcome.SUCCEEDED ? decoded(notice.text("content", "")) : null;
-      broker.runEnded(id, outcome, notice.whole("wall_ms", 0) * MILLI, result);
-    } catch (IOException | ProtocolException unreadable) { // it is over, and its result is lost
-      broker.runEnded(id, RunOutcome.FAILED, 0, null);
-      throw unreadable;
+    if (kind == PoolNotice.Kind.CONNECTED) {
+      accepted = true;
+      client.connectionAccepted();
+    } else if (kind == PoolNotice.Kind.GAUGES && !resynchronized) {
+      // any gauges will do: the pool sends all missed notices before them
+      resynchronized = true;
+      client.resynchronized();
+      broker.resynchronized();
     }
-  }
-
-  private static byte[] decoded(String content) throws ProtocolException {
-    try {
-      return Base64.getDecoder().decode(content);
-    } catch (IllegalArgumentException notBase64) {
-      throw new ProtocolException(CloseReason.MALFORMED, "content is not base64");
+    apply(PoolProtocol.decode(kind, fields));
+  }
+
+  private void apply(PoolNotice notice) throws IOException, ProtocolException {
+    if (notice instanceof PoolNotice.Connected connected) {
+      broker.poolConnected(connected.freshlyStarted(), connected.uptimeMicros());
+      requestGauges(PoolProtocol.RESYNC_ECHO);
+    } else if (notice instanceof PoolNotice.RunEnded run) {
+      broker.runEnded(run.requestId(), run.outcome(), run.wallMicros(), run.result());
+    } else if (notice instanceof PoolNotice.UnreadableRunEnd run) {
+      broker.runEnded(run.requestId(), RunOutcome.FAILED, 0, null);
+      events.noticeMalformed(run.cause().getMessage());
+    } else if (notice instanceof PoolNotice.RunAwaitsCall run) {
+      broker.runAwaitsCall(run.requestId(), run.content());
+    } else if (notice instanceof PoolNotice.Gauges gauges) {
+      broker.gaugesReceived(gauges.echo(), gauges.values());
+    } else if (notice instanceof PoolNotice.HealthCheckEnded check) {
+      broker.healthCheckEnded(check.echo(), check.succeeded());
+    } else if (notice instanceof PoolNotice.CommandRefused refused) {
+      events.commandRefused(refused.command(), refused.requestId().orElse(""));
+      if (refused.isStart()) {
+        broker.runEnded(refused.startedRequest(), RunOutcome.NOT_STARTED, 0, null);
+      }
     }
   }
 
-  private void ask(String line) {
-    waitsSince = Math.min(waitsSince, pool.now());
-    command(line);
+  /** Sends a command that the pool answers. */
+  private void query(String command) {
+    awaitsAnswerSince = Math.min(awaitsAnswerSince, client.now());
+    command(command);
   }
 
-  private void command(String line) {
-    ByteBuf out = allocate(line.length() + 1);
-    out.writeCharSequence(line, StandardCharsets.UTF_8);
+  private void command(String command) {
+    ByteBuf out = allocate(command.length() + 1);
+    out.writeCharSequence(command, StandardCharsets.UTF_8);
     out.writeByte('\n');
     send(out);
   }
 
   @Override
   public boolean isReady() {
-    return bound && !isClosed();
+    return accepted && !isClosed();
   }
 
   @Override
   public boolean startRun(Exchange exchange) {
     command(
-        "{\"action\":\"spawn\",\"uid\":\""
-            + exchange.request().id()
-            + "\",\"lane\":"
-            + GSON.toJson(exchange.request().className())
-            + ",\"content\":\""
-            + Base64.getEncoder().encodeToString(exchange.request().body())
-            + "\"}");
+        PoolProtocol.startRun(
+            exchange.request().id(), exchange.request().className(), exchange.request().body()));
     return true;
   }
 
-  private void named(String action, String word, String value) {
-    command("{\"action\":\"" + action + "\",\"" + word + "\":\"" + value + "\"}");
-  }
-
   @Override
   public void stopRun(String id) {
-    named("suspend", "uid", id);
+    command(PoolProtocol.stopRun(id));
   }
 
   @Override
   public void resumeRun(String id) {
-    named("proceed", "uid", id);
+    command(PoolProtocol.resumeRun(id));
   }
 
   @Override
   public void resumeWithResult(String id, byte[] result) {
-    command(
-        "{\"action\":\"supply\",\"uid\":\""
-            + id
-            + "\",\"content\":\""
-            + Base64.getEncoder().encodeToString(result)
-            + "\"}");
+    command(PoolProtocol.resumeWithResult(id, result));
   }
 
   @Override
   public void resumeWithoutResult(String id) {
-    named("pass", "uid", id);
+    command(PoolProtocol.resumeWithoutResult(id));
   }
 
   @Override
   public void requestGauges(String echo) {
-    ask("{\"action\":\"poll\",\"echo\":\"" + echo + "\"}");
+    query(PoolProtocol.requestGauges(echo));
   }
 
   @Override
   public void startHealthCheck(String echo) {
-    named("verify", "echo", echo);
+    command(PoolProtocol.startHealthCheck(echo));
   }
 }
--- a/src/test/java/mothwing/pool/WorkerPoolClientTest.java
+++ b/src/test/java/mothwing/pool/WorkerPoolClientTest.java
@@ -240,7 +240,7 @@
     }
     assertEquals(made, answers.size(), "all is answered");
     assertEquals(0, stand.broker.pendingCount());
-    assertEquals(0, stand.counters.get("pool-notices-missed"));
+    assertEquals(0, stand.counters.get("pool-notices-lost"));
     assertEquals(0, stand.counters.get("overdue"));
     assertEquals(0, stand.counters.get("lost-runs"));
     channels.stream().filter(one -> one != channel).forEach(one -> assertFalse(one.isOpen()));
@@ -309,7 +309,7 @@
     turn();
     notices.add("{\"pos\":1,\"action\":");
     say(notices.get(0));
-    notices.add("x".repeat(WorkerPoolConnection.MOST_LINE + 1));
+    notices.add("x".repeat(WorkerPoolConnection.MAX_LINE_BYTES + 1));
     say(notices.get(1));
     notice(
         "\"finished\",\"uid\":\""
@@ -326,7 +326,7 @@
     end(BrokerFixture.id(2), "done");
     assertEquals("served", answers.get(BrokerFixture.id(2)));
     assertEquals(2, channels.size(), "the link is opened again once, for what was missing");
-    assertEquals(2, stand.counters.get("pool-notices-missed"));
+    assertEquals(2, stand.counters.get("pool-notices-lost"));
     assertTrue(pool.isReady());
     runs.values().forEach(times -> assertEquals(1, times));
   }
@@ -356,8 +356,8 @@
       turn();
     }
     assertEquals("served", answers.get(BrokerFixture.id(1)));
-    assertEquals(0, stand.counters.get("pool-notices-missed"));
-    assertEquals(1, stand.counters.get("pool-notices-misnumbered"));
+    assertEquals(0, stand.counters.get("pool-notices-lost"));
+    assertEquals(1, stand.counters.get("pool-notices-out-of-range"));
   }
 
   /**
@@ -397,7 +397,7 @@
    */
   @Example
   void aPoolThatHasNotComeUpIsAskedAgainEverMoreSeldom() {
-    stand.pass(WorkerPoolClient.UNBOUND - 1_000_000);
+    stand.pass(WorkerPoolClient.MAX_INITIAL_SILENCE_MICROS - 1_000_000);
     assertEquals(1, channels.size());
     stand.pass(60_000_000);
     assertTrue(
@@ -415,10 +415,11 @@
   void aLineWithoutAnEndClosesTheLink() {
     turn();
     for (int i = 0;
-        i < WorkerPoolConnection.MOST_PASSED_OVER / WorkerPoolConnection.MOST_LINE;
+        i < WorkerPoolConnection.MAX_SKIPPED_BYTES / WorkerPoolConnection.MAX_LINE_BYTES;
         i++) {
       assertTrue(channel.isOpen());
-      channel.writeInbound(Unpooled.wrappedBuffer(new byte[WorkerPoolConnection.MOST_LINE + 1]));
+      channel.writeInbound(
+          Unpooled.wrappedBuffer(new byte[WorkerPoolConnection.MAX_LINE_BYTES + 1]));
     }
     assertFalse(channel.isOpen());
     assertTrue(
@@ -436,11 +437,11 @@
         taken = true;
         say("{\"action\":\"bound\",\"code\":\"seasoned\",\"wall_ms\":5}");
         for (int j = 0;
-            j <= WorkerPoolConnection.MOST_PASSED_OVER / WorkerPoolConnection.MOST_LINE
+            j <= WorkerPoolConnection.MAX_SKIPPED_BYTES / WorkerPoolConnection.MAX_LINE_BYTES
                 && channel.isOpen();
             j++) {
           channel.writeInbound(
-              Unpooled.wrappedBuffer(new byte[WorkerPoolConnection.MOST_LINE + 1]));
+              Unpooled.wrappedBuffer(new byte[WorkerPoolConnection.MAX_LINE_BYTES + 1]));
         }
       }
     }
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -60,7 +60,7 @@
     while (!server
         .counts()
         .contains(
-            "pool-notice-polled=")) { // until then an order's start is asked about, by a pause
+            "pool-notice-gauges=")) { // until then an order's start is asked about, by a pause
       Thread.sleep(1);
     }
   }
