--- a/src/main/java/mothwing/dependency/DependencyConnectionManager.java
+++ b/src/main/java/mothwing/dependency/DependencyConnectionManager.java
@@ -16,46 +16,46 @@
 import mothwing.net.Connector;
 
 /**
- * The tier below, over one link that carries all calls. It is opened for the first call, and again
- * for the next one after it ended. A request that calls again while an answer to an earlier call of
- * its own may still be on the link gets a new link, and so do all once the link has been silent for
- * too long behind a call: a call that is never answered would hold up those behind it for good. The
- * old link takes no further calls and is closed once the last of its own is over.
+ * Makes the calls of all runs over one connection, which is opened for the first call and again for
+ * the next call after it ended. The connection is retired when a request calls again while an
+ * answer to an earlier call of it may still arrive, and when it has been silent for too long with a
+ * call unanswered, as that may block all calls behind it. A retired connection takes no further
+ * call and is closed when its last pending call ends.
  */
 public final class DependencyConnectionManager implements DependencyClient {
-  /** Most links that are left with calls out; over it the newest one takes calls, silent or not. */
-  static final int MOST_LEFT = 8;
+  /** Bounds the retired connections; at the bound the newest takes calls even when silent. */
+  static final int MAX_RETIRED_CONNECTIONS = 8;
 
-  private static final double LEARN = 0.1; // weight of one answer in the time that an answer takes
-  private static final double SILENT = 4; // times that, behind a call, after which a link is left
-  private static final long SILENT_LEAST = 100_000; // microseconds, for the same
+  private static final double LATENCY_SMOOTHING_RATIO = 0.1; // weight of one answer in the average
+  private static final double SILENCE_TO_LATENCY_RATIO = 4;
+  private static final long MIN_SILENCE_MICROS = 100_000;
 
-  private record PendingCall(long limitMs, byte[] content) {}
+  private record QueuedCall(long limitMillis, byte[] content) {}
 
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final Counters counters;
   private final EventLog log;
-  private final Map<String, PendingCall> waiting = new LinkedHashMap<>();
-  private Connector dialer;
+  private final Map<String, QueuedCall> queued = new LinkedHashMap<>(); // until a connection opens
+  private final List<DependencyConnection> retired = new ArrayList<>();
+  private Connector connector;
   private Broker broker;
-  private DependencyConnection link;
-  private boolean dialing;
-  private int dials;
-  private final List<DependencyConnection> left = new ArrayList<>(); // with calls out
-  private double took = SILENT_LEAST;
+  private DependencyConnection connection;
+  private boolean connecting;
+  private int attempt; // numbers the attempts to connect; all but the latest are obsolete
+  private double averageLatencyMicros = MIN_SILENCE_MICROS;
 
   /**
-   * Makes one that is not linked.
+   * Makes a client that is not connected.
    *
-   * @param dialer opens links to its address
-   * @param timers the clock
-   * @param counters counts what happens
+   * @param connector opens connections to the dependency's address
+   * @param scheduler the clock
+   * @param counters counts events
    * @param log takes lines of the log
    */
   public DependencyConnectionManager(
-      Connector dialer, Scheduler timers, Counters counters, EventLog log) {
-    this.dialer = dialer;
-    this.timers = timers;
+      Connector connector, Scheduler scheduler, Counters counters, EventLog log) {
+    this.connector = connector;
+    this.scheduler = scheduler;
     this.counters = counters;
     this.log = log;
   }
@@ -63,111 +63,118 @@
   /**
    * Makes calls for this broker.
    *
-   * @param to takes how they end
+   * @param notified is notified of the ends of calls
    */
-  public void attach(Broker to) {
-    broker = to;
-    to.setDependencyClient(this);
+  public void attach(Broker notified) {
+    broker = notified;
+    notified.setDependencyClient(this);
   }
 
   /**
-   * It is reached elsewhere from now on. Calls that are out end where they are.
+   * Moves to another address of the dependency. Pending calls end on the former connection.
    *
-   * @param elsewhere opens links to the new address
+   * @param replacement opens connections to the new address
    */
-  public void changeAddress(Connector elsewhere) {
-    dialer = elsewhere;
-    retire();
-    if (dialing) {
-      dial();
+  public void changeAddress(Connector replacement) {
+    connector = replacement;
+    retireConnection();
+    if (connecting) {
+      connect();
     }
   }
 
   @Override
   public boolean startCall(String id, long limitMs, byte[] content) {
-    boolean silent =
-        link != null
-            && left.size() < MOST_LEFT
-            && link.silentFor(timers.now()) > Math.max(SILENT_LEAST, SILENT * took);
-    if (silent || link != null && link.mayStillAnswer(id)) {
-      counters.add(silent ? "ledger-silent-link" : "ledger-new-link");
-      retire();
+    boolean silent = isSilent();
+    if (silent || (connection != null && connection.isUnusableFor(id))) {
+      counters.add(silent ? "dependency-connections-silent" : "dependency-connections-replaced");
+      retireConnection();
     }
-    if (link != null) {
-      link.post(id, limitMs, content);
+    if (connection != null) {
+      connection.call(id, limitMs, content);
       return true;
     }
-    waiting.put(id, new PendingCall(limitMs, content));
-    if (!dialing) {
-      dial();
+    queued.put(id, new QueuedCall(limitMs, content));
+    if (!connecting) {
+      connect();
     }
     return true;
   }
 
+  private boolean isSilent() {
+    if (connection == null || retired.size() >= MAX_RETIRED_CONNECTIONS) {
+      return false;
+    }
+    double maxSilenceMicros =
+        Math.max(MIN_SILENCE_MICROS, SILENCE_TO_LATENCY_RATIO * averageLatencyMicros);
+    return connection.silentMicros(scheduler.now()) > maxSilenceMicros;
+  }
+
   @Override
   public void abandonCall(String id) {
-    if (waiting.remove(id) != null) {
+    if (queued.remove(id) != null) {
       return;
     }
-    if (link != null) {
-      link.abandon(id);
+    if (connection != null) {
+      connection.abandon(id);
     }
-    List.copyOf(left).forEach(one -> one.abandon(id));
+    List.copyOf(retired).forEach(former -> former.abandon(id));
   }
 
-  private void retire() {
-    if (link != null) {
-      DependencyConnection former = link;
-      link = null;
-      left.add(former);
+  private void retireConnection() {
+    if (connection != null) {
+      DependencyConnection former = connection;
+      connection = null;
+      retired.add(former);
       former.retire();
     }
   }
 
   long now() {
-    return timers.now();
+    return scheduler.now();
   }
 
-  private void dial() {
-    dialing = true;
-    int mine = ++dials;
-    Supplier<Connection> maker = () -> new DependencyConnection(this, mine, log, counters);
-    dialer.connect(maker, () -> failed(mine));
+  private void connect() {
+    connecting = true;
+    int current = ++attempt;
+    Supplier<Connection> maker = () -> new DependencyConnection(this, current, log, counters);
+    connector.connect(maker, () -> connectFailed(current));
   }
 
-  private void failed(int dial) {
-    if (dial != dials) {
+  private void connectFailed(int failedAttempt) {
+    if (failedAttempt != attempt) {
       return;
     }
-    dialing = false;
-    List<String> all = new ArrayList<>(waiting.keySet());
-    waiting.clear();
-    all.forEach(id -> broker.callEnded(id, RunOutcome.UNREACHABLE, null));
+    connecting = false;
+    List<String> unreached = new ArrayList<>(queued.keySet());
+    queued.clear();
+    unreached.forEach(id -> broker.callEnded(id, RunOutcome.UNREACHABLE, null));
   }
 
-  /** A link is open; one of a dial that a later one has overtaken is not wanted. */
-  void opened(DependencyConnection opened, int dial) {
-    if (dial != dials) {
+  /** A connection is open; it is closed again if a later attempt has been made. */
+  void opened(DependencyConnection opened, int openedAttempt) {
+    if (openedAttempt != attempt) {
       opened.close(CloseReason.MOVED, "");
       return;
     }
-    dialing = false;
-    link = opened;
-    waiting.forEach((id, asked) -> opened.post(id, asked.limitMs(), asked.content()));
-    waiting.clear();
+    connecting = false;
+    connection = opened;
+    queued.forEach((id, call) -> opened.call(id, call.limitMillis(), call.content()));
+    queued.clear();
   }
 
-  void over(String id, RunOutcome outcome, byte[] result, long span) {
-    took += (span - took) * LEARN;
-    broker.callEnded(id, outcome, result);
+  /** A pending call has been answered. */
+  void callEnded(DependencyProtocol.Answer answer, long latencyMicros) {
+    averageLatencyMicros += (latencyMicros - averageLatencyMicros) * LATENCY_SMOOTHING_RATIO;
+    broker.callEnded(answer.requestId(), answer.outcome(), answer.result());
   }
 
-  /** A link has ended, with these calls out on it. */
-  void ended(DependencyConnection which, List<String> out) {
-    if (link == which) {
-      link = null;
+  /** A connection has ended with these calls pending. */
+  void ended(DependencyConnection ended, List<String> pendingCalls) {
+    if (connection == ended) {
+      connection = null;
     }
-    left.remove(which);
-    out.forEach(id -> broker.callEnded(id, RunOutcome.CONNECTION_LOST, null));
+    retired.remove(ended);
+    pendingCalls.forEach(id -> broker.callEnded(id, RunOutcome.CONNECTION_LOST, null));
   }
 }
--- a/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -27,13 +27,14 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /**
- * Calls over links that break, with answers late and out of order, against a model of the ledger.
+ * Calls over links that break, with answers late and out of order, against a model of the
+ * dependency.
  */
 class DependencyConnectionManagerTest {
   private static final int RUNS = 6;
 
   private BrokerFixture stand;
-  private DependencyConnectionManager ledger;
+  private DependencyConnectionManager manager;
   private List<Tier> links;
   private boolean refusing;
   private Map<String, String> asked; // what each run stands at a call for
@@ -110,8 +111,8 @@
     ended = new LinkedHashMap<>();
     nonces = 0;
     stand = new BrokerFixture(new Noted());
-    ledger = new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add);
-    ledger.attach(stand.bound().broker);
+    manager = new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add);
+    manager.attach(stand.bound().broker);
   }
 
   private void dial(Supplier<? extends Connection> maker, Runnable failed) {
@@ -206,7 +207,7 @@
           }
           refusing = step % 4 == 0;
         }
-        default -> ledger.changeAddress(this::dial);
+        default -> manager.changeAddress(this::dial);
       }
       stand.pass(step % 3_000);
       if (step % 3 > 0) {
@@ -250,7 +251,7 @@
     links.get(0).answer(6); // before it reads that the first is abandoned
     stand.pass(1_000);
     assertEquals(Map.of(), stand.supplied);
-    assertEquals(1, stand.counters.get("ledger-answered-late") + links.size() - 1);
+    assertEquals(1, stand.counters.get("dependency-answered-late") + links.size() - 1);
     links.get(1).read();
     links.get(1).answer(6);
     supplied(id, 0);
@@ -344,7 +345,7 @@
             "0000000000000001 posted 99999999\r\n",
             "0000000000000001 posted 2\r\nabcd",
             "0000000000000001 well\r\n",
-            "y".repeat(DependencyConnection.MOST_LINE + 1))) {
+            "y".repeat(DependencyProtocol.MAX_LINE_BYTES + 1))) {
       blocked(BrokerFixture.id(1));
       stand.broker.startCall(BrokerFixture.id(1), stand.now() + 500_000);
       stand.pass(1_000);
