--- /dev/null
+++ b/src/main/java/mothwing/discovery/LoadReportProtocol.java
@@ -0,0 +1,124 @@
+package mothwing.discovery;
+
+import io.netty.buffer.ByteBuf;
+import java.nio.charset.StandardCharsets;
+import java.util.Locale;
+import java.util.Optional;
+import mothwing.net.CloseReason;
+import mothwing.net.ProtocolException;
+
+/** The codec of the discovery service's wire: reports as HTTP/1.1 requests, and their responses. */
+final class LoadReportProtocol {
+  /** Bounds a response, and each number in its head. */
+  static final int MAX_RESPONSE_BYTES = 8 << 10;
+
+  private static final String LINE_END = "\r\n";
+  private static final String HEAD_END = "\r\n\r\n";
+  private static final int NO_CONTENT_STATUS = 204;
+
+  /**
+   * A response to a report.
+   *
+   * @param status the HTTP status
+   * @param isLast whether the connection carries no further report
+   */
+  record Response(int status, boolean isLast) {
+    /** Whether the report was accepted. */
+    boolean isAccepted() {
+      return status == NO_CONTENT_STATUS;
+    }
+  }
+
+  /**
+   * The head of a response.
+   *
+   * @param status the HTTP status
+   * @param contentBytes the length of the body
+   * @param isLast whether the connection is closed behind it
+   */
+  private record Head(int status, int contentBytes, boolean isLast) {}
+
+  private LoadReportProtocol() {}
+
+  /**
+   * A report.
+   *
+   * @param name this server's name
+   * @param accepting whether it takes requests
+   */
+  static String report(String name, boolean accepting) {
+    String body = "{\"accepting\":\"" + accepting + "\"}";
+    return "PUT /announce/"
+        + name
+        + " HTTP/1.1"
+        + LINE_END
+        + "Host: announce"
+        + LINE_END
+        + "Content-Type: application/json"
+        + LINE_END
+        + "Content-Length: "
+        + body.length()
+        + HEAD_END
+        + body;
+  }
+
+  /**
+   * Reads the next response and skips its body.
+   *
+   * @param in what has arrived; left as it is until a response is complete
+   * @return the response, or none while it is incomplete
+   * @throws ProtocolException where it is malformed
+   */
+  static Optional<Response> readResponse(ByteBuf in) throws ProtocolException {
+    String text = in.toString(StandardCharsets.ISO_8859_1);
+    int headEnd = text.indexOf(HEAD_END);
+    if (headEnd < 0) {
+      return Optional.empty();
+    }
+    Head head = head(text.substring(0, headEnd).split(LINE_END));
+    int bodyBytes = head.status() == NO_CONTENT_STATUS ? 0 : head.contentBytes();
+    int responseBytes = headEnd + HEAD_END.length() + bodyBytes;
+    if (text.length() < responseBytes && !head.isLast()) {
+      return Optional.empty();
+    }
+    in.skipBytes(Math.min(responseBytes, text.length()));
+    return Optional.of(new Response(head.status(), head.isLast()));
+  }
+
+  private static Head head(String[] lines) throws ProtocolException {
+    int status = status(lines[0]);
+    int contentBytes = 0;
+    boolean isLast = false;
+    for (String line : lines) {
+      String field = line.toLowerCase(Locale.ROOT);
+      if (field.startsWith("content-length:")) {
+        contentBytes = number(field.substring("content-length:".length()).strip());
+      } else if (field.startsWith("connection:")) {
+        isLast = field.contains("close");
+      } else if (field.startsWith("transfer-encoding:")) {
+        isLast = true; // no response of the service has a body, so no encoding is decoded
+      }
+    }
+    return new Head(status, contentBytes, isLast);
+  }
+
+  private static int status(String line) throws ProtocolException {
+    String[] words = line.split(" ");
+    if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
+      throw new ProtocolException(CloseReason.MALFORMED, "no status line");
+    }
+    return number(words[1]);
+  }
+
+  private static int number(String text) throws ProtocolException {
+    try {
+      int value = Integer.parseInt(text);
+      if (value >= 0 && value <= MAX_RESPONSE_BYTES) {
+        return value;
+      }
+    } catch (NumberFormatException notANumber) {
+      // reported below, as a number out of range is
+    }
+    throw new ProtocolException(CloseReason.MALFORMED, "a number is out of range");
+  }
+}
--- a/src/main/java/mothwing/discovery/LoadReporter.java
+++ b/src/main/java/mothwing/discovery/LoadReporter.java
@@ -8,50 +8,50 @@
 import mothwing.net.Connector;
 
 /**
- * Keeps this shop server listed: a report every second, over a connection that is opened again when
- * it breaks. A report that gets no answer within its second is left behind with its connection, and
- * the next one leaves on a new one: to wait for the answer would let the entry lapse. So would
- * waiting for a connection that takes long to open: each second another is begun beside it, and the
- * first that is open carries the reports.
+ * Keeps this server on the endpoint list by a report every second, over a connection that is opened
+ * again when it ends. A report without a response after a second is abandoned with its connection,
+ * as the entry on the list would expire before a late response. While no connection is open,
+ * another attempt starts each second beside those in progress, and the first to open carries the
+ * reports.
  */
 public final class LoadReporter {
-  static final long PERIOD = 1_000_000;
+  static final long PERIOD_MICROS = 1_000_000;
 
-  /** Most connections that are being opened at once. */
-  static final int MOST_DIALS = 3;
+  /** Bounds the attempts to connect that are in progress at once. */
+  static final int MAX_ATTEMPTS = 3;
 
   private final String name;
   private final BooleanSupplier accepting;
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final Counters counters;
   private final EventLog log;
-  private Connector dialer;
-  private LoadReportConnection link;
-  private int address; // counts the addresses it was given
-  private int dialing; // to the newest of them
+  private Connector connector;
+  private LoadReportConnection connection;
+  private int addressVersion; // grows with each change of the address
+  private int attempts; // in progress, to the current address
   private boolean stopped;
 
   /**
-   * Makes an announcer that does not report yet.
+   * Makes a reporter that does not report yet.
    *
-   * @param dialer opens connections to the announce service
-   * @param name this shop server's name
+   * @param connector opens connections to the discovery service
+   * @param name this server's name
    * @param accepting whether requests are taken
-   * @param timers the clocks
-   * @param counters counts what happens
+   * @param scheduler the clock and its timers
+   * @param counters counts events
    * @param log takes lines of the log
    */
   public LoadReporter(
-      Connector dialer,
+      Connector connector,
       String name,
       BooleanSupplier accepting,
-      Scheduler timers,
+      Scheduler scheduler,
       Counters counters,
       EventLog log) {
-    this.dialer = dialer;
+    this.connector = connector;
     this.name = name;
     this.accepting = accepting;
-    this.timers = timers;
+    this.scheduler = scheduler;
     this.counters = counters;
     this.log = log;
   }
@@ -59,78 +59,80 @@
   /** Reports now, and every second from now on. */
   public void start() {
     if (!stopped) {
-      timers.schedule(timers.now() + PERIOD, this::start);
+      scheduler.schedule(scheduler.now() + PERIOD_MICROS, this::start);
       report();
     }
   }
 
   private void report() {
-    if (link != null && link.waiting()) {
-      counters.add("announce-unanswered");
-      leave(CloseReason.NO_ANSWER);
+    if (connection != null && connection.awaitsResponse()) {
+      counters.add("load-report-unanswered");
+      closeConnection(CloseReason.NO_ANSWER);
     }
-    if (link != null) {
-      link.report(accepting.getAsBoolean());
-    } else if (dialing < MOST_DIALS) {
-      dial();
+    if (connection != null) {
+      connection.report(accepting.getAsBoolean());
+    } else if (attempts < MAX_ATTEMPTS) {
+      connect();
     }
   }
 
-  private void leave(CloseReason why) {
-    if (link != null) {
-      link.close(why, "");
-      link = null;
+  private void closeConnection(CloseReason reason) {
+    if (connection != null) {
+      connection.close(reason, "");
+      connection = null;
     }
   }
 
-  private void dial() {
-    dialing++;
-    int mine = address;
-    dialer.connect(
-        () -> new LoadReportConnection(this, mine, name, log, counters),
+  private void connect() {
+    attempts++;
+    int current = addressVersion;
+    connector.connect(
+        () -> new LoadReportConnection(this, current, name, log, counters),
         () -> {
-          counters.add("announce-unreached");
-          if (mine == address) {
-            dialing--;
+          counters.add("load-report-unreachable");
+          if (current == addressVersion) {
+            attempts--;
           }
         });
   }
 
   /**
-   * The announce service is to be reached elsewhere from now on, and is told so at once.
+   * Moves to another address of the discovery service, and reports there at once.
    *
-   * @param elsewhere opens connections to the new address
+   * @param replacement opens connections to the new address
    */
-  public void changeAddress(Connector elsewhere) {
-    dialer = elsewhere;
-    address++;
-    dialing = 0;
-    leave(CloseReason.MOVED);
+  public void changeAddress(Connector replacement) {
+    connector = replacement;
+    addressVersion++;
+    attempts = 0;
+    closeConnection(CloseReason.MOVED);
     if (!stopped) {
-      dial();
+      connect();
     }
   }
 
-  /** Reports no more: this shop server is taken off the list. */
+  /** Stops the reports, which takes this server off the endpoint list. */
   public void stop() {
     stopped = true;
-    leave(CloseReason.DRAIN);
+    closeConnection(CloseReason.DRAIN);
   }
 
-  /** A connection is open: reports leave on it, unless it comes too late. */
-  void opened(LoadReportConnection opened, int to) {
-    dialing -= to == address ? 1 : 0;
-    if (stopped || to != address || link != null) {
+  /** A connection is open: it carries the reports, unless it is obsolete or another one does. */
+  void opened(LoadReportConnection opened, int openedVersion) {
+    if (openedVersion == addressVersion) {
+      attempts--;
+    }
+    if (stopped || openedVersion != addressVersion || connection != null) {
       opened.close(stopped ? CloseReason.DRAIN : CloseReason.MOVED, "");
       return;
     }
-    link = opened;
-    link.report(accepting.getAsBoolean());
+    connection = opened;
+    connection.report(accepting.getAsBoolean());
   }
 
   void ended(LoadReportConnection ended) {
-    if (link == ended) {
-      link = null;
+    if (connection == ended) {
+      connection = null;
     }
   }
 }
--- a/src/test/java/mothwing/discovery/LoadReporterTest.java
+++ b/src/test/java/mothwing/discovery/LoadReporterTest.java
@@ -27,7 +27,7 @@
   private static final String REPORT = "PUT /announce/n1 HTTP/1.1\r\n";
 
   private BrokerFixture stand;
-  private LoadReporter announcer;
+  private LoadReporter reporter;
   private List<EmbeddedChannel> channels;
   private boolean away;
   private long heard;
@@ -38,9 +38,9 @@
     channels = new ArrayList<>();
     away = false;
     heard = 0;
-    announcer =
+    reporter =
         new LoadReporter(this::dial, "n1", () -> true, stand, stand.counters, stand.lines::add);
-    announcer.start();
+    reporter.start();
   }
 
   private void dial(Supplier<? extends Connection> maker, Runnable failed) {
@@ -79,7 +79,7 @@
     for (int step : steps) {
       switch (step % 8) {
         case 0 -> channels.forEach(EmbeddedChannel::close);
-        case 1 -> announcer.changeAddress(this::dial);
+        case 1 -> reporter.changeAddress(this::dial);
         case 2 -> away = step % 16 == 2;
         default -> {}
       }
@@ -93,7 +93,7 @@
             channels.stream().filter(EmbeddedChannel::isOpen).count() <= 1, "one connection");
       }
     }
-    announcer.stop();
+    reporter.stop();
     turn(true);
     long before = heard;
     stand.pass(LAPSES);
@@ -108,7 +108,7 @@
   @Property(seed = "1764576031", tries = 50)
   void aDialThatHangsDoesNotLetTheEntryLapse(@ForAll @IntRange(min = 20, max = 39) int tenths) {
     List<Supplier<? extends Connection>> hanging = new ArrayList<>();
-    announcer.changeAddress(
+    reporter.changeAddress(
         (maker, failed) -> {
           hanging.add(maker);
           if (hanging.size() > 1) { // only the first one hangs
@@ -127,11 +127,11 @@
     turn(true);
     assertEquals(1, channels.stream().filter(EmbeddedChannel::isOpen).count(), "one connection");
     List<Runnable> ends = new ArrayList<>();
-    announcer.changeAddress((maker, failed) -> ends.add(failed));
+    reporter.changeAddress((maker, failed) -> ends.add(failed));
     stand.pass(20_000_000);
-    assertEquals(LoadReporter.MOST_DIALS, ends.size());
+    assertEquals(LoadReporter.MAX_ATTEMPTS, ends.size());
     ends.get(0).run();
     stand.pass(2_000_000);
-    assertEquals(LoadReporter.MOST_DIALS + 1, ends.size());
+    assertEquals(LoadReporter.MAX_ATTEMPTS + 1, ends.size());
   }
 }
