--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -4,18 +4,20 @@
 import java.io.IOException;
 import java.io.StringWriter;
 import java.io.UncheckedIOException;
+import mothwing.adapter.SimulatorProtocol.Action;
+import mothwing.adapter.SimulatorProtocol.Field;
 import mothwing.control.ControllerHost;
 
 /**
- * Writes the actions of one instance, as the elements of a JSON array, in the order in which they
- * come.
+ * Encodes the actions of one instance as the elements of a JSON array, in the order in which the
+ * controller takes them.
  */
 final class ActionWriter implements ControllerHost {
-  private final long who;
-  private final StringBuilder written = new StringBuilder();
+  private final long instanceId;
+  private final StringBuilder elements = new StringBuilder();
 
-  ActionWriter(long who) {
-    this.who = who;
+  ActionWriter(long instanceId) {
+    this.instanceId = instanceId;
   }
 
   /** Writes the fields of an action after its name and instance. */
@@ -27,131 +29,132 @@
     StringWriter text = new StringWriter();
     try (JsonWriter json = new JsonWriter(text)) {
       json.beginObject();
-      json.name("what").value(name);
-      json.name("Who").value(who);
+      json.name(Field.NAME).value(name);
+      json.name(Field.INSTANCE).value(instanceId);
       body.write(json);
       json.endObject();
     } catch (IOException broken) {
       throw new UncheckedIOException(broken);
     }
-    if (written.length() > 0) {
-      written.append(',');
+    if (elements.length() > 0) {
+      elements.append(',');
     }
-    written.append(text.getBuffer());
+    elements.append(text.getBuffer());
   }
 
-  private void named(String name, String id) {
-    action(name, json -> json.name("Job").value(id));
+  private void requestAction(String name, String requestId) {
+    action(name, json -> json.name(Field.REQUEST).value(requestId));
   }
 
-  /** What was written since the last call. */
+  /** Takes the elements written since the last call, separated by commas. */
   String take() {
-    String all = written.toString();
-    written.setLength(0);
-    return all;
+    String taken = elements.toString();
+    elements.setLength(0);
+    return taken;
   }
 
+  /** Reports a failure of the controller. */
   void exception(String text) {
-    action("Exception", json -> json.name("What").value(text));
+    action(Action.REPORT_EXCEPTION, json -> json.name(Field.TEXT).value(text));
   }
 
   @Override
   public void startRun(String id) {
-    named("Start", id);
+    requestAction(Action.START_RUN, id);
   }
 
   @Override
   public void startCall(String id, long until) {
     action(
-        "AskBelow",
+        Action.START_CALL,
         json -> {
-          json.name("Job").value(id);
-          json.name("TryUntil").value(until);
+          json.name(Field.REQUEST).value(id);
+          json.name(Field.CALL_DEADLINE).value(until);
         });
   }
 
   @Override
   public void skipCall(String id) {
-    named("Omit", id);
+    requestAction(Action.SKIP_CALL, id);
   }
 
   @Override
   public void stopRun(String id) {
-    named("Preempt", id);
+    requestAction(Action.STOP_RUN, id);
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
+  public void rejectRequest(String id, boolean isFinal, long retryAfter) {
     action(
-        "Bounce",
+        Action.REJECT_REQUEST,
         json -> {
-          json.name("Job").value(id);
-          if (dontRetry) {
-            json.name("DontRetry").value(true);
+          json.name(Field.REQUEST).value(id);
+          if (isFinal) {
+            json.name(Field.IS_FINAL).value(true);
           }
-          if (stayAway > 0) {
-            json.name("Pause").value(stayAway);
+          if (retryAfter > 0) {
+            json.name(Field.RETRY_AFTER).value(retryAfter);
           }
         });
   }
 
   @Override
   public void failRequest(String id) {
-    named("EndFailed", id);
+    requestAction(Action.FAIL_REQUEST, id);
   }
 
   @Override
   public void rememberKey(String id, long span) {
     action(
-        "Remember",
+        Action.REMEMBER_KEY,
         json -> {
-          json.name("Job").value(id);
-          json.name("Lifetime").value(span);
+          json.name(Field.REQUEST).value(id);
+          json.name(Field.SPAN).value(span);
         });
   }
 
   @Override
   public void forgetKey(String id) {
-    named("DropKey", id);
+    requestAction(Action.FORGET_KEY, id);
   }
 
   @Override
   public void replayResult(String id) {
-    named("Replay", id);
+    requestAction(Action.REPLAY_RESULT, id);
   }
 
   @Override
   public void scheduleTimer(long at, String tag) {
     action(
-        "Timer",
+        Action.SCHEDULE_TIMER,
         json -> {
-          json.name("Time").value(at);
-          json.name("Tag").value(tag);
+          json.name(Field.TIMER_AT).value(at);
+          json.name(Field.TIMER_TAG).value(tag);
         });
   }
 
   @Override
   public void publishFreeValue(double value) {
-    action("Stamp", json -> json.name("X").value(value));
+    action(Action.PUBLISH_FREE_VALUE, json -> json.name(Field.FREE_VALUE).value(value));
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean good) {
+  public void setHealth(boolean shallow, boolean healthy) {
     action(
-        "Health",
+        Action.SET_HEALTH,
         json -> {
-          json.name("Cheap").value(cheap);
-          json.name("Want").value(good);
+          json.name(Field.IS_SHALLOW).value(shallow);
+          json.name(Field.IS_HEALTHY).value(healthy);
         });
   }
 
   @Override
   public void closeIdleConnections(long span) {
-    action("TrimAfter", json -> json.name("Lifetime").value(span));
+    action(Action.CLOSE_IDLE_CONNECTIONS, json -> json.name(Field.SPAN).value(span));
   }
 
   @Override
   public void log(String text) {
-    action("Log", json -> json.name("What").value(text));
+    action(Action.LOG, json -> json.name(Field.TEXT).value(text));
   }
 }
--- a/src/main/java/mothwing/adapter/Adapter.java
+++ b/src/main/java/mothwing/adapter/Adapter.java
@@ -19,6 +19,10 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
+import java.util.StringJoiner;
+import mothwing.adapter.SimulatorProtocol.Event;
+import mothwing.adapter.SimulatorProtocol.Field;
+import mothwing.control.Settings;
 import mothwing.settings.InvalidInputException;
 import mothwing.settings.JsonFields;
 import mothwing.settings.SettingsCodec;
@@ -30,20 +34,20 @@
 public final class Adapter {
   private final BufferedReader input;
   private final Writer output;
-  private final PrintStream complaints;
+  private final PrintStream errors;
   private final Map<Long, Instance> instances = new LinkedHashMap<>();
 
   /**
-   * Makes a adapter.
+   * Makes an adapter.
    *
    * @param input event lines
    * @param output action lines
-   * @param complaints plain words on what went wrong
+   * @param errors takes a line for each error
    */
-  public Adapter(InputStream input, OutputStream output, PrintStream complaints) {
+  public Adapter(InputStream input, OutputStream output, PrintStream errors) {
     this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
     this.output = new BufferedWriter(new OutputStreamWriter(output, StandardCharsets.UTF_8));
-    this.complaints = complaints;
+    this.errors = errors;
   }
 
   /**
@@ -53,18 +57,18 @@
    * @throws IOException when the input or output breaks
    */
   public int run() throws IOException {
-    long number = 0;
+    long lineNumber = 0;
     String line;
     while ((line = input.readLine()) != null) {
-      number++;
+      lineNumber++;
       String reply;
       try {
-        reply = batch(line);
-      } catch (InvalidInputException bad) {
-        complaints.println("line " + number + ": " + bad.getMessage());
+        reply = answer(line);
+      } catch (InvalidInputException invalid) {
+        errors.println("line " + lineNumber + ": " + invalid.getMessage());
         return 1;
       } catch (MalformedJsonException | EOFException notJson) {
-        complaints.println("line " + number + ": not a JSON value: " + notJson.getMessage());
+        errors.println("line " + lineNumber + ": not a JSON value: " + notJson.getMessage());
         return 1;
       }
       output.write(reply);
@@ -74,78 +78,83 @@
     return 0;
   }
 
-  private String batch(String line) throws IOException {
-    JsonFields batch;
+  private String answer(String line) throws IOException {
+    JsonFields batch = parse(line);
+    long now = batch.integer(Field.TIME);
+    Set<Long> touched = new LinkedHashSet<>();
+    for (JsonFields event : batch.requiredObjects(Field.EVENTS)) {
+      touched.add(handle(now, event));
+    }
+    StringJoiner actions = new StringJoiner(",", "{\"" + Field.ACTIONS + "\":[", "]}");
+    for (long id : touched) {
+      String elements = endBatch(now, id);
+      if (!elements.isEmpty()) {
+        actions.add(elements);
+      }
+    }
+    return actions.toString();
+  }
+
+  private static JsonFields parse(String line) throws IOException {
     try (JsonReader parser = new JsonReader(new StringReader(line))) {
       if (parser.peek() != JsonToken.BEGIN_OBJECT) {
         throw new InvalidInputException("not a JSON object");
       }
-      batch = JsonFields.read(parser);
+      JsonFields batch = JsonFields.read(parser);
       if (parser.peek() != JsonToken.END_DOCUMENT) {
         throw new InvalidInputException("more than one JSON value");
       }
+      return batch;
     }
-    long now = batch.whole("SimTime");
-    Set<Long> touched = new LinkedHashSet<>();
-    for (JsonFields event : batch.requiredInners("in")) {
-      event(now, event, touched);
-    }
-    StringBuilder reply = new StringBuilder("{\"out\":[");
-    boolean first = true;
-    for (long who : touched) {
-      String actions = settle(now, who);
-      if (!actions.isEmpty()) {
-        reply.append(first ? "" : ",").append(actions);
-        first = false;
+  }
+
+  /** Handles an event, and returns the id of its instance. */
+  private long handle(long now, JsonFields event) throws InvalidInputException {
+    String name = event.text(Field.NAME);
+    long id = event.integer(Field.INSTANCE);
+    switch (name) {
+      case Event.SERVER_REMOVED -> instances.remove(id);
+      case Event.SERVER_STARTED -> start(now, id, event);
+      default -> {
+        Instance instance = instances.get(id);
+        if (instance == null) {
+          throw new InvalidInputException("field Who: instance " + id + " has not started");
+        }
+        reportFailure(id, instance, () -> instance.handle(now, name, event));
       }
     }
-    return reply.append("]}").toString();
+    return id;
   }
 
-  private void event(long now, JsonFields event, Set<Long> touched) throws InvalidInputException {
-    String what = event.text("what");
-    long who = event.whole("Who");
-    touched.add(who);
-    if (what.equals("Detach")) {
-      instances.remove(who);
-      return;
-    }
-    if (what.equals("PowerOn")) {
-      Instance life =
-          new Instance(
-              who, SettingsCodec.read(event.whole("Seed", 0), event.requiredInner("Options")));
-      instances.put(who, life);
-      guard(who, life, () -> life.controller().serverStarted(now));
-      return;
-    }
-    Instance life = instances.get(who);
-    if (life == null) {
-      throw new InvalidInputException("field Who: instance " + who + " has not started");
-    }
-    guard(who, life, () -> life.event(now, what, event));
+  private void start(long now, long id, JsonFields event) throws InvalidInputException {
+    long seed = event.integer(Field.SEED, 0);
+    Settings settings = SettingsCodec.read(seed, event.requiredObject(Field.SETTINGS));
+    Instance instance = new Instance(id, settings);
+    instances.put(id, instance);
+    reportFailure(id, instance, () -> instance.controller().serverStarted(now));
   }
 
-  private String settle(long now, long who) throws InvalidInputException {
-    Instance life = instances.get(who);
-    if (life == null) {
+  private String endBatch(long now, long id) throws InvalidInputException {
+    Instance instance = instances.get(id);
+    if (instance == null) {
       return "";
     }
-    guard(who, life, () -> life.controller().batchEnded(now));
-    return life.actions().take();
+    reportFailure(id, instance, () -> instance.controller().batchEnded(now));
+    return instance.actions().take();
   }
 
-  /** A step that may find bad input. */
+  /** A step that may find invalid input. */
   private interface Step {
     void run() throws InvalidInputException;
   }
 
-  /** Reports a failure of the controller for its instance, with the stack on the complaints. */
-  private void guard(long who, Instance life, Step step) throws InvalidInputException {
+  /** Reports a failure of the controller as an action of its instance; errors get the stack. */
+  private void reportFailure(long id, Instance instance, Step step) throws InvalidInputException {
     try {
       step.run();
     } catch (RuntimeException broken) {
-      broken.printStackTrace(complaints);
-      life.actions().exception("instance " + who + ": " + broken);
+      broken.printStackTrace(errors);
+      instance.actions().exception("instance " + id + ": " + broken);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/mothwing/adapter/InstanceEvent.java
@@ -0,0 +1,31 @@
+package mothwing.adapter;
+
+import mothwing.control.GaugeSample;
+import mothwing.control.Request;
+import mothwing.control.RunOutcome;
+
+/** An event of a running instance, in the controller's terms; times are in microseconds. */
+sealed interface InstanceEvent {
+  /** A request was read. */
+  record RequestRead(Request request) implements InstanceEvent {}
+
+  /** The client of a request has cancelled it. */
+  record RequestCancelled(String requestId) implements InstanceEvent {}
+
+  /** A run is suspended until its dependency call ends. */
+  record CallAwaited(String requestId) implements InstanceEvent {}
+
+  /** A dependency call has ended. */
+  record CallEnded(String requestId, RunOutcome outcome, long durationMicros)
+      implements InstanceEvent {}
+
+  /** A run has ended. */
+  record RunEnded(String requestId, RunOutcome outcome, long durationMicros)
+      implements InstanceEvent {}
+
+  /** A timer has fired, with the gauges of that moment. */
+  record TimerFired(String tag, GaugeSample gauges) implements InstanceEvent {}
+
+  /** The instance is to shut down by a deadline. */
+  record ShutdownRequested(long deadline) implements InstanceEvent {}
+}
--- a/src/main/java/mothwing/pool/PoolProtocol.java
+++ b/src/main/java/mothwing/pool/PoolProtocol.java
@@ -167,7 +167,7 @@
 
   /** The sequence number of a notice, 0 where it has none and is not replayed. */
   static long sequence(JsonFields notice) throws IOException {
-    return notice.whole(SEQUENCE, 0);
+    return notice.integer(SEQUENCE, 0);
   }
 
   /**
@@ -227,7 +227,7 @@
   }
 
   private static long wallMicros(JsonFields notice) throws IOException {
-    return notice.whole(WALL_MILLIS, 0) * MICROS_PER_MILLI;
+    return notice.integer(WALL_MILLIS, 0) * MICROS_PER_MILLI;
   }
 
   private static byte[] content(JsonFields notice) throws IOException, ProtocolException {
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -54,7 +54,7 @@
    */
   public static Config read(Reader json) throws IOException {
     JsonFields all = object(json);
-    Settings settings = SettingsCodec.read(seed(all.text("seed")), all.requiredInner("settings"));
+    Settings settings = SettingsCodec.read(seed(all.text("seed")), all.requiredObject("settings"));
     if (settings.classes().isEmpty()) {
       throw new InvalidInputException("field settings.Classes: required");
     }
@@ -66,7 +66,7 @@
         ledger(all.text("ledger", "")),
         management(all.text("management", "")),
         all.positive("stop_ms"),
-        (int) all.requiredInner("limits").positive("sockets"),
+        (int) all.requiredObject("limits").positive("sockets"),
         settings,
         all);
   }
--- a/src/main/java/mothwing/settings/JsonFields.java
+++ b/src/main/java/mothwing/settings/JsonFields.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The fields of one JSON object, read by name with a plain complaint where one is missing or of a
- * wrong type.
+ * The fields of one JSON object, read by name; an error names the field that is missing or of a
+ * wrong type. A field whose value is null counts as absent. Immutable.
  */
 public final class JsonFields {
   private final Map<String, Object> values;
@@ -21,39 +21,39 @@
   }
 
   /**
-   * Reads the object at whose start the parser stands.
+   * Reads the next object of a parser.
    *
    * @param parser reads the JSON
    * @return its fields
    * @throws IOException where it is no object, or broken
    */
   public static JsonFields read(JsonReader parser) throws IOException {
-    return new JsonFields(object(parser), "");
+    return new JsonFields(readObject(parser), "");
   }
 
-  private static Map<String, Object> object(JsonReader parser) throws IOException {
+  private static Map<String, Object> readObject(JsonReader parser) throws IOException {
     Map<String, Object> values = new LinkedHashMap<>();
     parser.beginObject();
     while (parser.hasNext()) {
-      values.put(parser.nextName(), value(parser));
+      values.put(parser.nextName(), readValue(parser));
     }
     parser.endObject();
     return values;
   }
 
-  private static Object value(JsonReader parser) throws IOException {
+  private static Object readValue(JsonReader parser) throws IOException {
     return switch (parser.peek()) {
-      case BEGIN_OBJECT -> object(parser);
+      case BEGIN_OBJECT -> readObject(parser);
       case BEGIN_ARRAY -> {
         List<Object> items = new ArrayList<>();
         parser.beginArray();
         while (parser.hasNext()) {
-          items.add(value(parser));
+          items.add(readValue(parser));
         }
         parser.endArray();
         yield items;
       }
-      case NUMBER -> number(parser.getPath(), parser.nextString());
+      case NUMBER -> readNumber(parser.getPath(), parser.nextString());
       case BOOLEAN -> parser.nextBoolean();
       case NULL -> {
         parser.nextNull();
@@ -63,10 +63,10 @@
     };
   }
 
-  private static Number number(String path, String text) throws InvalidInputException {
+  private static Number readNumber(String path, String text) throws InvalidInputException {
     try {
-      boolean whole = text.indexOf('.') < 0 && text.indexOf('e') < 0 && text.indexOf('E') < 0;
-      Number value = whole ? (Number) Long.valueOf(text) : (Number) Double.valueOf(text);
+      boolean isInteger = text.indexOf('.') < 0 && text.indexOf('e') < 0 && text.indexOf('E') < 0;
+      Number value = isInteger ? (Number) Long.valueOf(text) : (Number) Double.valueOf(text);
       if (Double.isFinite(value.doubleValue())) {
         return value;
       }
@@ -78,11 +78,11 @@
   }
 
   /**
-   * Whether other fields name all keys that these name, at every depth; each object of a list must
-   * name those that all objects of the list here name. Values are not compared.
+   * Requires that other fields have all keys that these have, at every depth; each object of a list
+   * must have the keys that all objects of the list here have in common. Values are not compared.
    *
    * @param other the other fields
-   * @throws BadInput where a key is missing; the message names it
+   * @throws InvalidInputException where a key is missing; the message names it
    */
   public void requireKeysIn(JsonFields other) throws InvalidInputException {
     requireKeys(values, other.values, "");
@@ -90,17 +90,17 @@
 
   private static void requireKeys(Map<?, ?> here, Map<?, ?> there, String path)
       throws InvalidInputException {
-    for (Map.Entry<?, ?> one : here.entrySet()) {
-      Object value = there.get(one.getKey());
-      String name = path + one.getKey();
-      if (one.getValue() != null && value == null) {
+    for (Map.Entry<?, ?> entry : here.entrySet()) {
+      Object value = there.get(entry.getKey());
+      String name = path + entry.getKey();
+      if (entry.getValue() != null && value == null) {
         throw new InvalidInputException(
             "field " + name + ": required, as the configuration in force names it");
       }
-      if (one.getValue() instanceof Map<?, ?> inner && value instanceof Map<?, ?> others) {
+      if (entry.getValue() instanceof Map<?, ?> inner && value instanceof Map<?, ?> others) {
         requireKeys(inner, others, name + ".");
-      } else if (one.getValue() instanceof List<?> items && value instanceof List<?> others) {
-        Map<?, ?> common = common(items);
+      } else if (entry.getValue() instanceof List<?> items && value instanceof List<?> others) {
+        Map<?, ?> common = commonKeys(items);
         for (Object item : others) {
           if (item instanceof Map<?, ?> map) {
             requireKeys(common, map, name + "[].");
@@ -110,8 +110,8 @@
     }
   }
 
-  /** The keys that all objects of a list name. */
-  private static Map<?, ?> common(List<?> items) {
+  /** The keys that all objects of a list have in common. */
+  private static Map<?, ?> commonKeys(List<?> items) {
     Map<Object, Object> common = new LinkedHashMap<>();
     for (Object item : items) {
       if (item instanceof Map<?, ?> map) {
@@ -129,10 +129,10 @@
    *
    * @param name its name
    * @return its value, rounded down
-   * @throws BadInput where it is missing, no number or not above 0
+   * @throws InvalidInputException where it is missing, no number or not above 0
    */
   public long positive(String name) throws InvalidInputException {
-    long value = whole(name);
+    long value = integer(name);
     if (value <= 0) {
       throw new InvalidInputException("field " + path + name + ": not above 0");
     }
@@ -157,7 +157,7 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
   public String text(String name) throws InvalidInputException {
     String value = typed(name, String.class);
@@ -168,12 +168,12 @@
   }
 
   /**
-   * Text, or what stands for an absent one.
+   * Text, or a default.
    *
    * @param name its name
-   * @param absent stands for an absent one
+   * @param absent the value of an absent one
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is of a wrong type
    */
   public String text(String name, String absent) throws InvalidInputException {
     String value = typed(name, String.class);
@@ -185,20 +185,20 @@
    *
    * @param name its name
    * @return its value or null
-   * @throws BadInput where it is of a wrong type
+   * @throws InvalidInputException where it is of a wrong type
    */
-  public String reference(String name) throws InvalidInputException {
+  public String optionalReference(String name) throws InvalidInputException {
     return values.get(name) instanceof Number ? null : text(name, null);
   }
 
   /**
-   * A whole number that must be there.
+   * An integer that must be there.
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public long whole(String name) throws InvalidInputException {
+  public long integer(String name) throws InvalidInputException {
     Number value = typed(name, Number.class);
     if (value == null) {
       throw missing(name);
@@ -207,25 +207,25 @@
   }
 
   /**
-   * A whole number, or what stands for an absent one.
+   * An integer, or a default.
    *
    * @param name its name
-   * @param absent stands for an absent one
+   * @param absent the value of an absent one
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public long whole(String name, long absent) throws InvalidInputException {
+  public long integer(String name, long absent) throws InvalidInputException {
     Number value = typed(name, Number.class);
     return value == null ? absent : value.longValue();
   }
 
   /**
-   * A number, or what stands for an absent one.
+   * A number, or a default.
    *
    * @param name its name
-   * @param absent stands for an absent one
+   * @param absent the value of an absent one
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
   public double number(String name, double absent) throws InvalidInputException {
     Number value = typed(name, Number.class);
@@ -233,13 +233,13 @@
   }
 
   /**
-   * A mark, false where it is absent.
+   * A flag, false where it is absent.
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public boolean mark(String name) throws InvalidInputException {
+  public boolean flag(String name) throws InvalidInputException {
     return Boolean.TRUE.equals(typed(name, Boolean.class));
   }
 
@@ -248,9 +248,9 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public JsonFields inner(String name) throws InvalidInputException {
+  public JsonFields object(String name) throws InvalidInputException {
     @SuppressWarnings("unchecked")
     Map<String, Object> value = typed(name, Map.class);
     return new JsonFields(value == null ? Map.of() : value, path + name + ".");
@@ -261,13 +261,13 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public JsonFields requiredInner(String name) throws InvalidInputException {
+  public JsonFields requiredObject(String name) throws InvalidInputException {
     if (values.get(name) == null) {
       throw missing(name);
     }
-    return inner(name);
+    return object(name);
   }
 
   private List<?> items(String name) throws InvalidInputException {
@@ -280,19 +280,19 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public List<JsonFields> inners(String name) throws InvalidInputException {
-    List<JsonFields> all = new ArrayList<>();
+  public List<JsonFields> objects(String name) throws InvalidInputException {
+    List<JsonFields> objects = new ArrayList<>();
     for (Object item : items(name)) {
       if (!(item instanceof Map)) {
         throw new InvalidInputException("field " + path + name + ": not a list of objects");
       }
       @SuppressWarnings("unchecked")
       Map<String, Object> map = (Map<String, Object>) item;
-      all.add(new JsonFields(map, path + name + "[]."));
+      objects.add(new JsonFields(map, path + name + "[]."));
     }
-    return all;
+    return objects;
   }
 
   /**
@@ -300,13 +300,13 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
-  public List<JsonFields> requiredInners(String name) throws InvalidInputException {
+  public List<JsonFields> requiredObjects(String name) throws InvalidInputException {
     if (values.get(name) == null) {
       throw missing(name);
     }
-    return inners(name);
+    return objects(name);
   }
 
   /**
@@ -314,18 +314,18 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
   public double[] numbers(String name) throws InvalidInputException {
     List<?> items = items(name);
-    double[] all = new double[items.size()];
-    for (int i = 0; i < all.length; i++) {
+    double[] numbers = new double[items.size()];
+    for (int i = 0; i < numbers.length; i++) {
       if (!(items.get(i) instanceof Number number)) {
         throw new InvalidInputException("field " + path + name + ": not a list of numbers");
       }
-      all[i] = number.doubleValue();
+      numbers[i] = number.doubleValue();
     }
-    return all;
+    return numbers;
   }
 
   /**
@@ -333,26 +333,26 @@
    *
    * @param name its name
    * @return its value
-   * @throws BadInput where it is missing or of a wrong type
+   * @throws InvalidInputException where it is missing or of a wrong type
    */
   public List<String> texts(String name) throws InvalidInputException {
-    List<String> all = new ArrayList<>();
+    List<String> texts = new ArrayList<>();
     for (Object item : items(name)) {
-      all.add(String.valueOf(item));
+      texts.add(String.valueOf(item));
     }
-    return all;
+    return texts;
   }
 
-  /** The mark at a place of a list, false where the list is shorter. */
-  boolean markAt(String name, int place) throws InvalidInputException {
+  /** The flag at an index of a list, false where the list is shorter. */
+  boolean flagAt(String name, int index) throws InvalidInputException {
     List<?> items = items(name);
-    return place < items.size() && Boolean.TRUE.equals(items.get(place));
+    return index < items.size() && Boolean.TRUE.equals(items.get(index));
   }
 
-  /** The number at a place of a list, 0 where the list is shorter. */
-  double numberAt(String name, int place) throws InvalidInputException {
+  /** The number at an index of a list, 0 where the list is shorter. */
+  double numberAt(String name, int index) throws InvalidInputException {
     List<?> items = items(name);
-    return place < items.size() && items.get(place) instanceof Number number
+    return index < items.size() && items.get(index) instanceof Number number
         ? number.doubleValue()
         : 0;
   }
