--- a/src/main/java/mothwing/store/Disk.java
+++ b/src/main/java/mothwing/store/Disk.java
@@ -12,25 +12,25 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of files, as far as a store needs it: the place at which tests let writes, forces and
+ * The operations of a store on a folder of files. Tests implement it to let writes, forces and
  * renames fail.
  */
 public interface Disk {
   /** One open file. */
   interface Opened extends AutoCloseable {
-    /** Bytes that it has. */
+    /** Its length in bytes. */
     long size() throws IOException;
 
-    /** Reads bytes from a place on, as many as there are up to the buffer's room. */
+    /** Reads bytes from an offset on, up to the end or the limit of the buffer. */
     int read(ByteBuffer into, long from) throws IOException;
 
-    /** Writes all bytes at its end. */
+    /** Appends all bytes. */
     void append(ByteBuffer bytes) throws IOException;
 
-    /** Waits until all that was written would survive a loss of power. */
+    /** Blocks until all written bytes would survive a loss of power. */
     void force() throws IOException;
 
-    /** Cuts it. */
+    /** Reduces it to a length in bytes. */
     void truncate(long size) throws IOException;
 
     @Override
@@ -43,13 +43,13 @@
   /** Opens a file, which is made where there is none. */
   Opened open(String name) throws IOException;
 
-  /** Gives a file another name, in the place of one that has it; as a whole or not at all. */
+  /** Renames a file atomically, replacing a file of that name. */
   void rename(String from, String to) throws IOException;
 
-  /** Takes a file away. */
+  /** Deletes a file, if it exists. */
   void delete(String name) throws IOException;
 
-  /** Waits until the names of files would survive a loss of power. */
+  /** Blocks until created, renamed and deleted names would survive a loss of power. */
   void forceNames() throws IOException;
 
   /**
@@ -74,7 +74,7 @@
       try (Stream<Path> files = Files.list(path)) {
         return files
             .filter(Files::isRegularFile)
-            .map(one -> one.getFileName().toString())
+            .map(file -> file.getFileName().toString())
             .sorted()
             .toList();
       }
@@ -99,8 +99,8 @@
     public void delete(String name) throws IOException {
       try {
         Files.delete(path.resolve(name));
-      } catch (NoSuchFileException gone) {
-        // that is what was wanted
+      } catch (NoSuchFileException ignored) {
+        // already deleted
       }
     }
 
@@ -134,9 +134,9 @@
 
     @Override
     public void append(ByteBuffer bytes) throws IOException {
-      long at = file.size();
+      long offset = file.size();
       while (bytes.hasRemaining()) {
-        at += file.write(bytes, at);
+        offset += file.write(bytes, offset);
       }
     }
 
--- a/src/main/java/mothwing/store/FaultInjectingDisk.java
+++ b/src/main/java/mothwing/store/FaultInjectingDisk.java
@@ -9,22 +9,23 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A disk that is full, slow or failing when a control file says so: trials prove with it that
- * nothing is acknowledged before it is safe. Only a rig names the file. Its one line is {@code
- * full} (half of what is appended is written, then no more), {@code fail} (writes go through, no
- * force does), {@code slow MS} (each force takes so many milliseconds more), or nothing. It is read
- * before each step, so it takes effect at once.
+ * A disk that is full, slow or failing as a control file says; trials check with it that nothing is
+ * acknowledged before it is durable. The file's one line is {@code full} (half of the bytes of an
+ * append are written, then it fails), {@code fail} (writes succeed, forces fail), {@code slow MS}
+ * (each force takes so many milliseconds longer), or empty. It is read before each operation.
  *
  * @param disk the real one
- * @param control the control file; where it is missing there is no trouble
+ * @param control the control file; where it is missing no fault is injected
  */
 record FaultInjectingDisk(Disk disk, Path control) implements Disk {
   /** The system property that names the control file. */
   static final String PROPERTY = "mothwing.disk.control";
 
+  private static final String FULL = "full";
+  private static final String FAIL = "fail";
   private static final String SLOW = "slow ";
 
-  private String trouble() throws IOException {
+  private String fault() throws IOException {
     try {
       return Files.readString(control).strip();
     } catch (NoSuchFileException none) {
@@ -33,15 +34,15 @@
   }
 
   private void force() throws IOException {
-    String now = trouble();
-    if (now.equals("fail")) {
+    String fault = fault();
+    if (fault.equals(FAIL)) {
       throw new IOException("the disk fails: " + control + " says so");
-    } else if (now.startsWith(SLOW)) {
+    } else if (fault.startsWith(SLOW)) {
       try {
-        TimeUnit.MILLISECONDS.sleep(Long.parseLong(now.substring(SLOW.length())));
-      } catch (InterruptedException broken) {
+        TimeUnit.MILLISECONDS.sleep(Long.parseLong(fault.substring(SLOW.length())));
+      } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
-        throw new IOException("broken off while it was slow", broken);
+        throw new IOException("broken off while it was slow", interrupted);
       }
     }
   }
@@ -53,7 +54,7 @@
 
   @Override
   public Opened open(String name) throws IOException {
-    return new Troubled(disk.open(name));
+    return new FaultInjectingFile(disk.open(name));
   }
 
   @Override
@@ -72,10 +73,10 @@
     disk.forceNames();
   }
 
-  private final class Troubled implements Opened {
+  private final class FaultInjectingFile implements Opened {
     private final Opened opened;
 
-    Troubled(Opened opened) {
+    FaultInjectingFile(Opened opened) {
       this.opened = opened;
     }
 
@@ -91,7 +92,7 @@
 
     @Override
     public void append(ByteBuffer bytes) throws IOException {
-      if (trouble().equals("full")) {
+      if (fault().equals(FULL)) {
         bytes.limit(bytes.position() + bytes.remaining() / 2);
         opened.append(bytes);
         throw new IOException("no space is left: " + control + " says so");
--- a/src/main/java/mothwing/store/GroupCommitter.java
+++ b/src/main/java/mothwing/store/GroupCommitter.java
@@ -10,17 +10,25 @@
 import java.util.function.Supplier;
 
 /**
- * Brings the records of one owner into a {@link Journal} without ever letting the owner wait:
- * records are queued, one helper thread writes all that are waiting as one frame and forces it
- * (group commit), and the word of it comes back as an event on the owner's thread. Where that
- * fails, all records that are on their way fail with it, in order: each may rest on the one before.
- * Those that the owner appends after it has heard of the failure are tried afresh.
+ * Appends the records of one owner to a {@link Journal} without blocking the owner: records are
+ * queued, a helper thread writes all queued records as one frame and forces it (group commit), and
+ * the completion runs on the owner's thread. If a write fails, all queued records of its epoch fail
+ * with it, in order, as each may depend on the one before. The owner's next epoch starts when it is
+ * notified of the failure; records appended from then on are written again.
  */
 public final class GroupCommitter {
-  private static final int MOST_FRAME = 8 << 20;
+  private static final int MAX_FRAME_BYTES = 8 << 20;
 
-  /** Something to be done by the helper, in order; {@code record} is null for a snapshot. */
-  private record Step(
+  /**
+   * A task of the helper, in the order of the queue.
+   *
+   * @param epoch the owner's epoch when it was queued
+   * @param record the record to append, or null for a snapshot
+   * @param pieces the pieces of the snapshot, or null for a record
+   * @param barrier whether it is a snapshot before which no later record may be forced
+   * @param done takes null, or the failure
+   */
+  private record Task(
       int epoch,
       byte[] record,
       Supplier<Iterator<byte[]>> pieces,
@@ -30,66 +38,67 @@
   private final Journal journal;
   private final Executor owner;
   private final Executor helper;
-  private final int mostWaiting;
-  // The owner's alone:
+  private final int maxPending;
+  // confined to the owner's thread:
   private int epoch;
-  private int waiting;
-  // Between the two, guarded by the queue itself:
-  private final ArrayDeque<Step> queue = new ArrayDeque<>();
+  private int pending;
+  // shared, guarded by the queue:
+  private final ArrayDeque<Task> queue = new ArrayDeque<>();
   private boolean scheduled;
-  // The helper's alone:
+  // confined to the helper thread:
   private int failedEpoch = -1;
   private Journal.Snapshot snapshot;
-  private Step snapshotStep;
+  private Task snapshotTask;
   private volatile long size;
 
   /**
-   * Makes one.
+   * Makes a committer.
    *
-   * @param journal the journal, which from now on belongs to the helper
+   * @param journal the journal, which only the helper uses from now on
    * @param owner runs events on the owner's thread
-   * @param helper runs work on the one helper thread
-   * @param mostWaiting most records that may wait
+   * @param helper runs tasks on the helper thread
+   * @param maxPending bounds the records that are not completed
    */
-  public GroupCommitter(Journal journal, Executor owner, Executor helper, int mostWaiting) {
+  public GroupCommitter(Journal journal, Executor owner, Executor helper, int maxPending) {
     this.journal = journal;
     this.owner = owner;
     this.helper = helper;
-    this.mostWaiting = mostWaiting;
+    this.maxPending = maxPending;
     this.size = journal.size();
   }
 
   /**
-   * Appends a record. Belongs to the owner's thread.
+   * Appends a record. Only for the owner's thread.
    *
    * @param record its bytes
-   * @param done takes null once it is forced, or why it is not in the journal
-   * @return false where too many wait: nothing was done
+   * @param done takes null once the record is forced, or why it is not in the journal
+   * @return false where too many records are pending: nothing was done
    */
   public boolean append(byte[] record, Consumer<IOException> done) {
-    if (waiting >= mostWaiting) {
+    if (pending >= maxPending) {
       return false;
     }
-    enqueue(new Step(epoch, record, null, false, done));
+    enqueue(new Task(epoch, record, null, false, done));
     return true;
   }
 
   /**
-   * Writes a snapshot of the state after the last record that was appended. Belongs to the owner's
+   * Writes a snapshot of the state after the last record that was appended. Only for the owner's
    * thread.
    *
-   * @param pieces gives the state in pieces; is asked on the helper thread, so it must not change
-   * @param barrier whether it holds what no record says: then nothing appended later is forced
+   * @param pieces gives the state in pieces; called on the helper thread, so the state must be
+   *     immutable
+   * @param barrier whether the snapshot holds changes that no record has: no later record is forced
    *     before it
-   * @param done takes null once it is forced, or why there is none
+   * @param done takes null once the snapshot is forced, or why there is none
    */
   public void snapshot(
       Supplier<Iterator<byte[]>> pieces, boolean barrier, Consumer<IOException> done) {
-    enqueue(new Step(epoch, null, pieces, barrier, done));
+    enqueue(new Task(epoch, null, pieces, barrier, done));
   }
 
   /**
-   * Bytes of the journal since its last snapshot, as far as is known.
+   * Bytes of the journal since its last snapshot, as of the last task.
    *
    * @return the size
    */
@@ -98,18 +107,18 @@
   }
 
   /**
-   * How many records and snapshots are on their way. Belongs to the owner's thread.
+   * The number of records and snapshots that are not completed. Only for the owner's thread.
    *
    * @return their number
    */
   public int waiting() {
-    return waiting;
+    return pending;
   }
 
-  private void enqueue(Step step) {
-    waiting++;
+  private void enqueue(Task task) {
+    pending++;
     synchronized (queue) {
-      queue.add(step);
+      queue.add(task);
       schedule();
     }
   }
@@ -117,21 +126,20 @@
   private void schedule() {
     if (!scheduled) {
       scheduled = true;
-      helper.execute(this::work);
+      helper.execute(this::runTasks);
     }
   }
 
-  private void work() {
-    List<Step> batch = new ArrayList<>();
-    Step first;
+  private void runTasks() {
+    List<Task> batch = new ArrayList<>();
+    Task first;
     synchronized (queue) {
       int bytes = 0;
       first = queue.peek();
       while (!queue.isEmpty()
           && queue.peek().record != null
-          && bytes < MOST_FRAME
-          && queue.peek().epoch
-              == first.epoch) { // what is tried afresh does not fail with what failed
+          && bytes < MAX_FRAME_BYTES
+          && queue.peek().epoch == first.epoch) { // epochs fail independently
         bytes += queue.peek().record.length;
         batch.add(queue.poll());
       }
@@ -139,10 +147,10 @@
     if (!batch.isEmpty()) {
       commit(batch);
     } else if (first != null && snapshot == null) {
-      begin(first);
+      startSnapshot(first);
     }
     if (snapshot != null) {
-      advance();
+      continueSnapshot();
     }
     size = journal.size();
     synchronized (queue) {
@@ -153,75 +161,75 @@
     }
   }
 
-  private void commit(List<Step> batch) {
+  private void commit(List<Task> batch) {
     IOException failed = null;
     if (batch.get(0).epoch <= failedEpoch) {
       failed = new IOException("an earlier record could not be written");
     } else {
       try {
-        journal.append(batch.stream().map(Step::record).toList());
+        journal.append(batch.stream().map(Task::record).toList());
       } catch (IOException bad) {
         failed = bad;
         failedEpoch = batch.get(0).epoch;
       }
     }
-    tell(batch, failed);
+    complete(batch, failed);
   }
 
-  private void begin(Step step) {
+  private void startSnapshot(Task task) {
     synchronized (queue) {
       queue.poll();
     }
     try {
-      if (step.epoch <= failedEpoch) {
+      if (task.epoch <= failedEpoch) {
         throw new IOException("an earlier record could not be written");
       }
-      snapshot = journal.snapshot(step.pieces.get());
-      snapshotStep = step;
-      while (step.barrier && snapshot.step()) {
-        // nothing comes between
+      snapshot = journal.snapshot(task.pieces.get());
+      snapshotTask = task;
+      while (task.barrier && snapshot.step()) {
+        // no record may come between the steps
       }
-      if (step.barrier) {
+      if (task.barrier) {
         snapshot = null;
-        tell(List.of(step), null);
+        complete(List.of(task), null);
       }
     } catch (IOException bad) {
-      failedEpoch = step.barrier ? Math.max(failedEpoch, step.epoch) : failedEpoch;
+      failedEpoch = task.barrier ? Math.max(failedEpoch, task.epoch) : failedEpoch;
       snapshot = null;
-      tell(List.of(step), bad);
+      complete(List.of(task), bad);
     }
   }
 
-  private void advance() {
+  private void continueSnapshot() {
     try {
       if (!snapshot.step()) {
         snapshot = null;
-        tell(List.of(snapshotStep), null);
+        complete(List.of(snapshotTask), null);
       }
     } catch (IOException bad) {
       snapshot = null;
-      tell(List.of(snapshotStep), bad);
+      complete(List.of(snapshotTask), bad);
     }
   }
 
-  private void tell(List<Step> steps, IOException failed) {
+  private void complete(List<Task> tasks, IOException failed) {
     owner.execute(
         () -> {
-          for (Step one : steps) {
-            waiting--;
-            if (failed != null && one.epoch == epoch && (one.record != null || one.barrier)) {
+          for (Task task : tasks) {
+            pending--;
+            if (failed != null && task.epoch == epoch && (task.record != null || task.barrier)) {
               epoch++;
             }
-            one.done.accept(failed);
+            task.done.accept(failed);
           }
         });
   }
 
   /**
-   * Ends it after all that was appended: a last empty frame marks that what is before it was
-   * acknowledged.
+   * Closes the journal once all tasks are completed. A last empty frame marks that all records
+   * before it were acknowledged.
    *
-   * @param closed is told on the owner's thread
+   * @param closed runs on the owner's thread
    */
   public void close(Runnable closed) {
     helper.execute(
@@ -235,8 +243,8 @@
           try {
             journal.append(List.of());
             journal.close();
-          } catch (IOException late) {
-            // all that was acknowledged is forced; only the mark is missing
+          } catch (IOException ignored) {
+            // all acknowledged records are forced; only the mark is missing
           }
           owner.execute(closed);
         });
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -1,29 +1,33 @@
 package mothwing.store;
 
 import java.io.IOException;
+import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.Iterator;
 import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.function.Consumer;
 
 /**
- * One append log with snapshots, on a {@link Disk}. Records are numbered; those that are appended
- * at once are written as one frame and forced before {@link #append} returns. A snapshot is written
- * aside, forced and renamed; the log goes on in a new file, and what the snapshot covers is
- * deleted. Opening reads the newest snapshot and all records after it. A frame that is cut at the
- * very end was never acknowledged: it is cut off and logged. A frame that is damaged before the end
- * was: then opening fails, naming the place.
+ * An append-only log with snapshots, on a {@link Disk}. Records are numbered; those that are
+ * appended together are written as one frame and forced before {@link #append} returns. A snapshot
+ * is written to a temporary file, forced and renamed; the log continues in a new file, and the
+ * files that the snapshot covers are deleted. Opening reads the newest snapshot and all records
+ * after it. A torn frame at the very end was never acknowledged: it is truncated and logged. A
+ * damaged frame before the end was acknowledged: opening fails and names the place.
  *
- * <p>It blocks, and belongs to one thread at a time. After a failure the file is cut back to what
- * was acknowledged; while that fails too, each further append tries it again first.
+ * <p>It blocks, and belongs to one thread at a time. After a failed append the file is truncated to
+ * what was acknowledged; while that fails too, each further append retries it first.
  */
 public final class Journal implements AutoCloseable {
   private static final String LOG = "log-";
   private static final String SNAPSHOT = "snapshot-";
-  private static final String ASIDE = "aside.tmp";
-  private static final int CHUNK = 1 << 20; // bytes of a snapshot's frame
+  private static final String TEMPORARY = "aside.tmp";
+  private static final int SNAPSHOT_FRAME_BYTES = 1 << 20;
+  private static final long END_OF_SNAPSHOT = -1; // the sequence number of its last frame
 
-  /** Takes what was stored, in order: at most one snapshot, then the records after it. */
+  /** Receives what was stored, in order: at most one snapshot, then the records after it. */
   public interface Replay {
     /** A piece of the snapshot. */
     void snapshot(byte[] piece) throws IOException;
@@ -36,10 +40,10 @@
   private final Consumer<String> log;
   private Disk.Opened file;
   private String name;
-  private long good;
-  private long next;
-  private boolean broken;
-  private String leftover;
+  private long acknowledgedBytes;
+  private long nextSequence;
+  private boolean hasTornFrame;
+  private String abandonedFile;
 
   private Journal(Disk disk, Consumer<String> log) {
     this.disk = disk;
@@ -50,10 +54,10 @@
    * Opens a journal, or makes one.
    *
    * @param disk where its files are
-   * @param replay takes what it holds
-   * @param log takes lines on what was cut or is left over
+   * @param replay receives what it holds
+   * @param log takes lines of the log on truncated and abandoned files
    * @return the journal, to be appended to
-   * @throws Corrupt where a file is damaged before its end
+   * @throws CorruptRecordException where a file is damaged before its end
    * @throws IOException where the files cannot be read or written
    */
   public static Journal open(Disk disk, Replay replay, Consumer<String> log) throws IOException {
@@ -62,7 +66,7 @@
     return journal;
   }
 
-  private static String named(String kind, long sequence) {
+  private static String fileName(String kind, long sequence) {
     return kind + String.format("%016x", sequence);
   }
 
@@ -73,115 +77,101 @@
   private void recover(Replay replay) throws IOException {
     List<String> logs = new ArrayList<>();
     List<String> snapshots = new ArrayList<>();
-    for (String one : disk.list()) {
-      if (one.matches("log-[0-9a-f]{16}")) {
-        logs.add(one);
-      } else if (one.matches("snapshot-[0-9a-f]{16}")) {
-        snapshots.add(one);
-      } else if (one.equals(ASIDE)) {
-        disk.delete(one);
+    for (String found : disk.list()) {
+      if (found.matches("log-[0-9a-f]{16}")) {
+        logs.add(found);
+      } else if (found.matches("snapshot-[0-9a-f]{16}")) {
+        snapshots.add(found);
+      } else if (found.equals(TEMPORARY)) {
+        disk.delete(found);
       }
     }
-    next = 1;
+    nextSequence = 1;
     if (!snapshots.isEmpty()) {
       String newest = snapshots.get(snapshots.size() - 1);
-      next = sequence(newest, SNAPSHOT) + 1;
+      nextSequence = sequence(newest, SNAPSHOT) + 1;
       readSnapshot(newest, replay);
     }
-    // A log is needed where it holds records that the snapshot does not cover.
+    // needed are the log files with records that the snapshot does not cover
     int from = logs.size() - 1;
-    while (from > 0 && sequence(logs.get(from), LOG) > next) {
+    while (from > 0 && sequence(logs.get(from), LOG) > nextSequence) {
       from--;
     }
     for (int i = Math.max(0, from); i < logs.size(); i++) {
       readLog(logs.get(i), i == logs.size() - 1, replay);
     }
     if (file == null) {
-      begin();
+      startFile();
     }
-    for (String one : logs.subList(0, Math.max(0, from))) {
-      disk.delete(one);
+    for (String covered : logs.subList(0, Math.max(0, from))) {
+      disk.delete(covered);
     }
-    for (String one : snapshots.subList(0, Math.max(0, snapshots.size() - 1))) {
-      disk.delete(one);
+    for (String former : snapshots.subList(0, Math.max(0, snapshots.size() - 1))) {
+      disk.delete(former);
     }
   }
 
   private void readSnapshot(String snapshot, Replay replay) throws IOException {
     try (Disk.Opened opened = disk.open(snapshot)) {
-      long at =
-          RecordFraming.first(opened, snapshot) == sequence(snapshot, SNAPSHOT)
-              ? RecordFraming.HEAD
-              : -1;
-      long pieces = 0;
-      while (at >= 0 && at < opened.size()) {
-        RecordFraming.Frame frame = RecordFraming.read(opened, at);
-        if (frame == null || frame.first() != pieces && frame.first() != -1) {
-          throw new CorruptRecordException(snapshot, at, "a damaged piece of the snapshot");
-        }
-        if (frame.first() == -1) { // the last: says how many there were
-          if (frame.records().size() != 1
-              || java.nio.ByteBuffer.wrap(frame.records().get(0)).getLong() != pieces) {
-            throw new CorruptRecordException(snapshot, at, "pieces of the snapshot are missing");
-          }
+      OptionalLong covers = RecordFraming.firstSequence(opened, snapshot);
+      if (covers.isEmpty() || covers.getAsLong() != sequence(snapshot, SNAPSHOT)) {
+        throw new CorruptRecordException(snapshot, 0, "the snapshot is cut short");
+      }
+      long offset = RecordFraming.HEADER_BYTES;
+      long frames = 0;
+      while (offset < opened.size()) {
+        RecordFraming.Frame frame = snapshotFrame(opened, snapshot, offset, frames);
+        if (frame.firstSequence() == END_OF_SNAPSHOT) {
           return;
         }
         for (byte[] piece : frame.records()) {
           replay.snapshot(piece);
         }
-        pieces++;
-        at = frame.end();
+        frames++;
+        offset = frame.end();
       }
-      throw new CorruptRecordException(snapshot, Math.max(0, at), "the snapshot is cut short");
+      throw new CorruptRecordException(snapshot, offset, "the snapshot is cut short");
     }
   }
 
+  /** Reads a frame of a snapshot; the last one holds the number of those before it. */
+  private static RecordFraming.Frame snapshotFrame(
+      Disk.Opened opened, String snapshot, long offset, long number) throws IOException {
+    Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
+    if (read.isEmpty()
+        || (read.get().firstSequence() != number
+            && read.get().firstSequence() != END_OF_SNAPSHOT)) {
+      throw new CorruptRecordException(snapshot, offset, "a damaged piece of the snapshot");
+    }
+    RecordFraming.Frame frame = read.get();
+    if (frame.firstSequence() == END_OF_SNAPSHOT
+        && (frame.records().size() != 1
+            || ByteBuffer.wrap(frame.records().get(0)).getLong() != number)) {
+      throw new CorruptRecordException(snapshot, offset, "pieces of the snapshot are missing");
+    }
+    return frame;
+  }
+
   private void readLog(String log, boolean last, Replay replay) throws IOException {
     Disk.Opened opened = disk.open(log);
     boolean kept = false;
     try {
-      long first = RecordFraming.first(opened, log);
-      if (first < 0 && last && RecordFraming.findAfter(opened, 0, next) < 0) {
+      OptionalLong first = RecordFraming.firstSequence(opened, log);
+      if (first.isEmpty() && last && RecordFraming.findFrame(opened, 0, nextSequence).isEmpty()) {
         this.log.accept("journal-cut file=" + log + " at=0 bytes=" + opened.size());
-        disk.delete(log); // it was being made; nothing in it was acknowledged
+        disk.delete(log); // its creation was interrupted: nothing in it was acknowledged
         return;
-      } else if (first < 0 || first != sequence(log, LOG) || first > next) {
-        throw new CorruptRecordException(
-            log,
-            0,
-            first > next
-                ? "records " + next + " to " + (first - 1) + " are missing"
-                : "the head is damaged");
-      }
-      long at = RecordFraming.HEAD;
-      long expected = first;
-      while (at < opened.size()) {
-        RecordFraming.Frame frame = RecordFraming.read(opened, at);
-        if (frame != null && frame.first() != expected) {
-          throw new CorruptRecordException(
-              log, at, "a frame with record " + frame.first() + ", expected " + expected);
-        } else if (frame == null) {
-          cut(opened, log, at, last, expected);
-          break;
-        }
-        for (byte[] record : frame.records()) {
-          if (expected >= next) { // those before are in the snapshot
-            replay.record(record);
-            next = expected + 1;
-          }
-          expected++;
-        }
-        at = frame.end();
       }
+      checkHeader(log, first);
+      LogEnd end = replayRecords(opened, log, last, replay);
       if (last) {
-        next = Math.max(next, expected);
-        if (expected < next) {
-          return; // all of it is in the snapshot, and more: a new file goes on
+        nextSequence = Math.max(nextSequence, end.sequence());
+        if (end.sequence() == nextSequence) { // else a new file starts behind the snapshot
+          file = opened;
+          name = log;
+          acknowledgedBytes = end.offset();
+          kept = true;
         }
-        file = opened;
-        name = log;
-        good = at;
-        kept = true;
       }
     } finally {
       if (!kept) {
@@ -190,33 +180,73 @@
     }
   }
 
-  private void cut(Disk.Opened opened, String log, long at, boolean last, long expected)
+  private void checkHeader(String log, OptionalLong first) throws CorruptRecordException {
+    if (first.isPresent() && first.getAsLong() > nextSequence) {
+      throw new CorruptRecordException(
+          log, 0, "records " + nextSequence + " to " + (first.getAsLong() - 1) + " are missing");
+    }
+    if (first.isEmpty() || first.getAsLong() != sequence(log, LOG)) {
+      throw new CorruptRecordException(log, 0, "the head is damaged");
+    }
+  }
+
+  /** Where the records of a log file end: the next sequence number, and the offset. */
+  private record LogEnd(long sequence, long offset) {}
+
+  private LogEnd replayRecords(Disk.Opened opened, String log, boolean last, Replay replay)
       throws IOException {
-    long later = RecordFraming.findAfter(opened, at + 1, expected);
-    if (!last || later >= 0) {
+    long expected = sequence(log, LOG);
+    long offset = RecordFraming.HEADER_BYTES;
+    while (offset < opened.size()) {
+      Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
+      if (read.isEmpty()) {
+        truncateTornTail(opened, log, offset, last, expected);
+        break;
+      }
+      RecordFraming.Frame frame = read.get();
+      if (frame.firstSequence() != expected) {
+        throw new CorruptRecordException(
+            log, offset, "a frame with record " + frame.firstSequence() + ", expected " + expected);
+      }
+      for (byte[] record : frame.records()) {
+        if (expected >= nextSequence) { // the snapshot covers those before
+          replay.record(record);
+          nextSequence = expected + 1;
+        }
+        expected++;
+      }
+      offset = frame.end();
+    }
+    return new LogEnd(expected, offset);
+  }
+
+  /** Truncates a torn frame at the end; fails if it is not at the end of the last file. */
+  private void truncateTornTail(
+      Disk.Opened opened, String log, long at, boolean last, long expected) throws IOException {
+    OptionalLong later = RecordFraming.findFrame(opened, at + 1, expected);
+    if (!last || later.isPresent()) {
       throw new CorruptRecordException(
           log,
           at,
           "a damaged frame, followed by whole ones"
-              + (later >= 0 ? " at byte " + later : " in the next file"));
+              + (later.isPresent() ? " at byte " + later.getAsLong() : " in the next file"));
     }
     this.log.accept("journal-cut file=" + log + " at=" + at + " bytes=" + (opened.size() - at));
     opened.truncate(at);
     opened.force();
   }
 
-  /** Begins a new file, from the next record on. */
-  private void begin() throws IOException {
-    String fresh = named(LOG, next);
+  /** Starts a new file, for the next record on. */
+  private void startFile() throws IOException {
+    String fresh = fileName(LOG, nextSequence);
     Disk.Opened opened = disk.open(fresh);
     try {
       opened.truncate(0);
-      opened.append(RecordFraming.head(next));
+      opened.append(RecordFraming.header(nextSequence));
       opened.force();
       disk.forceNames();
     } catch (IOException failed) {
-      leftover =
-          fresh; // a later file beside one that goes on would be read as the one that went on
+      abandonedFile = fresh; // recovery would take it for the continuation of the current file
       opened.close();
       tryRepair();
       throw failed;
@@ -226,59 +256,61 @@
     }
     file = opened;
     name = fresh;
-    good = RecordFraming.HEAD;
+    acknowledgedBytes = RecordFraming.HEADER_BYTES;
   }
 
   /**
    * Appends records, all or none, and forces them.
    *
-   * @param records the records; none writes a frame without any, which marks that all before was
+   * @param records the records; if there are none, an empty frame marks that all before it was
    *     acknowledged
    * @throws IOException where they could not be written: none of them is in the journal
    */
   public void append(List<byte[]> records) throws IOException {
-    if (records.stream().mapToLong(one -> one.length + 4L).sum() > RecordFraming.MOST_FRAME) {
-      throw new IOException("records of more than " + RecordFraming.MOST_FRAME + " bytes at once");
+    if (records.stream().mapToLong(record -> record.length + (long) Integer.BYTES).sum()
+        > RecordFraming.MAX_CONTENT_BYTES) {
+      throw new IOException(
+          "records of more than " + RecordFraming.MAX_CONTENT_BYTES + " bytes at once");
     }
     repair();
-    java.nio.ByteBuffer frame = RecordFraming.frame(next, records);
+    ByteBuffer frame = RecordFraming.frame(nextSequence, records);
     int length = frame.remaining();
-    broken = true; // until it is known to be whole
+    hasTornFrame = true; // until the frame is complete
     try {
       file.append(frame);
       file.force();
-      broken = false;
+      hasTornFrame = false;
     } finally {
-      if (broken) {
+      if (hasTornFrame) {
         tryRepair();
       }
     }
-    good += length;
-    next += records.size();
+    acknowledgedBytes += length;
+    nextSequence += records.size();
   }
 
   private void tryRepair() {
     try {
       repair();
-    } catch (IOException still) {
-      log.accept("journal-broken file=" + name + " what=\"" + still.getMessage() + "\"");
+    } catch (IOException stillFailing) {
+      log.accept("journal-broken file=" + name + " what=\"" + stillFailing.getMessage() + "\"");
     }
   }
 
   /**
-   * Takes away what may be left of a frame or file that failed: else it could come back after a
+   * Removes the remains of a frame or file whose write failed, which recovery would read after a
    * crash.
    */
   private void repair() throws IOException {
-    if (leftover != null) {
-      disk.delete(leftover);
+    if (abandonedFile != null) {
+      disk.delete(abandonedFile);
       disk.forceNames();
-      leftover = null;
+      abandonedFile = null;
     }
-    if (broken) {
-      file.truncate(good);
+    if (hasTornFrame) {
+      file.truncate(acknowledgedBytes);
       file.force();
-      broken = false;
+      hasTornFrame = false;
     }
   }
 
@@ -288,92 +320,99 @@
    * @return the size
    */
   public long size() {
-    return good;
+    return acknowledgedBytes;
   }
 
   /**
-   * The number of the last record.
+   * The sequence number of the last record.
    *
    * @return its sequence number, 0 where there is none
    */
   public long last() {
-    return next - 1;
+    return nextSequence - 1;
   }
 
-  /** A snapshot that is being written: piece by piece, so that appends can come between. */
+  /** A snapshot that is being written, in steps between which records can be appended. */
   public final class Snapshot {
     private final long covers;
     private final Iterator<byte[]> pieces;
-    private final Disk.Opened aside;
+    private final Disk.Opened temporary;
     private long frames;
 
     private Snapshot(Iterator<byte[]> pieces) throws IOException {
-      this.covers = next - 1;
+      this.covers = nextSequence - 1;
       this.pieces = pieces;
       repair();
-      if (good > RecordFraming.HEAD || !name.equals(named(LOG, next))) {
-        begin(); // what comes from now on is in a file of its own
+      if (acknowledgedBytes > RecordFraming.HEADER_BYTES
+          || !name.equals(fileName(LOG, nextSequence))) {
+        startFile(); // so that the file before it can be deleted
       }
-      aside = disk.open(ASIDE);
-      aside.truncate(0);
-      aside.append(RecordFraming.head(covers));
+      temporary = disk.open(TEMPORARY);
+      temporary.truncate(0);
+      temporary.append(RecordFraming.header(covers));
     }
 
     /**
-     * Writes some more of it.
+     * Writes the next frame of it.
      *
-     * @return false once it is whole, forced, and has taken the place of what it covers
-     * @throws IOException where that fails; the snapshot is given up, and all is as before
+     * @return false once it is complete and forced, and the files that it covers are deleted
+     * @throws IOException where that fails; the snapshot is abandoned, and the journal is as before
      */
     public boolean step() throws IOException {
       try {
-        List<byte[]> some = new ArrayList<>();
+        List<byte[]> frame = new ArrayList<>();
         int bytes = 0;
-        while (bytes < CHUNK && pieces.hasNext()) {
-          byte[] one = pieces.next();
-          some.add(one);
-          bytes += one.length;
+        while (bytes < SNAPSHOT_FRAME_BYTES && pieces.hasNext()) {
+          byte[] piece = pieces.next();
+          frame.add(piece);
+          bytes += piece.length;
         }
-        if (!some.isEmpty()) {
-          aside.append(RecordFraming.frame(frames++, some));
+        if (!frame.isEmpty()) {
+          temporary.append(RecordFraming.frame(frames++, frame));
           return true;
         }
-        byte[] count = java.nio.ByteBuffer.allocate(8).putLong(frames).array();
-        aside.append(RecordFraming.frame(-1, List.of(count)));
-        aside.force();
+        byte[] count = ByteBuffer.allocate(Long.BYTES).putLong(frames).array();
+        temporary.append(RecordFraming.frame(END_OF_SNAPSHOT, List.of(count)));
+        temporary.force();
       } catch (IOException failed) {
-        giveUp();
+        abandon();
         throw failed;
       }
-      aside.close();
-      disk.rename(ASIDE, named(SNAPSHOT, covers));
+      temporary.close();
+      disk.rename(TEMPORARY, fileName(SNAPSHOT, covers));
       disk.forceNames();
-      for (String one : disk.list()) {
-        if (one.startsWith(SNAPSHOT) && sequence(one, SNAPSHOT) < covers
-            || one.startsWith(LOG) && sequence(one, LOG) <= covers && !one.equals(name)) {
-          disk.delete(one);
+      for (String found : disk.list()) {
+        if (isCovered(found)) {
+          disk.delete(found);
         }
       }
       return false;
     }
 
-    /** Gives it up. */
-    public void giveUp() {
+    private boolean isCovered(String found) {
+      boolean formerSnapshot = found.startsWith(SNAPSHOT) && sequence(found, SNAPSHOT) < covers;
+      boolean formerLog =
+          found.startsWith(LOG) && sequence(found, LOG) <= covers && !found.equals(name);
+      return formerSnapshot || formerLog;
+    }
+
+    /** Abandons it; the journal is as before. */
+    public void abandon() {
       try {
-        aside.close();
-        disk.delete(ASIDE);
-      } catch (IOException left) {
-        log.accept("journal-left file=" + ASIDE + " what=\"" + left.getMessage() + "\"");
+        temporary.close();
+        disk.delete(TEMPORARY);
+      } catch (IOException notDeleted) {
+        log.accept("journal-left file=" + TEMPORARY + " what=\"" + notDeleted.getMessage() + "\"");
       }
     }
   }
 
   /**
-   * Begins a snapshot of the state after the last record.
+   * Starts a snapshot of the state after the last record.
    *
    * @param pieces the state, in pieces of 16 MiB at most
-   * @return what writes it
-   * @throws IOException where it cannot be begun; all is as before
+   * @return the snapshot, to be written step by step
+   * @throws IOException where it cannot be started; the journal is as before
    */
   public Snapshot snapshot(Iterator<byte[]> pieces) throws IOException {
     return new Snapshot(pieces);
--- a/src/main/java/mothwing/store/RecordFraming.java
+++ b/src/main/java/mothwing/store/RecordFraming.java
@@ -4,122 +4,151 @@
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
+import java.util.OptionalLong;
 import java.util.zip.CRC32C;
 
 /**
- * The form of the store's files: a head with magic, version, kind and a first sequence number, then
- * frames. A frame is what was written and forced at once: its magic, the length of its content, the
- * sequence number of its first record, the number of its records, a CRC-32C of all that (RFC 3720
- * appendix B.4 has the polynomial) and its records, each behind its length. All numbers are
- * big-endian.
+ * The format of the store's files: a header with magic, version, first sequence number and
+ * checksum, then frames. A frame holds the records that were written and forced together: its
+ * magic, the length of its content, the sequence number of its first record, the number of its
+ * records, a CRC-32C of all these and of the content (RFC 3720 appendix B.4 has the polynomial),
+ * and the content, which is its records, each behind its length. All numbers are big-endian.
  */
 final class RecordFraming {
-  /** Bytes of a file's head. */
-  static final int HEAD = 24;
+  /** Length of a file's header. */
+  static final int HEADER_BYTES = 24;
 
-  /** Most bytes of a frame's content. */
-  static final int MOST_FRAME = 64 << 20;
+  /** Bounds the content of a frame. */
+  static final int MAX_CONTENT_BYTES = 64 << 20;
 
   private static final long FILE_MAGIC = 0x6d6f74682d6c6f67L; // "moth-log"
   private static final int VERSION = 1;
   private static final int FRAME_MAGIC = 0x6d77f7a3;
-  private static final int FRAME_HEAD = 24;
-  private static final int CRC_AT = 20;
+  private static final int FRAME_HEADER_BYTES = 24;
+  private static final int LENGTH_OFFSET = 4;
+  private static final int SEQUENCE_OFFSET = 8;
+  private static final int COUNT_OFFSET = 16;
+  private static final int CHECKSUM_OFFSET = 20;
+  private static final int SEARCH_WINDOW_BYTES = 1 << 16;
 
-  /** What a frame says: its first sequence number, its records, and where it ends. */
-  record Frame(long first, List<byte[]> records, long end) {}
+  /**
+   * A frame that was read.
+   *
+   * @param firstSequence the sequence number of its first record
+   * @param records its records
+   * @param end the offset behind it in its file
+   */
+  record Frame(long firstSequence, List<byte[]> records, long end) {}
 
   private RecordFraming() {}
 
-  static ByteBuffer head(long first) {
-    ByteBuffer head = ByteBuffer.allocate(HEAD);
-    head.putLong(FILE_MAGIC).putInt(VERSION).putLong(first);
+  /** The header of a file. */
+  static ByteBuffer header(long firstSequence) {
+    ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
+    header.putLong(FILE_MAGIC).putInt(VERSION).putLong(firstSequence);
     CRC32C crc = new CRC32C();
-    crc.update(head.array(), 0, HEAD - 4);
-    return head.putInt((int) crc.getValue()).flip();
+    crc.update(header.array(), 0, HEADER_BYTES - 4);
+    return header.putInt((int) crc.getValue()).flip();
   }
 
-  /** The first sequence number of a file, or -1 where it has no whole head. */
-  static long first(Disk.Opened file, String name) throws IOException {
-    ByteBuffer head = ByteBuffer.allocate(HEAD);
-    if (file.read(head, 0) < HEAD) {
-      return -1;
+  /**
+   * The first sequence number of a file, or none where its header is incomplete or damaged.
+   *
+   * @throws CorruptRecordException where a newer version of this program wrote it
+   */
+  static OptionalLong firstSequence(Disk.Opened file, String name) throws IOException {
+    ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
+    if (file.read(header, 0) < HEADER_BYTES) {
+      return OptionalLong.empty();
     }
     CRC32C crc = new CRC32C();
-    crc.update(head.array(), 0, HEAD - 4);
-    head.flip();
-    long magic = head.getLong();
-    int version = head.getInt();
-    long first = head.getLong();
-    boolean whole = (int) crc.getValue() == head.getInt();
-    if (whole && magic == FILE_MAGIC && version > VERSION) {
+    crc.update(header.array(), 0, HEADER_BYTES - 4);
+    header.flip();
+    long magic = header.getLong();
+    int version = header.getInt();
+    long first = header.getLong();
+    boolean isComplete = (int) crc.getValue() == header.getInt() && magic == FILE_MAGIC;
+    if (isComplete && version > VERSION) {
       throw new CorruptRecordException(name, 0, "written by a newer version of this program");
     }
-    return whole && magic == FILE_MAGIC && version == VERSION ? first : -1;
+    return isComplete && version == VERSION && first >= 0
+        ? OptionalLong.of(first)
+        : OptionalLong.empty();
   }
 
-  static ByteBuffer frame(long first, List<byte[]> records) {
-    int length = records.stream().mapToInt(one -> 4 + one.length).sum();
-    ByteBuffer frame = ByteBuffer.allocate(FRAME_HEAD + length);
-    frame.putInt(FRAME_MAGIC).putInt(length).putLong(first).putInt(records.size()).putInt(0);
-    for (byte[] one : records) {
-      frame.putInt(one.length).put(one);
+  /** A frame of these records. */
+  static ByteBuffer frame(long firstSequence, List<byte[]> records) {
+    int length = records.stream().mapToInt(record -> Integer.BYTES + record.length).sum();
+    ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + length);
+    frame
+        .putInt(FRAME_MAGIC)
+        .putInt(length)
+        .putLong(firstSequence)
+        .putInt(records.size())
+        .putInt(0);
+    for (byte[] record : records) {
+      frame.putInt(record.length).put(record);
     }
-    frame.putInt(CRC_AT, crc(frame.array(), 0, length));
+    frame.putInt(CHECKSUM_OFFSET, checksum(frame.array(), length));
     return frame.flip();
   }
 
-  private static int crc(byte[] bytes, int from, int length) {
+  private static int checksum(byte[] frame, int length) {
     CRC32C crc = new CRC32C();
-    crc.update(bytes, from, CRC_AT);
-    crc.update(bytes, from + FRAME_HEAD, length);
+    crc.update(frame, 0, CHECKSUM_OFFSET);
+    crc.update(frame, FRAME_HEADER_BYTES, length);
     return (int) crc.getValue();
   }
 
-  /** The frame at a place of a file, or null where there is no whole one. */
-  static Frame read(Disk.Opened file, long at) throws IOException {
-    ByteBuffer head = ByteBuffer.allocate(FRAME_HEAD);
-    if (file.read(head, at) < FRAME_HEAD || head.getInt(0) != FRAME_MAGIC) {
-      return null;
+  /** The frame at an offset of a file, or none where it is incomplete or damaged. */
+  static Optional<Frame> read(Disk.Opened file, long offset) throws IOException {
+    ByteBuffer header = ByteBuffer.allocate(FRAME_HEADER_BYTES);
+    if (file.read(header, offset) < FRAME_HEADER_BYTES || header.getInt(0) != FRAME_MAGIC) {
+      return Optional.empty();
     }
-    int length = head.getInt(4);
-    if (length < 0 || length > MOST_FRAME || at + FRAME_HEAD + length > file.size()) {
-      return null;
+    int length = header.getInt(LENGTH_OFFSET);
+    if (length < 0
+        || length > MAX_CONTENT_BYTES
+        || offset + FRAME_HEADER_BYTES + length > file.size()) {
+      return Optional.empty();
     }
-    ByteBuffer whole = ByteBuffer.allocate(FRAME_HEAD + length);
-    file.read(whole, at);
-    if (crc(whole.array(), 0, length) != whole.getInt(CRC_AT)) {
-      return null;
+    ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + length);
+    file.read(frame, offset);
+    if (checksum(frame.array(), length) != frame.getInt(CHECKSUM_OFFSET)) {
+      return Optional.empty();
     }
-    whole.position(FRAME_HEAD);
+    frame.position(FRAME_HEADER_BYTES);
     List<byte[]> records = new ArrayList<>();
-    for (int i = 0; i < whole.getInt(16); i++) {
-      byte[] record = new byte[whole.getInt()];
-      whole.get(record);
+    for (int i = 0; i < frame.getInt(COUNT_OFFSET); i++) {
+      byte[] record = new byte[frame.getInt()];
+      frame.get(record);
       records.add(record);
     }
-    return new Frame(whole.getLong(8), records, at + FRAME_HEAD + length);
+    return Optional.of(
+        new Frame(frame.getLong(SEQUENCE_OFFSET), records, offset + FRAME_HEADER_BYTES + length));
   }
 
   /**
-   * Where a whole frame with a sequence number of at least {@code least} begins at or after a
-   * place, or -1.
+   * The offset, at or after another, of the next undamaged frame whose first sequence number is at
+   * least {@code minSequence}, or none.
    */
-  static long findAfter(Disk.Opened file, long from, long least) throws IOException {
-    int window = 1 << 16;
-    ByteBuffer bytes = ByteBuffer.allocate(window);
-    for (long at = from; at + FRAME_HEAD <= file.size(); at += window - 3) {
+  static OptionalLong findFrame(Disk.Opened file, long from, long minSequence) throws IOException {
+    ByteBuffer bytes = ByteBuffer.allocate(SEARCH_WINDOW_BYTES);
+    for (long at = from;
+        at + FRAME_HEADER_BYTES <= file.size();
+        at += SEARCH_WINDOW_BYTES - (Integer.BYTES - 1)) {
       bytes.clear();
       int read = file.read(bytes, at);
-      for (int i = 0; i + 4 <= read; i++) {
+      for (int i = 0; i + Integer.BYTES <= read; i++) {
         if (bytes.getInt(i) == FRAME_MAGIC) {
-          Frame found = read(file, at + i);
-          if (found != null && found.first() >= least) {
-            return at + i;
+          Optional<Frame> frame = read(file, at + i);
+          if (frame.isPresent() && frame.get().firstSequence() >= minSequence) {
+            return OptionalLong.of(at + i);
           }
         }
       }
     }
-    return -1;
+    return OptionalLong.empty();
   }
 }
