--- a/src/main/java/mothwing/overload/FilterLadder.java
+++ b/src/main/java/mothwing/overload/FilterLadder.java
@@ -113,7 +113,8 @@
     secondsInFilter[filter] += span;
     count(now, index);
     long sojourn = SOJOURN_SAMPLES * sample;
-    if (now - lastStepAt < Math.max((double) sojourn, Math.min(2 * lag, (double) (MAX_WAIT_SOJOURNS * sojourn)))) {
+    if (now - lastStepAt
+        < Math.max((double) sojourn, Math.min(2 * lag, (double) (MAX_WAIT_SOJOURNS * sojourn)))) {
       return false;
     }
     int next = filter;
