--- a/src/main/java/mothwing/admin/AdminCommand.java
+++ b/src/main/java/mothwing/admin/AdminCommand.java
@@ -23,30 +23,31 @@
    * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, but for
    *     the figures
    */
-  static String answer(String line, AdminOperations on) {
+  static String reply(String line, AdminOperations on) {
     String word = line.strip();
     for (AdminCommand call : values()) {
       if (call.name().equals(word)) {
-        return call.carriedOut(on);
+        return call.execute(on);
       }
     }
-    return no(
+    return failure(
         word.isEmpty()
             ? "an empty line is no call"
             : "unknown call, known are HEALTH DUMP MEMBERS LEAVE JOIN");
   }
 
-  private String carriedOut(AdminOperations on) {
+  private String execute(AdminOperations on) {
     return switch (this) {
-      case HEALTH -> on.isServing() ? "YES\n" : no("not taking clients");
+      case HEALTH -> on.isServing() ? "YES\n" : failure("not taking clients");
       case DUMP -> on.statistics() + "\nEND\n";
       case MEMBERS ->
-          on.members() == null ? no("no fleet is configured") : on.members() + "\nEND\n";
-      case LEAVE, JOIN -> on.setOutOfRotation(this == LEAVE) ? "YES\n" : no("leaving for good");
+          on.members() == null ? failure("no fleet is configured") : on.members() + "\nEND\n";
+      case LEAVE, JOIN ->
+          on.setOutOfRotation(this == LEAVE) ? "YES\n" : failure("leaving for good");
     };
   }
 
-  static String no(String why) {
+  static String failure(String why) {
     return "NO " + why + "\n";
   }
 
--- a/src/main/java/mothwing/admin/AdminConnection.java
+++ b/src/main/java/mothwing/admin/AdminConnection.java
@@ -10,11 +10,11 @@
 
 /**
  * A caller at the operators' door: one line, one reply, and a close. What follows the line is not
- * read; a line over {@link #MOST_LINE} bytes is answered with a plain no.
+ * read; a line over {@link #MAX_LINE_BYTES} bytes is answered with a plain no.
  */
 public final class AdminConnection extends Connection {
   /** Most bytes of a line, its end left out. */
-  static final int MOST_LINE = 64;
+  static final int MAX_LINE_BYTES = 64;
 
   private final AdminOperations on;
 
@@ -26,24 +26,24 @@
    * @param counters counts what happens
    */
   public AdminConnection(AdminOperations on, EventLog log, Counters counters) {
-    super("management", MOST_LINE + 2, log, counters);
+    super("management", MAX_LINE_BYTES + 2, log, counters);
     this.on = on;
   }
 
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
     int length = in.bytesBefore((byte) '\n');
-    if (length < 0 && in.readableBytes() <= MOST_LINE) {
+    if (length < 0 && in.readableBytes() <= MAX_LINE_BYTES) {
       return false;
     }
     markIdentified();
     count("calls");
-    boolean whole = length >= 0 && length <= MOST_LINE + 1;
+    boolean whole = length >= 0 && length <= MAX_LINE_BYTES + 1;
     String answer =
         whole
-            ? AdminCommand.answer(
+            ? AdminCommand.reply(
                 in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), on)
-            : AdminCommand.no("a line has at most " + MOST_LINE + " bytes");
+            : AdminCommand.failure("a line has at most " + MAX_LINE_BYTES + " bytes");
     count(answer.startsWith("NO ") ? "answered-no" : "answered");
     ByteBuf out = allocate(answer.length());
     out.writeCharSequence(answer, StandardCharsets.US_ASCII);
--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -13,8 +13,8 @@
 final class Ajp {
   static final int TO_CONTAINER = 0x1234;
   static final int TO_SERVER = 0x4142; // the letters AB
-  static final int HEAD = 4;
-  static final int MOST_PACKET = 8192;
+  static final int HEADER_BYTES = 4;
+  static final int MAX_PACKET_BYTES = 8192;
   static final int FORWARD_REQUEST = 2;
   static final int SEND_BODY_CHUNK = 3;
   static final int SEND_HEADERS = 4;
@@ -22,8 +22,8 @@
   static final int GET_BODY_CHUNK = 6;
   static final int CPONG = 9;
   static final int CPING = 10;
-  static final int MOST_CHUNK =
-      MOST_PACKET - HEAD - 4; // less the code, the length and the closing byte
+  static final int MAX_CHUNK_BYTES =
+      MAX_PACKET_BYTES - HEADER_BYTES - 4; // less the code, the length and the closing byte
 
   static final int CONTEXT = 0x01;
   static final int QUERY_STRING = 0x05;
@@ -117,8 +117,8 @@
   }
 
   static void sendBody(ByteBuf out, byte[] content) {
-    for (int from = 0; from < content.length; from += MOST_CHUNK) {
-      int length = Math.min(MOST_CHUNK, content.length - from);
+    for (int from = 0; from < content.length; from += MAX_CHUNK_BYTES) {
+      int length = Math.min(MAX_CHUNK_BYTES, content.length - from);
       int at = begin(out, SEND_BODY_CHUNK);
       out.writeShort(length).writeBytes(content, from, length).writeByte(0);
       finish(out, at);
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -20,10 +20,10 @@
  */
 public final class AjpConnection extends Connection {
   private static final byte[] NOTHING = new byte[0];
-  private static final long UNTOLD = -1;
+  private static final long LENGTH_UNKNOWN = -1;
 
   private final Broker broker;
-  private Asked open;
+  private PendingRequest open;
 
   /**
    * Makes the state of a new connection.
@@ -33,22 +33,22 @@
    * @param counters counts what happens
    */
   public AjpConnection(Broker broker, EventLog log, Counters counters) {
-    super("ajp", Ajp.MOST_PACKET, log, counters);
+    super("ajp", Ajp.MAX_PACKET_BYTES, log, counters);
     this.broker = broker;
   }
 
   /** The request that is open: its body is still to come, or its answer. */
-  private final class Asked extends FrontRequest {
+  private final class PendingRequest extends FrontRequest {
     private final InboundRequest.Fields fields = new InboundRequest.Fields();
     private final long begunAt = now();
     private String path;
     private String query = "";
-    private long length = UNTOLD;
+    private long length = LENGTH_UNKNOWN;
     private boolean chunked;
     private boolean reading = true;
     private byte[] body = NOTHING;
 
-    Asked() {
+    PendingRequest() {
       super(broker);
     }
 
@@ -122,9 +122,11 @@
     }
 
     void ask() {
-      ByteBuf out = allocate(Ajp.HEAD + 3);
+      ByteBuf out = allocate(Ajp.HEADER_BYTES + 3);
       long wanted =
-          length == UNTOLD ? InboundRequest.MAX_BODY_BYTES + 1 - body.length : length - body.length;
+          length == LENGTH_UNKNOWN
+              ? InboundRequest.MAX_BODY_BYTES + 1 - body.length
+              : length - body.length;
       Ajp.getBodyChunk(out, (int) wanted);
       send(out);
     }
@@ -149,7 +151,7 @@
 
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
-    if (in.readableBytes() < Ajp.HEAD) {
+    if (in.readableBytes() < Ajp.HEADER_BYTES) {
       return false;
     }
     int at = in.readerIndex();
@@ -157,14 +159,14 @@
       throw new ProtocolException(CloseReason.MALFORMED, "not the mark of a packet");
     }
     int length = in.getUnsignedShort(at + Short.BYTES);
-    if (length > Ajp.MOST_PACKET - Ajp.HEAD) {
+    if (length > Ajp.MAX_PACKET_BYTES - Ajp.HEADER_BYTES) {
       throw new ProtocolException(CloseReason.OVERSIZED, "a packet of " + length + " bytes");
     }
-    if (in.readableBytes() < Ajp.HEAD + length) {
+    if (in.readableBytes() < Ajp.HEADER_BYTES + length) {
       return false;
     }
-    packet(in.slice(at + Ajp.HEAD, length));
-    in.skipBytes(Ajp.HEAD + length);
+    packet(in.slice(at + Ajp.HEADER_BYTES, length));
+    in.skipBytes(Ajp.HEADER_BYTES + length);
     return true;
   }
 
@@ -182,7 +184,7 @@
       case Ajp.CPING -> {
         count("cpings");
         markIdentified();
-        ByteBuf out = allocate(Ajp.HEAD + 1);
+        ByteBuf out = allocate(Ajp.HEADER_BYTES + 1);
         Ajp.cpong(out);
         send(out);
       }
@@ -204,7 +206,7 @@
   }
 
   private void forward(ByteBuf in) throws ProtocolException {
-    Asked asked = new Asked();
+    PendingRequest asked = new PendingRequest();
     Ajp.need(in, 1);
     in.skipBytes(1); // the method: any may be used
     Ajp.string(in); // protocol
@@ -220,14 +222,14 @@
     }
     attributes(in, asked);
     open = asked;
-    if (asked.chunked && asked.length == UNTOLD) {
+    if (asked.chunked && asked.length == LENGTH_UNKNOWN) {
       asked.ask();
     } else if (asked.length <= 0) {
       asked.ready(); // no body; else its first chunk comes unasked
     }
   }
 
-  private static void attributes(ByteBuf in, Asked asked) throws ProtocolException {
+  private static void attributes(ByteBuf in, PendingRequest asked) throws ProtocolException {
     while (true) {
       Ajp.need(in, 1);
       int code = in.readUnsignedByte();
@@ -254,7 +256,7 @@
 
   @Override
   protected void onClosed() {
-    Asked left = open;
+    PendingRequest left = open;
     open = null;
     if (left != null) {
       left.cancel();
--- a/src/main/java/mothwing/cli/Counts.java
+++ b/src/main/java/mothwing/cli/Counts.java
@@ -6,7 +6,7 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
-import mothwing.fastcgi.Question;
+import mothwing.fastcgi.FastCgiClient;
 import mothwing.settings.Addresses;
 
 /** Asks a running shop server for its counters. */
@@ -20,10 +20,10 @@
     try (Socket socket = new Socket()) {
       socket.setSoTimeout(PATIENCE_MS);
       socket.connect(address, PATIENCE_MS);
-      socket.getOutputStream().write(Question.to("/counts"));
+      socket.getOutputStream().write(FastCgiClient.request("/counts"));
       String answer =
           new String(
-              Question.answer(new DataInputStream(socket.getInputStream())),
+              FastCgiClient.readResponse(new DataInputStream(socket.getInputStream())),
               StandardCharsets.UTF_8);
       out.print(answer.substring(answer.indexOf("\r\n\r\n") + "\r\n\r\n".length()));
     }
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -23,7 +23,7 @@
     CompletableFuture<ConfigReloader> started = new CompletableFuture<>();
     String noHangups =
         Hangup.handle(
-            () -> started.thenAccept(ConfigReloader::again)); // early: the default ends it
+            () -> started.thenAccept(ConfigReloader::reload)); // early: the default ends it
     Config config = Config.read(path);
     AsyncLogWriter log = new AsyncLogWriter(out);
     if (noHangups != null) {
--- a/src/main/java/mothwing/fastcgi/FastCgi.java
+++ b/src/main/java/mothwing/fastcgi/FastCgi.java
@@ -12,7 +12,7 @@
  */
 final class FastCgi {
   static final int VERSION = 1;
-  static final int HEADER = 8;
+  static final int HEADER_BYTES = 8;
   static final int BEGIN_REQUEST = 1;
   static final int ABORT_REQUEST = 2;
   static final int END_REQUEST = 3;
@@ -27,7 +27,7 @@
   static final int REQUEST_COMPLETE = 0;
   static final int UNKNOWN_ROLE = 3;
 
-  private static final int MOST_CONTENT = 0xFFFF;
+  private static final int MAX_CONTENT_BYTES = 0xFFFF;
   private static final int LONG_LENGTH = 0x80;
 
   private FastCgi() {}
@@ -45,8 +45,8 @@
   /** Writes a stream of one request, with the empty record that ends it. */
   static void stream(ByteBuf out, int type, int id, byte[]... parts) {
     for (byte[] part : parts) {
-      for (int at = 0; at < part.length; at += MOST_CONTENT) {
-        int length = Math.min(MOST_CONTENT, part.length - at);
+      for (int at = 0; at < part.length; at += MAX_CONTENT_BYTES) {
+        int length = Math.min(MAX_CONTENT_BYTES, part.length - at);
         head(out, type, id, length);
         out.writeBytes(part, at, length);
       }
@@ -56,7 +56,7 @@
 
   /** Writes the end of a request. */
   static void end(ByteBuf out, int id, int protocolStatus) {
-    head(out, END_REQUEST, id, HEADER);
+    head(out, END_REQUEST, id, HEADER_BYTES);
     out.writeInt(0).writeByte(protocolStatus).writeZero(3);
   }
 
--- a/src/main/java/mothwing/fastcgi/Question.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiClient.java
@@ -8,8 +8,8 @@
 import java.io.IOException;
 
 /** One request of our own to a shop server, for tools that ask it something. */
-public final class Question {
-  private Question() {}
+public final class FastCgiClient {
+  private FastCgiClient() {}
 
   /**
    * The bytes of a request without a body.
@@ -17,12 +17,12 @@
    * @param path where it goes
    * @return its records
    */
-  public static byte[] to(String path) {
+  public static byte[] request(String path) {
     ByteBuf pairs = Unpooled.buffer();
     FastCgi.pair(pairs, "REQUEST_METHOD", "GET");
     FastCgi.pair(pairs, "SCRIPT_NAME", path);
     ByteBuf out = Unpooled.buffer();
-    FastCgi.head(out, FastCgi.BEGIN_REQUEST, 1, FastCgi.HEADER);
+    FastCgi.head(out, FastCgi.BEGIN_REQUEST, 1, FastCgi.HEADER_BYTES);
     out.writeShort(FastCgi.RESPONDER).writeByte(0).writeZero(5);
     FastCgi.stream(out, FastCgi.PARAMS, 1, ByteBufUtil.getBytes(pairs));
     FastCgi.stream(out, FastCgi.STDIN, 1);
@@ -36,7 +36,7 @@
    * @return what stood in its records
    * @throws IOException where it ends early
    */
-  public static byte[] answer(DataInputStream in) throws IOException {
+  public static byte[] readResponse(DataInputStream in) throws IOException {
     ByteArrayOutputStream all = new ByteArrayOutputStream();
     while (true) {
       in.readByte();
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -24,18 +24,18 @@
  */
 public final class FastCgiConnection extends Connection {
   /** Most requests open at once on one connection. */
-  static final int MOST_OPEN = 32;
+  static final int MAX_OPEN_REQUESTS = 32;
 
   /** Most bytes of the parameters of one request. */
-  static final int MOST_PARAMS = 8 << 10;
+  static final int MAX_PARAMS_BYTES = 8 << 10;
 
-  private static final int MOST_RECORD =
-      FastCgi.HEADER + MOST_PARAMS + 0xFF; // a larger one is not gathered
-  private static final int MOST_PASSED_OVER = 128 << 10; // bytes since the last whole request
+  private static final int MAX_RECORD_BYTES =
+      FastCgi.HEADER_BYTES + MAX_PARAMS_BYTES + 0xFF; // a larger one is not gathered
+  private static final int MAX_SKIPPED_BYTES = 128 << 10; // bytes since the last whole request
   private static final byte[] NOTHING = new byte[0];
 
   private final Broker broker;
-  private final Map<Integer, Asked> open = new HashMap<>();
+  private final Map<Integer, PendingRequest> open = new HashMap<>();
   private int skip;
   private int passedOver;
 
@@ -47,12 +47,12 @@
    * @param counters counts what happens
    */
   public FastCgiConnection(Broker broker, EventLog log, Counters counters) {
-    super("fastcgi", MOST_RECORD, log, counters);
+    super("fastcgi", MAX_RECORD_BYTES, log, counters);
     this.broker = broker;
   }
 
   /** A request of this connection, from its begin to its end. */
-  private final class Asked extends FrontRequest {
+  private final class PendingRequest extends FrontRequest {
     private final int id;
     private final boolean keep;
     private final long begunAt = now();
@@ -61,7 +61,7 @@
     private boolean paramsWhole;
     private boolean read;
 
-    Asked(int id, boolean keep) {
+    PendingRequest(int id, boolean keep) {
       super(broker);
       this.id = id;
       this.keep = keep;
@@ -85,7 +85,7 @@
               .append("\r\n");
       fields.forEach(one -> head.append(one[0]).append(": ").append(one[1]).append("\r\n"));
       byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-      ByteBuf out = allocate(first.length + content.length + 5 * FastCgi.HEADER);
+      ByteBuf out = allocate(first.length + content.length + 5 * FastCgi.HEADER_BYTES);
       FastCgi.stream(out, FastCgi.STDOUT, id, first, content);
       FastCgi.end(out, id, FastCgi.REQUEST_COMPLETE);
       count("answered-" + status);
@@ -149,7 +149,7 @@
   @Override
   protected long halfReadSince() {
     long oldest = NEVER;
-    for (Asked one : open.values()) {
+    for (PendingRequest one : open.values()) {
       oldest = one.read ? oldest : Math.min(oldest, one.begunAt);
     }
     return oldest;
@@ -162,7 +162,7 @@
       in.skipBytes(part);
       skip -= part;
     }
-    if (in.readableBytes() < FastCgi.HEADER) {
+    if (in.readableBytes() < FastCgi.HEADER_BYTES) {
       return false;
     }
     int at = in.readerIndex();
@@ -172,12 +172,12 @@
     int type = in.getUnsignedByte(at + 1);
     int id = in.getUnsignedShort(at + 2);
     int length = in.getUnsignedShort(at + 4);
-    int whole = FastCgi.HEADER + length + in.getUnsignedByte(at + 6);
+    int whole = FastCgi.HEADER_BYTES + length + in.getUnsignedByte(at + 6);
     if (passOver(type, open.get(id), length)) {
       passedOver += whole;
-      if (passedOver > MOST_PASSED_OVER) {
+      if (passedOver > MAX_SKIPPED_BYTES) {
         throw new ProtocolException(
-            CloseReason.OVERSIZED, "over " + MOST_PASSED_OVER + " bytes that no request takes");
+            CloseReason.OVERSIZED, "over " + MAX_SKIPPED_BYTES + " bytes that no request takes");
       }
       skip = whole;
       return true;
@@ -185,7 +185,7 @@
     if (in.readableBytes() < whole) {
       return false;
     }
-    record(type, id, in.slice(at + FastCgi.HEADER, length));
+    record(type, id, in.slice(at + FastCgi.HEADER_BYTES, length));
     in.skipBytes(whole);
     return true;
   }
@@ -195,14 +195,14 @@
    * too large. The latter is answered now, at the head of the record: the end may never come, or 60
    * MB later.
    */
-  private boolean passOver(int type, Asked asked, int length) {
+  private boolean passOver(int type, PendingRequest asked, int length) {
     if (type != FastCgi.PARAMS && type != FastCgi.STDIN) {
-      return length > MOST_PARAMS;
+      return length > MAX_PARAMS_BYTES;
     }
     if (asked != null
         && !asked.read
         && type == FastCgi.PARAMS
-        && asked.params.length + length > MOST_PARAMS) {
+        && asked.params.length + length > MAX_PARAMS_BYTES) {
       asked.oversized("params");
     } else if (asked != null
         && !asked.read
@@ -220,7 +220,7 @@
       management(type, content);
       return;
     }
-    Asked asked = open.get(id);
+    PendingRequest asked = open.get(id);
     switch (type) {
       case FastCgi.BEGIN_REQUEST -> begin(id, content);
       case FastCgi.ABORT_REQUEST -> {
@@ -253,31 +253,32 @@
       out.writeBytes(pairs);
       pairs.release();
     } else {
-      FastCgi.head(out, FastCgi.UNKNOWN_TYPE, 0, FastCgi.HEADER);
+      FastCgi.head(out, FastCgi.UNKNOWN_TYPE, 0, FastCgi.HEADER_BYTES);
       out.writeByte(type).writeZero(7);
     }
     send(out);
   }
 
   private void begin(int id, ByteBuf content) throws ProtocolException {
-    if (content.readableBytes() < FastCgi.HEADER || open.containsKey(id)) {
+    if (content.readableBytes() < FastCgi.HEADER_BYTES || open.containsKey(id)) {
       throw new ProtocolException(CloseReason.MALFORMED, "begin of request " + id);
     }
-    if (open.size() >= MOST_OPEN) {
-      throw new ProtocolException(CloseReason.TOO_MANY_OPEN, "over " + MOST_OPEN + " requests");
+    if (open.size() >= MAX_OPEN_REQUESTS) {
+      throw new ProtocolException(
+          CloseReason.TOO_MANY_OPEN, "over " + MAX_OPEN_REQUESTS + " requests");
     }
-    Asked asked = new Asked(id, (content.getByte(2) & FastCgi.KEEP_CONN) != 0);
+    PendingRequest asked = new PendingRequest(id, (content.getByte(2) & FastCgi.KEEP_CONN) != 0);
     open.put(id, asked);
     if (content.getUnsignedShort(0) != FastCgi.RESPONDER) {
       open.remove(id);
-      ByteBuf out = allocate(2 * FastCgi.HEADER);
+      ByteBuf out = allocate(2 * FastCgi.HEADER_BYTES);
       FastCgi.end(out, id, FastCgi.UNKNOWN_ROLE);
       count("unknown-role");
       send(out);
     }
   }
 
-  private void params(Asked asked, ByteBuf content) {
+  private void params(PendingRequest asked, ByteBuf content) {
     if (asked == null || asked.paramsWhole) {
       return;
     }
@@ -288,7 +289,7 @@
     }
   }
 
-  private void body(Asked asked, ByteBuf content) {
+  private void body(PendingRequest asked, ByteBuf content) {
     if (asked == null || asked.read) {
       return;
     }
@@ -308,8 +309,8 @@
 
   @Override
   protected void onClosed() {
-    List<Asked> left = new ArrayList<>(open.values());
+    List<PendingRequest> left = new ArrayList<>(open.values());
     open.clear();
-    left.forEach(Asked::cancel);
+    left.forEach(PendingRequest::cancel);
   }
 }
--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -1,93 +1,72 @@
 package mothwing.net;
 
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.nio.AbstractNioChannel;
-import io.netty.channel.socket.DuplexChannel;
 import java.io.IOException;
-import java.util.concurrent.TimeUnit;
 import mothwing.broker.Counters;
 import mothwing.broker.EventLog;
 import mothwing.broker.Scheduler;
 
 /**
- * One connection, of a front or of the client side: gathers bytes until a decoder can take a whole
- * piece, keeps to bounds, stops reading while the other side does not read, and leaves one line in
- * the log when it ends.
+ * One connection, accepted or opened by this process: accumulates bytes until a decoder can take a
+ * complete message, bounds what is buffered, applies back-pressure by not reading while the other
+ * side does not read, and writes one log line when it ends. On its event loop's thread only.
  */
 public abstract class Connection extends ChannelInboundHandlerAdapter {
   /** A time that never comes. */
   protected static final long NEVER = Long.MAX_VALUE;
 
-  /**
-   * Milliseconds for which the other side may close too, after this side has sent its last byte.
-   */
-  static final int LINGER_MS = 250;
-
-  /** Most bytes that are read and dropped meanwhile; over it the connection is closed as it is. */
-  static final int MOST_DROPPED = 128 << 10;
-
-  private final String side;
-  private final int mostGathered;
-  private final EventLog log;
-  private final Counters counters;
+  private final int maxBufferedBytes;
+  private final ConnectionEvents events;
+  private final ConnectionTimeouts timeouts = new ConnectionTimeouts();
+  private final CloseLinger linger = new CloseLinger();
+  private final CoalescingWriter writer = new CoalescingWriter();
   private ChannelHandlerContext context;
-  private ByteBuf gathered;
+  private ByteBuf buffered;
   private CloseReason reason = CloseReason.PEER_CLOSED;
   private String detail = "";
   private boolean closing;
-  private boolean onClosed;
-  private boolean handledEnd;
-  private boolean isLingering;
-  private int dropped;
-  private long bytesIn;
-  private long bytesOut;
-  private long pieces;
+  private boolean inactive;
+  private boolean endHandled;
+  private long bytesRead;
+  private long messages;
   private Scheduler clock;
-  private Runnable stirred = () -> {};
-  private long openedAt;
-  private long pieceSince = NEVER;
-  private long deafSince = NEVER;
-  private boolean introduced;
-  private ReadBudget turns;
-  private boolean awaits;
-  private boolean flushes;
+  private Runnable activityListener = () -> {};
+  private ReadBudget readBudget;
+  private boolean awaitingBudget;
 
   /**
    * Makes the state of a connection.
    *
    * @param side its name in the log and in counters
-   * @param mostGathered most bytes that may be gathered before a whole piece is there
-   * @param log takes its line
+   * @param maxBufferedBytes most bytes that may be buffered of an incomplete message
+   * @param log takes its log line
    * @param counters counts what happens
    */
-  protected Connection(String side, int mostGathered, EventLog log, Counters counters) {
-    this.side = side;
-    this.mostGathered = mostGathered;
-    this.log = log;
-    this.counters = counters;
+  protected Connection(String side, int maxBufferedBytes, EventLog log, Counters counters) {
+    this.maxBufferedBytes = maxBufferedBytes;
+    events = new ConnectionEvents(side, log, counters);
   }
 
-  /** The connection is open. */
+  /** Called once the connection is open. */
   protected void onOpened() {}
 
   /**
-   * Takes a whole piece off the bytes that came.
+   * Takes one complete message off the bytes received so far.
    *
    * @param in the bytes
-   * @return false where no whole piece is there, in which case nothing was taken
-   * @throws Malformed where the bytes are not the protocol
+   * @return false where no complete message is there, in which case nothing was taken
+   * @throws ProtocolException where the bytes break the protocol
    */
   protected abstract boolean decode(ByteBuf in) throws ProtocolException;
 
-  /** The connection has ended; called once. */
+  /** Called once, when the connection has ended. */
   protected abstract void onClosed();
 
   /**
-   * Whether nothing is open on it.
+   * Whether no request is open on it.
    *
    * @return true if it may be closed
    */
@@ -96,8 +75,8 @@
   }
 
   /**
-   * Since when a request on it was begun and is not read whole yet; the oldest counts, and a
-   * further byte of it changes nothing, so that a drip comes to an end.
+   * Since when a request on it is incomplete. The oldest one counts, and a further byte of it
+   * changes nothing, so that a request sent byte by byte times out too.
    *
    * @return a time of {@link #now}, or {@link #NEVER} where there is none
    */
@@ -106,84 +85,75 @@
   }
 
   /**
-   * Whether nothing is open on it, no part of a piece has come, and all that was sent is being
-   * read: then it may be closed. Who does not read is not read from, so that what it asked for may
-   * lie in its socket.
+   * Whether no request is open on it, no part of a message has come, and the other side reads what
+   * is sent: then it may be closed. A peer that does not read is not read from, so that a request
+   * may lie in its socket.
    */
   final boolean isQuiet() {
-    return isIdle() && pieceSince == NEVER && !awaits && deafSince == NEVER;
+    return isIdle() && timeouts.isSettled() && !awaitingBudget;
   }
 
-  /** Whether what came on it waits for this process to take it. */
+  /** Whether bytes received on it wait for the read budget of this process. */
   final boolean isAwaitingBudget() {
-    return awaits;
+    return awaitingBudget;
   }
 
-  /** Lets it take pieces in turns. */
-  final void limitReads(ReadBudget all) {
-    turns = all;
+  /** Makes it share a read budget with other connections. */
+  final void limitReads(ReadBudget budget) {
+    readBudget = budget;
   }
 
-  /** Its turn has come. */
+  /** The read budget has come round to it. */
   final void resumeReading() {
-    awaits = false;
+    awaitingBudget = false;
     if (isClosed()) {
       return;
     }
-    takeAll();
-    if (!awaits && !isClosed()) {
+    decodeBuffered();
+    if (!awaitingBudget && !isClosed()) {
       context.channel().config().setAutoRead(context.channel().isWritable());
     }
   }
 
-  /** Tells the time to a connection, and whom to tell when something came or left on it. */
-  final void superviseWith(Scheduler time, Runnable watcher) {
-    clock = time;
-    openedAt = time.now();
-    stirred = watcher;
+  /**
+   * Gives it a clock, which starts its timeouts.
+   *
+   * @param scheduler the clock
+   * @param listener called when bytes came or left, or its state changed
+   */
+  final void superviseWith(Scheduler scheduler, Runnable listener) {
+    clock = scheduler;
+    timeouts.opened(scheduler.now());
+    activityListener = listener;
   }
 
   /**
    * The clock.
    *
-   * @return microseconds, or 0 where the connection is not watched
+   * @return microseconds, or 0 where the connection is not supervised
    */
   protected final long now() {
     return clock == null ? 0 : clock.now();
   }
 
-  /** Marks it as that of a party that speaks the protocol: a whole request was read. */
+  /** Marks the other side as one that speaks the protocol: a complete request was read. */
   protected final void markIdentified() {
-    introduced = true;
+    timeouts.identified();
   }
 
-  /** Whether no whole request was ever read on it. */
+  /** Whether no complete request was ever read on it. */
   final boolean isUnidentified() {
-    return !introduced;
+    return !timeouts.isIdentified();
   }
 
-  /** Why it may not stay as it is, or null where it may. */
-  final CloseReason timeoutReason(long now, long patience) {
-    if (now <= timeoutAt(patience)) {
-      return null;
-    } else if (deafSince < now - patience) {
-      return CloseReason.NOT_READ;
-    }
-    return Math.min(pieceSince, halfReadSince()) < now - patience
-        ? CloseReason.HALF_SENT
-        : CloseReason.SILENT;
-  }
-
-  /** Until when it may stay as it is, or {@link #NEVER} where nothing is missing. */
-  final long timeoutAt(long patience) {
-    long since = deafSince;
-    if (!closing && !awaits) { // what it waits for is this side
-      since =
-          Math.min(
-              since,
-              Math.min(Math.min(pieceSince, halfReadSince()), isUnidentified() ? openedAt : NEVER));
-    }
-    return since == NEVER ? NEVER : since + patience;
+  /** Why it has timed out, or null where it has not. */
+  final CloseReason timeoutReason(long now, long timeout) {
+    return now <= timeoutAt(timeout) ? null : timeouts.reason(now, timeout, halfReadSince());
+  }
+
+  /** When it times out as things are, or {@link #NEVER} where nothing is awaited of its peer. */
+  final long timeoutAt(long timeout) {
+    return timeouts.expiresAt(timeout, !closing && !awaitingBudget, halfReadSince());
   }
 
   /**
@@ -192,13 +162,13 @@
    * @param name what is counted
    */
   protected final void count(String name) {
-    counters.add(side + "-" + name);
+    events.count(name);
   }
 
   /**
-   * Room for bytes to be sent.
+   * A buffer for bytes to be sent.
    *
-   * @param size a guess of their number
+   * @param size an estimate of their number
    * @return an empty buffer
    */
   protected final ByteBuf allocate(int size) {
@@ -208,88 +178,54 @@
   /**
    * Sends bytes.
    *
-   * @param bytes what to send; given away
+   * @param bytes what to send; released by this call or after it
    */
   protected final void send(ByteBuf bytes) {
     if (closing) {
       bytes.release();
       return;
     }
-    bytesOut += bytes.readableBytes();
-    context.write(bytes, context.voidPromise());
-    if (!flushes) { // what one batch answers leaves in one go
-      flushes = true;
-      context
-          .executor()
-          .execute(
-              () -> {
-                flushes = false;
-                context.flush();
-              });
-    }
-    stirred.run();
+    writer.write(context, bytes);
+    activityListener.run();
   }
 
   /**
    * Closes the connection once all that was sent has left: this side is shut first, and what still
-   * comes is read and dropped until the other side closes too, for {@link #LINGER_MS} at most. A
-   * close over unread bytes would reset the connection, and an answer on its way could go with
-   * that.
+   * comes is discarded for a bounded time.
    *
    * @param why the reason
    * @param what more on it, or an empty text
    */
   public final void close(CloseReason why, String what) {
-    if (closing || onClosed) {
+    if (isClosed()) {
       return;
     }
     closing = true;
     reason = why;
     detail = what;
-    deafSince = Math.min(deafSince, now());
-    stirred.run();
-    context.channel().config().setAutoRead(false);
-    context
-        .writeAndFlush(Unpooled.EMPTY_BUFFER)
-        .addListener(
-            left -> {
-              if (left.isSuccess()
-                  && context.channel() instanceof DuplexChannel duplex
-                  && duplex.isActive()) {
-                duplex.shutdownOutput().addListener(shut -> linger((ChannelFuture) shut));
-              } else {
-                context.close();
-              }
-            });
-  }
-
-  private void linger(ChannelFuture shut) {
-    if (!shut.isSuccess() || !context.channel().isActive()) {
-      context.close();
-      return;
-    }
-    isLingering = true;
+    timeouts.writeBlocked(now());
+    activityListener.run();
+    linger.shutOutput(context, this::onOutputShut);
+  }
+
+  private void onOutputShut() {
     handleEnd();
-    stirred.run();
-    if (context.channel().isOpen()) {
-      context.channel().config().setAutoRead(true);
-      context.executor().schedule(() -> context.close(), LINGER_MS, TimeUnit.MILLISECONDS);
-    }
+    activityListener.run();
   }
 
-  /** Whether this side is shut, and only the other one's close is waited for. */
+  /** Whether this side is shut, and only the other side's close is awaited. */
   final boolean isLingering() {
-    return isLingering;
+    return linger.isActive();
   }
 
-  /** Closes it now. */
+  /** Closes it without waiting for the other side. */
   final void endLinger() {
     context.close();
   }
 
   /**
-   * Reads what lies in the socket, as is done before a connection is closed for having nothing open
-   * on it. Not from within a read of this connection.
+   * Reads what lies in the socket, so that a connection is not closed over a request that has
+   * arrived. Not to be called from within a read of this connection.
    */
   void readNow() {
     if (!isClosed()
@@ -305,7 +241,7 @@
    * @return true if nothing can be sent
    */
   protected final boolean isClosed() {
-    return closing || onClosed;
+    return closing || inactive;
   }
 
   @Override
@@ -317,85 +253,84 @@
 
   @Override
   public final void channelRead(ChannelHandlerContext ctx, Object message) {
-    ByteBuf came = (ByteBuf) message;
-    bytesIn += came.readableBytes();
-    if (isLingering) {
-      dropped += came.readableBytes();
-      came.release();
-      if (dropped > MOST_DROPPED) {
-        ctx.close();
-      }
+    ByteBuf received = (ByteBuf) message;
+    int size = received.readableBytes();
+    bytesRead += size;
+    if (linger.isActive()) {
+      received.release();
+      linger.discarded(size, ctx);
       return;
     }
-    if (gathered == null) {
-      gathered = came;
-    } else {
-      gathered = joined(ctx, gathered, came);
-    }
-    pieceSince = Math.min(pieceSince, now());
-    if (!awaits) {
-      takeAll();
+    buffered = buffered == null ? received : joined(ctx, buffered, received);
+    timeouts.bytesReceived(now());
+    if (!awaitingBudget) {
+      decodeBuffered();
     }
   }
 
-  private void takeAll() {
+  private void decodeBuffered() {
     try {
-      boolean whole = true;
-      while (whole && !isClosed() && !awaits && gathered.isReadable()) {
-        if (turns != null && !turns.hasBudget()) {
-          awaits = true;
-          turns.enqueue(this);
-          context.channel().config().setAutoRead(false);
-        } else if (decode(gathered)) {
-          pieces++;
-          pieceSince = now();
-        } else {
-          whole = false;
-        }
-      }
-      if (!isClosed() && !awaits && gathered.readableBytes() > mostGathered) {
-        throw new ProtocolException(
-            CloseReason.OVERSIZED, "over " + mostGathered + " bytes without an end");
-      }
+      decodeMessages();
     } catch (ProtocolException bad) {
       count("malformed");
       close(bad.reason(), bad.getMessage());
     } catch (RuntimeException broken) {
       fault(broken);
     }
-    if (gathered != null && (!gathered.isReadable() || isClosed())) {
-      drop();
+    if (buffered != null && (!buffered.isReadable() || isClosed())) {
+      releaseBuffered();
     }
-    if (gathered == null) {
-      pieceSince = NEVER;
+    if (buffered == null) {
+      timeouts.bufferEmptied();
+    }
+    activityListener.run();
+  }
+
+  private void decodeMessages() throws ProtocolException {
+    boolean complete = true;
+    while (complete && !isClosed() && !awaitingBudget && buffered.isReadable()) {
+      if (readBudget != null && !readBudget.hasBudget()) {
+        awaitingBudget = true;
+        readBudget.enqueue(this);
+        context.channel().config().setAutoRead(false);
+      } else if (decode(buffered)) {
+        messages++;
+        timeouts.messageDecoded(now());
+      } else {
+        complete = false;
+      }
+    }
+    if (!isClosed() && !awaitingBudget && buffered.readableBytes() > maxBufferedBytes) {
+      throw new ProtocolException(
+          CloseReason.OVERSIZED, "over " + maxBufferedBytes + " bytes without an end");
     }
-    stirred.run();
   }
 
-  private static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf before, ByteBuf came) {
-    ByteBuf both = ctx.alloc().buffer(before.readableBytes() + came.readableBytes());
-    both.writeBytes(before).writeBytes(came);
+  private static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf before, ByteBuf received) {
+    ByteBuf both = ctx.alloc().buffer(before.readableBytes() + received.readableBytes());
+    both.writeBytes(before).writeBytes(received);
     before.release();
-    came.release();
+    received.release();
     return both;
   }
 
-  private void drop() {
-    gathered.release();
-    gathered = null;
+  private void releaseBuffered() {
+    buffered.release();
+    buffered = null;
   }
 
-  /**
-   * Answers that the other side does not read stay bounded: nothing more is read from it until it
-   * does.
-   */
+  /** Back-pressure: nothing is read from a peer that does not read what was sent to it. */
   @Override
   public final void channelWritabilityChanged(ChannelHandlerContext ctx) {
-    boolean reads = ctx.channel().isWritable();
-    deafSince = reads ? NEVER : Math.min(deafSince, now());
-    stirred.run();
+    boolean writable = ctx.channel().isWritable();
+    if (writable) {
+      timeouts.writeResumed();
+    } else {
+      timeouts.writeBlocked(now());
+    }
+    activityListener.run();
     if (!closing) {
-      ctx.channel().config().setAutoRead(reads && !awaits);
+      ctx.channel().config().setAutoRead(writable && !awaitingBudget);
     }
   }
 
@@ -408,16 +343,8 @@
     context.close();
   }
 
-  private void fault(Throwable broken) {
-    counters.add("faults");
-    StackTraceElement[] stack = broken.getStackTrace();
-    log.write(
-        "fault side="
-            + side
-            + " what=\""
-            + broken
-            + "\""
-            + (stack.length > 0 ? " at=" + stack[0] : ""));
+  private void fault(Throwable cause) {
+    events.fault(cause);
     close(CloseReason.FAULT, "");
   }
 
@@ -432,44 +359,40 @@
     }
   }
 
-  /** Whatever was open on it is over, once this side can send nothing more. */
+  /** Ends what was open on it, once this side can send nothing more. */
   private void handleEnd() {
-    if (handledEnd) {
+    if (endHandled) {
       return;
     }
-    handledEnd = true;
+    endHandled = true;
     try {
       onClosed();
     } catch (RuntimeException broken) {
-      counters.add("faults");
-      log.write("fault side=" + side + " what=\"" + broken + "\"");
+      events.fault(broken);
     }
   }
 
   @Override
   public final void channelInactive(ChannelHandlerContext ctx) {
-    if (onClosed) {
+    if (inactive) {
       return;
     }
-    onClosed = true;
-    if (gathered != null) {
-      drop();
+    inactive = true;
+    if (buffered != null) {
+      releaseBuffered();
     }
     handleEnd();
-    count("ended-" + reason.code());
-    log.write(
-        "end side="
-            + side
-            + " reason="
-            + reason.code()
-            + " peer="
-            + ctx.channel().remoteAddress()
-            + " in="
-            + bytesIn
-            + " out="
-            + bytesOut
-            + " pieces="
-            + pieces
-            + (detail.isEmpty() ? "" : " detail=\"" + detail + "\""));
+    events.ended(reason, traffic(ctx), detail);
+  }
+
+  private String traffic(ChannelHandlerContext ctx) {
+    return "peer="
+        + ctx.channel().remoteAddress()
+        + " in="
+        + bytesRead
+        + " out="
+        + writer.bytesWritten()
+        + " messages="
+        + messages;
   }
 }
--- a/src/main/java/mothwing/net/ConnectionTable.java
+++ b/src/main/java/mothwing/net/ConnectionTable.java
@@ -3,253 +3,250 @@
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
+import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import mothwing.broker.Scheduler;
 
 /**
- * The connections of one listener and how long each may stay: the idle ones for a span, who says
- * nothing, stops in the middle of a request or does not read for as long as patience lasts.
- * Deadlines stand in a timing wheel, armed for the earliest time at which a connection could
- * overstay; what moves that time on costs nothing.
+ * The connections of one listener and how long each may stay: idle ones up to the idle limit, those
+ * that send nothing, stop in the middle of a request or do not read up to the peer timeout. The
+ * deadlines are kept in a timing wheel, armed for the earliest time at which a connection could
+ * expire, so that activity which moves a deadline on costs nothing.
  */
 final class ConnectionTable {
-  private static final int SLOTS = 512;
-  private static final long TICK = 20_000; // microseconds
-  private static final long STOOD_STILL =
-      150_000; // microseconds between looks: what was sent meanwhile is not read yet
-  private static final long NEWCOMER =
-      250_000; // microseconds in which the first request of a connection is on its way
-  private static final int TRIES =
-      16; // candidates that are looked at for one place: each look reads a socket
+  private static final int WHEEL_SLOTS = 512;
+  private static final long WHEEL_TICK_MICROS = 20_000;
 
-  /**
-   * Most connections that are shut on this side and wait for the other; they take no place of one
-   * that is open.
-   */
-  static final int MOST_LINGERING = 16;
+  /** After a longer gap between two passes the sockets may hold requests that were not read yet. */
+  private static final long STALL_MICROS = 150_000;
+
+  /** For so long the first request of a new connection may be on its way. */
+  private static final long FIRST_REQUEST_GRACE_MICROS = 250_000;
+
+  /** Candidates checked for one eviction: each check reads a socket. */
+  private static final int MAX_EVICTION_CHECKS = 16;
 
-  private final long patience;
-  private final Scheduler timers;
+  /** Most connections that are shut on this side and await the close of the other side. */
+  static final int MAX_LINGERING = 16;
+
+  private final long peerTimeout;
+  private final Scheduler scheduler;
   private final TimingWheel wheel;
-  private final Map<Connection, Place> all = new LinkedHashMap<>();
-  private final Map<Connection, Place> strangers =
-      new LinkedHashMap<>(); // the longest silent first
-  private final Set<Connection> lingering = new LinkedHashSet<>(); // the longest first
-  private long span;
-  private CloseReason why = CloseReason.IDLE;
-  private long lookedAt;
-  private boolean unread;
-
-  /** A connection's place in the wheel. */
-  private final class Place extends TimingWheel.Entry {
+  private final Map<Connection, TrackedConnection> tracked = new LinkedHashMap<>();
+  private final Map<Connection, TrackedConnection> unidentified =
+      new LinkedHashMap<>(); // least recently active first
+  private final Set<Connection> lingering = new LinkedHashSet<>(); // longest first
+  private long idleLimit;
+  private CloseReason idleReason = CloseReason.IDLE;
+  private long lastPassAt;
+  private boolean stalled;
+
+  /** The deadlines of one connection. */
+  private final class TrackedConnection extends TimingWheel.Entry {
     private final Connection connection;
-    private long quietSince;
-    private boolean closes;
+    private long idleSince;
+    private boolean closeScheduled;
 
-    Place(Connection connection, long now) {
+    TrackedConnection(Connection connection, long now) {
       this.connection = connection;
-      quietSince = now;
+      idleSince = now;
     }
 
-    /** Something came or left on it. */
-    void stirred() {
+    /** Bytes came or left, or the connection's state changed. */
+    void onActivity() {
       if (connection.isLingering()) {
-        linger(connection);
+        markLingering(connection);
         return;
       }
-      long now = timers.now();
-      quietSince = connection.isQuiet() ? now : Connection.NEVER;
-      if (why == CloseReason.DRAIN
-          && connection.isQuiet()
-          && !connection.isUnidentified()
-          && !unread
-          && !late(now)
-          && !closes) {
-        closes =
-            true; // right behind its last answer: who asks one thing after the other is never idle
-        timers.schedule(
+      long now = scheduler.now();
+      idleSince = connection.isQuiet() ? now : Connection.NEVER;
+      if (mayCloseAfterAnswer(now)) {
+        closeScheduled = true;
+        scheduler.schedule(
             now,
             () -> {
-              closes = false;
+              closeScheduled = false;
               closeIfQuiet();
             });
       }
-      if (strangers.remove(connection) != null && connection.isUnidentified()) {
-        strangers.put(connection, this);
+      if (unidentified.remove(connection) != null && connection.isUnidentified()) {
+        unidentified.put(connection, this);
       }
       arm(now);
     }
 
+    /** In a shutdown: a peer that sends one request after the other is never idle. */
+    private boolean mayCloseAfterAnswer(long now) {
+      return idleReason == CloseReason.DRAIN
+          && connection.isQuiet()
+          && !connection.isUnidentified()
+          && !stalled
+          && !hasStalled(now)
+          && !closeScheduled;
+    }
+
     void arm(long now) {
-      long at =
-          Math.min(
-              connection.timeoutAt(patience),
-              quietSince == Connection.NEVER ? now + rest() : quietSince + rest());
-      if (at < due()) {
-        wheel.put(this, at);
+      long idleFrom = idleSince == Connection.NEVER ? now : idleSince;
+      long expiresAt = Math.min(connection.timeoutAt(peerTimeout), idleFrom + idleAllowance());
+      if (expiresAt < due()) {
+        wheel.put(this, expiresAt);
       }
     }
 
-    /**
-     * What lies in its socket is read first: a request there is answered, and the connection stays
-     * for it.
-     */
+    /** A request that lies in the socket is read first, and the connection stays for it. */
     private void closeIfQuiet() {
-      if (all.containsKey(connection) && connection.isQuiet()) {
+      if (tracked.containsKey(connection) && connection.isQuiet()) {
         connection.readNow();
         if (connection.isQuiet()) {
-          connection.close(why, "");
+          connection.close(idleReason, "");
         }
       }
     }
 
-    /**
-     * The span for which it may be quiet; one that has just come has its first request on its way.
-     */
-    private long rest() {
-      return span > 0 && connection.isUnidentified() ? Math.max(span, NEWCOMER) : span;
+    private long idleAllowance() {
+      return idleLimit > 0 && connection.isUnidentified()
+          ? Math.max(idleLimit, FIRST_REQUEST_GRACE_MICROS)
+          : idleLimit;
     }
 
-    void judge(long now) {
-      CloseReason bad = connection.timeoutReason(now, patience);
-      if (bad == CloseReason.NOT_READ) {
-        connection.closeNow(bad);
-      } else if (bad != null) {
-        connection.close(bad, "");
+    void closeIfExpired(long now) {
+      CloseReason timeout = connection.timeoutReason(now, peerTimeout);
+      if (timeout == CloseReason.NOT_READ) {
+        connection.closeNow(timeout);
+      } else if (timeout != null) {
+        connection.close(timeout, "");
       } else if (!connection.isQuiet()) {
-        quietSince = Connection.NEVER;
-      } else if (quietSince == Connection.NEVER) {
-        quietSince = now;
-      } else if (now - quietSince >= rest()) {
+        idleSince = Connection.NEVER;
+      } else if (idleSince == Connection.NEVER) {
+        idleSince = now;
+      } else if (now - idleSince >= idleAllowance()) {
         closeIfQuiet();
       }
-      if (all.containsKey(connection)) {
+      if (tracked.containsKey(connection)) {
         arm(now);
       }
     }
   }
 
   /**
-   * Makes one without connections.
+   * Makes an empty table.
    *
-   * @param patience microseconds after which who says nothing, stops in the middle of a request or
-   *     does not read is closed
-   * @param timers the clocks
+   * @param peerTimeout microseconds after which a peer that sends nothing, stops in the middle of a
+   *     request or does not read is disconnected
+   * @param scheduler the clock and timers
    */
-  ConnectionTable(long patience, Scheduler timers) {
-    this.patience = patience;
-    span = patience;
-    this.timers = timers;
-    lookedAt = timers.now();
-    wheel = new TimingWheel(SLOTS, TICK, timers.now());
+  ConnectionTable(long peerTimeout, Scheduler scheduler) {
+    this.peerTimeout = peerTimeout;
+    idleLimit = peerTimeout;
+    this.scheduler = scheduler;
+    lastPassAt = scheduler.now();
+    wheel = new TimingWheel(WHEEL_SLOTS, WHEEL_TICK_MICROS, scheduler.now());
   }
 
-  private boolean late(long now) {
-    return now - lookedAt > STOOD_STILL;
+  private boolean hasStalled(long now) {
+    return now - lastPassAt > STALL_MICROS;
   }
 
   /** Takes a new connection. */
   void add(Connection connection) {
-    Place place = new Place(connection, timers.now());
-    all.put(connection, place);
-    strangers.put(connection, place);
-    connection.superviseWith(timers, place::stirred);
-    place.arm(timers.now());
+    TrackedConnection entry = new TrackedConnection(connection, scheduler.now());
+    tracked.put(connection, entry);
+    unidentified.put(connection, entry);
+    connection.superviseWith(scheduler, entry::onActivity);
+    entry.arm(scheduler.now());
   }
 
-  /** A connection has ended. */
+  /** Forgets a connection that has ended. */
   void remove(Connection connection) {
-    Place place = all.remove(connection);
-    if (place != null) {
-      strangers.remove(connection);
+    TrackedConnection entry = tracked.remove(connection);
+    if (entry != null) {
+      unidentified.remove(connection);
       lingering.remove(connection);
-      wheel.remove(place);
+      wheel.remove(entry);
     }
   }
 
-  /**
-   * It is shut on this side: it has no place any longer, and at the bound of such ones the first of
-   * them ends now.
-   */
-  private void linger(Connection connection) {
-    if (all.containsKey(connection)
+  /** A lingering connection no longer counts as open; over their bound the oldest ends now. */
+  private void markLingering(Connection connection) {
+    if (tracked.containsKey(connection)
         && lingering.add(connection)
-        && lingering.size() > MOST_LINGERING) {
+        && lingering.size() > MAX_LINGERING) {
       lingering.iterator().next().endLinger();
     }
   }
 
   /** How many are open, without those that linger. */
   int size() {
-    return all.size() - lingering.size();
+    return tracked.size() - lingering.size();
   }
 
-  /** How many hold a descriptor. */
-  int held() {
-    return all.size();
+  /** How many hold a file descriptor. */
+  int descriptors() {
+    return tracked.size();
   }
 
   /**
-   * Closes whom it harms least: of the strangers, which never asked anything whole, the one whose
-   * last byte is longest ago, else the gateway that has been quiet for longest. A request that is
-   * written slowly outlives who stopped half way, and a gateway whose first request is on its way
-   * those that came before. Who waits for its turn never gives way: what it asked has come, and
-   * this process is behind. Where each that is looked at turns out to have asked, nobody does.
+   * Closes the connection whose loss does least harm: the least recently active one that never sent
+   * a complete request, else the one that has been idle for longest. A slow writer so outlives one
+   * that has stopped. A connection that awaits its read budget is never closed: its request has
+   * come, and this process is behind. Where every candidate turns out to have sent something, none
+   * is closed.
    */
   void evict() {
-    for (int i = 0; i < TRIES; i++) {
-      Place least = least();
-      if (least == null) {
+    for (int i = 0; i < MAX_EVICTION_CHECKS; i++) {
+      TrackedConnection candidate = evictionCandidate();
+      if (candidate == null) {
         return;
       }
-      least.connection.readNow();
-      if (least == least()) { // nothing lay in its socket that asks
-        strangers.remove(least.connection);
-        least.connection.close(CloseReason.EVICTED, "");
+      candidate.connection.readNow();
+      if (candidate == evictionCandidate()) { // its socket held no request
+        unidentified.remove(candidate.connection);
+        candidate.connection.close(CloseReason.EVICTED, "");
         return;
       }
     }
   }
 
-  private Place least() {
-    for (Place one : strangers.values()) {
-      if (!one.connection.isClosed() && !one.connection.isAwaitingBudget()) {
-        return one;
+  private TrackedConnection evictionCandidate() {
+    for (TrackedConnection entry : unidentified.values()) {
+      if (!entry.connection.isClosed() && !entry.connection.isAwaitingBudget()) {
+        return entry;
       }
     }
-    Place least = null;
-    for (Place one : all.values()) {
-      boolean quiet = !one.connection.isClosed() && one.connection.isQuiet();
-      if (quiet && (least == null || one.quietSince < least.quietSince)) {
-        least = one;
+    TrackedConnection longestIdle = null;
+    for (TrackedConnection entry : tracked.values()) {
+      boolean quiet = !entry.connection.isClosed() && entry.connection.isQuiet();
+      if (quiet && (longestIdle == null || entry.idleSince < longestIdle.idleSince)) {
+        longestIdle = entry;
       }
     }
-    return least;
+    return longestIdle;
   }
 
   /**
-   * Closes what overstays now, but for the first look after the process stood still: a connection
-   * that seems quiet may have a request in its socket. A change of the span or the reason looks at
-   * every connection once, else only what is due is looked at.
+   * Closes the connections that have expired, except in the first pass after a stall of the
+   * process: a connection that seems idle may have a request in its socket. A change of limit or
+   * reason checks every connection once, otherwise only those that are due are checked.
    *
-   * @param quiet microseconds that a connection may be quiet; 0 closes all on which nothing is open
-   * @param reason why it is closed after that; where the process leaves, it is closed right behind
-   *     its last answer
+   * @param limit microseconds for which a connection may be idle; 0 closes all without a request
+   * @param reason why idle connections are closed; in a shutdown they are closed right after their
+   *     last answer
    */
-  void trim(long quiet, CloseReason reason) {
-    long now = timers.now();
-    unread = late(now);
-    lookedAt = now;
-    if (unread) {
+  void trim(long limit, CloseReason reason) {
+    long now = scheduler.now();
+    stalled = hasStalled(now);
+    lastPassAt = now;
+    if (stalled) {
       return;
     }
-    if (quiet != span || reason != why) {
-      span = quiet;
-      why = reason;
-      new ArrayList<>(all.values()).forEach(one -> one.judge(now));
+    if (limit != idleLimit || reason != idleReason) {
+      idleLimit = limit;
+      idleReason = reason;
+      List<TrackedConnection> entries = new ArrayList<>(tracked.values());
+      entries.forEach(entry -> entry.closeIfExpired(now));
     } else {
-      wheel.look(now, one -> ((Place) one).judge(now));
+      wheel.advance(now, entry -> ((TrackedConnection) entry).closeIfExpired(now));
     }
   }
 }
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -36,33 +36,33 @@
  */
 public final class Listener {
   /** Accepts in a row that may fail, or find nobody, before it is believed. */
-  private static final int MOST_FAILED = 10;
+  private static final int MAX_FAILED_ACCEPTS = 10;
 
   /** Milliseconds between tries to listen where the system has no room for a moment. */
-  private static final int LISTEN_AGAIN_MS = 50;
+  private static final int BIND_RETRY_MILLIS = 50;
 
-  private static final int MOST_LISTENS = 60;
-  private static final int BACKLOG = 512;
-  private static final int LOW_WATER = 32 << 10;
-  private static final int HIGH_WATER = 64 << 10;
-  private static final int LEAST_READ = 512;
-  private static final int FIRST_READ = 2048;
-  private static final int MOST_READ = 8192;
+  private static final int MAX_BIND_ATTEMPTS = 60;
+  private static final int BACKLOG_CONNECTIONS = 512;
+  private static final int LOW_WATER_BYTES = 32 << 10;
+  private static final int HIGH_WATER_BYTES = 64 << 10;
+  private static final int MIN_READ_BYTES = 512;
+  private static final int INITIAL_READ_BYTES = 2048;
+  private static final int MAX_READ_BYTES = 8192;
 
   private final Supplier<? extends Connection> maker;
-  private final int most;
+  private final int maxConnections;
   private final Counters counters;
   private final String side;
   private final Scheduler timers;
   private final ConnectionTable table;
-  private Entrance channel;
+  private AcceptingChannel channel;
   private boolean shared;
   private SharedPortQuota quota;
-  private boolean looking;
-  private ReadBudget turns;
+  private boolean pollInProgress;
+  private ReadBudget readBudget;
 
   /** A listening socket that can be closed without losing who waits at it. */
-  private final class Entrance extends NioServerSocketChannel {
+  private final class AcceptingChannel extends NioServerSocketChannel {
     private int failedInARow;
 
     /**
@@ -82,7 +82,7 @@
           table.evict();
           throw none;
         }
-        if (++failedInARow > MOST_FAILED) {
+        if (++failedInARow > MAX_FAILED_ACCEPTS) {
           throw none;
         }
         return 0;
@@ -137,7 +137,7 @@
      * waiting behind it.
      */
     private void takeAll(ServerSocketChannel last, List<SocketChannel> waiting) throws IOException {
-      for (int inARow = 0; inARow < MOST_FAILED; ) {
+      for (int inARow = 0; inARow < MAX_FAILED_ACCEPTS; ) {
         try {
           SocketChannel one = last.accept();
           inARow = one == null ? inARow + 1 : 0;
@@ -146,7 +146,7 @@
           }
         } catch (IOException failed) {
           inARow++;
-          if (outOfDescriptors(failed) && inARow == MOST_FAILED) {
+          if (outOfDescriptors(failed) && inARow == MAX_FAILED_ACCEPTS) {
             throw failed;
           }
         }
@@ -174,14 +174,14 @@
       Counters counters) {
     this.side = side;
     this.maker = maker;
-    this.most = most;
+    this.maxConnections = most;
     this.timers = timers;
     table = new ConnectionTable(patience, timers);
     this.counters = counters;
   }
 
   /** Lets another process of the same user listen at the same address, which must do the same. */
-  public void share() {
+  public void shareAddress() {
     shared = true;
   }
 
@@ -190,8 +190,8 @@
    *
    * @param all the turns, one for all listeners of a loop
    */
-  public void inTurns(ReadBudget all) {
-    turns = all;
+  public void limitReads(ReadBudget all) {
+    readBudget = all;
   }
 
   /**
@@ -208,17 +208,18 @@
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
-            .channelFactory(Entrance::new)
-            .option(ChannelOption.SO_BACKLOG, BACKLOG)
+            .channelFactory(AcceptingChannel::new)
+            .option(ChannelOption.SO_BACKLOG, BACKLOG_CONNECTIONS)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
             .childOption(
                 ChannelOption.RCVBUF_ALLOCATOR,
-                new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MOST_READ))
+                new AdaptiveRecvByteBufAllocator(
+                    MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES))
             .childOption(ChannelOption.ALLOCATOR, allocator)
             .childOption(
                 ChannelOption.WRITE_BUFFER_WATER_MARK,
-                new WriteBufferWaterMark(LOW_WATER, HIGH_WATER))
+                new WriteBufferWaterMark(LOW_WATER_BYTES, HIGH_WATER_BYTES))
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
@@ -227,13 +228,13 @@
                   }
                 });
     if (shared) {
-      quota = new SharedPortQuota(most, timers.now());
+      quota = new SharedPortQuota(maxConnections, timers.now());
       bootstrap
           .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
           .option(ChannelOption.AUTO_READ, false); // until it knows who else is there
     }
     Promise<Void> result = loop.newPromise();
-    bind(loop, bootstrap, address, result, MOST_LISTENS);
+    bind(loop, bootstrap, address, result, MAX_BIND_ATTEMPTS);
     return result;
   }
 
@@ -249,16 +250,16 @@
             loop.execute(
                 () -> {
                   if (done.isSuccess()) {
-                    channel = (Entrance) bound.channel();
+                    channel = (AcceptingChannel) bound.channel();
                     result.setSuccess(null);
-                    look();
+                    pollSharedPort();
                   } else if (done.cause() instanceof BindException || tries <= 1) {
                     result.setFailure(done.cause());
                   } else {
                     counters.add(side + "-listened-again");
                     loop.schedule(
                         () -> bind(loop, bootstrap, address, result, tries - 1),
-                        LISTEN_AGAIN_MS,
+                        BIND_RETRY_MILLIS,
                         TimeUnit.MILLISECONDS);
                   }
                 }));
@@ -269,8 +270,8 @@
     return failure.getMessage() != null && failure.getMessage().contains("Too many open files");
   }
 
-  private int bound() {
-    return quota == null ? most : Math.max(1, quota.bound(timers.now()));
+  private int connectionLimit() {
+    return quota == null ? maxConnections : Math.max(1, quota.limit(timers.now()));
   }
 
   /**
@@ -278,19 +279,19 @@
    * now, and makes room down to what is left to this one. To be called every few milliseconds, on
    * the event loop.
    */
-  public void look() {
+  public void pollSharedPort() {
     if (quota == null || !channel.isOpen() || channel.localAddress() == null) {
       return;
     }
     for (int over = quota.excess(timers.now(), table.size()); over > 0; over--) {
       table.evict();
     }
-    channel.config().setAutoRead(quota.bound(timers.now()) > 0);
+    channel.config().setAutoRead(quota.limit(timers.now()) > 0);
     long at = timers.now();
-    if (looking || !quota.wantsLook(at, table.size())) {
+    if (pollInProgress || !quota.isPollDue(at, table.size())) {
       return;
     }
-    looking = true;
+    pollInProgress = true;
     int own = table.size();
     InetSocketAddress address = channel.localAddress();
     GlobalEventExecutor.INSTANCE.execute(
@@ -302,33 +303,33 @@
             seen = null; // not Linux, or not to be read: it goes on as if alone
           }
           SocketTable said = seen;
-          channel.eventLoop().execute(() -> looked(at, Math.min(own, table.size()), said));
+          channel.eventLoop().execute(() -> polled(at, Math.min(own, table.size()), said));
         });
   }
 
-  private void looked(long at, int own, SocketTable seen) {
-    looking = false;
+  private void polled(long at, int own, SocketTable seen) {
+    pollInProgress = false;
     if (seen == null) {
       counters.add(side + "-no-list-of-sockets");
-      quota.blind();
+      quota.assumeAlone();
     } else {
-      quota.saw(at, seen.listeners() > 1, seen.connections() - own);
+      quota.update(at, seen.listeners() > 1, seen.connections() - own);
     }
-    look();
+    pollSharedPort();
   }
 
   private void accept(Channel accepted) {
-    if (table.size() >= bound()) {
-      look(); // it may be alone, and have more
+    if (table.size() >= connectionLimit()) {
+      pollSharedPort(); // it may be alone, and have more
       table.evict();
     }
-    if (table.size() >= bound()) {
+    if (table.size() >= connectionLimit()) {
       counters.add(side + "-over-bound");
       accepted.close();
       return;
     }
     Connection connection = maker.get();
-    connection.limitReads(turns);
+    connection.limitReads(readBudget);
     table.add(connection);
     accepted.closeFuture().addListener(closed -> table.remove(connection));
     accepted.pipeline().addLast(connection);
@@ -350,7 +351,7 @@
    * @return their number
    */
   public int open() {
-    return table.held();
+    return table.descriptors();
   }
 
   /**
--- a/src/main/java/mothwing/net/ReadBudget.java
+++ b/src/main/java/mothwing/net/ReadBudget.java
@@ -4,103 +4,104 @@
 import mothwing.broker.Scheduler;
 
 /**
- * How much of what clients send is taken in one go, and which share is refused undecided since this
- * process itself is behind. A loop that is short of processor time finds hundreds of requests in
- * its sockets at each turn; were all of them taken first, runs would end unseen and cores stand
- * idle meanwhile. So after a span the connections that still have something wait, in the order in
- * which they came, and read nothing further; batches of events, the pool and timers come in
- * between. Where some wait for longer, reading and deciding alone wants more than there is: then a
- * growing share is refused at the least cost. On its loop's thread only.
+ * Bounds how long client requests are read in one turn of the event loop, and sheds a share of them
+ * undecided while this process itself is behind. A loop that is short of processor time finds
+ * hundreds of requests in its sockets at each turn; if all were read first, ends of runs would go
+ * unnoticed and cores would stand idle. So when the turn is over the connections that still have
+ * input wait in arrival order and read nothing further, while events of the pool and timers are
+ * served. Where some connection always waits, reading and deciding alone exceed the capacity: then
+ * a growing share of requests is rejected at the least cost. On its loop's thread only.
  */
 public final class ReadBudget {
-  /** Microseconds for which clients' requests are taken in one go: some tens of requests. */
-  static final long SPAN = 4_000;
+  /** For so long requests are read in one turn: some tens of requests. */
+  static final long TURN_MICROS = 4_000;
 
-  /**
-   * Microseconds for which some connection always waits before anything is refused for it: a burst
-   * is over sooner.
-   */
-  static final long GRACE = 150_000;
+  /** Requests are shed once some connection has always waited for so long: a burst is shorter. */
+  static final long GRACE_MICROS = 150_000;
+
+  /** Between two turns all other events that are due are served. */
+  private static final long TURN_GAP_MICROS = 500;
+
+  /** Time constant of the rise of the shed ratio: short, as queues grow meanwhile. */
+  private static final double SHED_RISE_MICROS = 250_000;
+
+  /** Time constant of the fall of the shed ratio. */
+  private static final double SHED_FALL_MICROS = 1_000_000;
+
+  /** Bounds one step of the rise: a gap in which the process stalled says nothing of its load. */
+  private static final long MAX_RISE_STEP_MICROS = 100_000;
 
-  private static final long PAUSE = 500; // microseconds in which all else that is due has its turn
-  private static final double UP =
-      250_000; // microseconds in which the share rises most of the way: queues cost more
-  private static final double DOWN = 1_000_000; // the same when none waits
-  private static final long LONGEST =
-      100_000; // microseconds of one step up: a process that stood still knows nothing
   private final Scheduler timers;
   private final ArrayDeque<Connection> waiting = new ArrayDeque<>();
-  private long until = Long.MIN_VALUE;
-  private boolean asked;
-  private boolean going;
+  private long turnEndsAt = Long.MIN_VALUE;
+  private boolean turnStarted;
+  private boolean resumingQueue;
   private long behindSince = Connection.NEVER;
-  private long seenAt;
-  private double share;
-  private double owed;
+  private long updatedAt;
+  private double shedRatio;
+  private double shedCredit;
 
   /**
-   * Makes one; no connection waits.
+   * Makes a budget for which no connection waits.
    *
    * @param timers the clocks
    */
   public ReadBudget(Scheduler timers) {
     this.timers = timers;
-    seenAt = timers.now();
+    updatedAt = timers.now();
   }
 
-  /** Whether a connection may take a further piece now, or is to {@link #enqueue} its turn. */
+  /** Whether a connection may decode a further message now; else it is to {@link #enqueue}. */
   boolean hasBudget() {
-    if (!asked) { // the first piece of this turn
-      asked = true;
-      until = timers.now() + SPAN;
-      timers.schedule(timers.now() + PAUSE, this::next);
+    if (!turnStarted) { // the first message of this turn
+      turnStarted = true;
+      turnEndsAt = timers.now() + TURN_MICROS;
+      timers.schedule(timers.now() + TURN_GAP_MICROS, this::runTurn);
       return true;
     }
-    return (going || waiting.isEmpty()) && timers.now() < until;
+    return (resumingQueue || waiting.isEmpty()) && timers.now() < turnEndsAt;
   }
 
-  /**
-   * Takes a connection that has something to take, and reads nothing from its other end until its
-   * turn comes.
-   */
+  /** Queues a connection that has input to decode. It reads nothing further until it is resumed. */
   void enqueue(Connection connection) {
     waiting.add(connection);
   }
 
   /**
-   * Whether a request that is being read now is to be refused undecided. Every call counts as one
+   * Whether the request that is being read now is to be shed undecided. Every call counts as one
    * request.
    *
-   * @return true for the share that this process cannot decide
+   * @return true for the share that exceeds the capacity of this process
    */
   public boolean isOverloaded() {
-    owed += share;
-    if (owed < 1) {
+    shedCredit += shedRatio;
+    if (shedCredit < 1) {
       return false;
     }
-    owed--;
+    shedCredit--;
     return true;
   }
 
-  private void next() {
-    asked = false;
-    going = true;
+  private void runTurn() {
+    turnStarted = false;
+    resumingQueue = true;
     for (int left = waiting.size(); left > 0 && hasBudget(); left--) {
       waiting.remove().resumeReading();
     }
-    going = false;
-    look(timers.now());
+    resumingQueue = false;
+    updateShedRatio(timers.now());
   }
 
-  private void look(long now) {
+  private void updateShedRatio(long now) {
     if (waiting.isEmpty()) {
       behindSince = Connection.NEVER;
-      share *= Math.exp((seenAt - now) / DOWN);
+      shedRatio *= Math.exp((updatedAt - now) / SHED_FALL_MICROS);
     } else {
       behindSince = Math.min(behindSince, now);
-      double span = now - behindSince > GRACE ? Math.min(LONGEST, now - seenAt) : 0;
-      share = 1 - (1 - share) * Math.exp(-span / UP);
+      double span =
+          now - behindSince > GRACE_MICROS ? Math.min(MAX_RISE_STEP_MICROS, now - updatedAt) : 0;
+      shedRatio = 1 - (1 - shedRatio) * Math.exp(-span / SHED_RISE_MICROS);
     }
-    seenAt = now;
+    updatedAt = now;
   }
 }
--- a/src/main/java/mothwing/net/RetryingSocketChannel.java
+++ b/src/main/java/mothwing/net/RetryingSocketChannel.java
@@ -18,7 +18,7 @@
    * Reads in a row that may be interrupted; after that the selector says again that there is
    * something to read.
    */
-  private static final int MOST_TRIES = 8;
+  private static final int MAX_ATTEMPTS = 8;
 
   /** One read. */
   @FunctionalInterface
@@ -53,7 +53,7 @@
    * @throws Exception where a read fails
    */
   static int untilRead(Read read) throws Exception {
-    for (int tries = 0; tries < MOST_TRIES; tries++) {
+    for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
       int count = read.read();
       if (count >= END_OF_STREAM) {
         return count;
--- a/src/main/java/mothwing/net/TcpConnector.java
+++ b/src/main/java/mothwing/net/TcpConnector.java
@@ -13,7 +13,7 @@
 
 /** Opens connections to one address. */
 public final class TcpConnector implements Connector {
-  private static final int MOST_WAIT_MS = 2000;
+  private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
   private final EventLoop loop;
   private final ByteBufAllocator allocator;
@@ -37,14 +37,14 @@
     new Bootstrap()
         .group(loop)
         .channelFactory(RetryingSocketChannel::new)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, MOST_WAIT_MS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.ALLOCATOR, allocator)
         .handler(
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel opened) {
-                opened.pipeline().addLast(new Opening(maker));
+                opened.pipeline().addLast(new OpeningHandler(maker));
               }
             })
         .connect(address)
@@ -59,10 +59,10 @@
   /**
    * Puts the state of the connection in its place once it is open, so that attempts leave no trace.
    */
-  private static final class Opening extends ChannelInboundHandlerAdapter {
+  private static final class OpeningHandler extends ChannelInboundHandlerAdapter {
     private final Supplier<? extends Connection> maker;
 
-    Opening(Supplier<? extends Connection> maker) {
+    OpeningHandler(Supplier<? extends Connection> maker) {
       this.maker = maker;
     }
 
--- a/src/main/java/mothwing/net/TimingWheel.java
+++ b/src/main/java/mothwing/net/TimingWheel.java
@@ -5,17 +5,17 @@
 /**
  * A hashed timing wheel: entries with due times, put in, moved and taken out at a cost that does
  * not depend on their number. An entry due beyond one turn of the wheel is passed over once a turn.
- * Times are microseconds of one clock that only goes forward; an entry fires at the first look at
- * or after its due time, up to a tick late.
+ * Times are microseconds of one clock that only goes forward; an entry fires at the first advance
+ * at or after its due time, up to a tick late.
  */
 final class TimingWheel {
-  /** What stands in a wheel: at one place at most. */
+  /** An entry, in at most one slot of one wheel. */
   static class Entry {
     private Entry before;
     private Entry after;
     private long due = Connection.NEVER;
 
-    /** When it is due, or {@link Connection#NEVER} where it stands in no wheel. */
+    /** When it is due, or {@link Connection#NEVER} where it is in no wheel. */
     final long due() {
       return due;
     }
@@ -29,9 +29,9 @@
     }
   }
 
-  private final long tick;
+  private final long tickMicros;
   private final Entry[] slots;
-  private long turned;
+  private long currentTick;
   private int size;
 
   /**
@@ -42,8 +42,8 @@
    * @param now the time
    */
   TimingWheel(int slots, long tick, long now) {
-    this.tick = tick;
-    this.turned = now / tick;
+    this.tickMicros = tick;
+    this.currentTick = now / tick;
     this.slots = new Entry[slots];
     for (int i = 0; i < slots; i++) {
       Entry head = new Entry();
@@ -53,10 +53,10 @@
     }
   }
 
-  /** Puts an entry in, or moves it; what is due already fires at the next look. */
+  /** Puts an entry in, or moves it; what is due already fires at the next advance. */
   void put(Entry entry, long due) {
     remove(entry);
-    Entry head = slots[(int) (Math.max(due / tick, turned) & slots.length - 1)];
+    Entry head = slots[(int) (Math.max(due / tickMicros, currentTick) & (slots.length - 1))];
     entry.due = due;
     entry.before = head.before;
     entry.after = head;
@@ -73,45 +73,45 @@
     }
   }
 
-  /** How many entries stand in it. */
+  /** How many entries it has. */
   int size() {
     return size;
   }
 
   /**
-   * Takes out all that is due and gives it away, in no order. What is put in meanwhile and is due
-   * already fires at the next look.
+   * Takes out all entries that are due and fires them, in no order. An entry that is put in
+   * meanwhile and is due already fires at the next advance.
    *
    * @param now the time
    * @param fired takes each entry
    */
-  void look(long now, Consumer<Entry> fired) {
-    long until = now / tick;
-    long from = Math.max(turned, until - slots.length + 1); // one turn sees all
-    Entry due = new Entry(); // a list of its own, so that what is put in meanwhile is not met
+  void advance(long now, Consumer<Entry> fired) {
+    long until = now / tickMicros;
+    long from = Math.max(currentTick, until - slots.length + 1); // one turn covers all slots
+    Entry due = new Entry(); // entries put in meanwhile are not met
     due.before = due;
     due.after = due;
     for (long at = from; at <= until; at++) {
-      Entry head = slots[(int) (at & slots.length - 1)];
-      for (Entry one = head.after; one != head; ) {
-        Entry next = one.after;
-        if (one.due <= now) {
-          long when = one.due;
-          one.unlink();
-          one.due = when;
-          one.before = due.before;
-          one.after = due;
-          due.before.after = one;
-          due.before = one;
+      Entry head = slots[(int) (at & (slots.length - 1))];
+      for (Entry entry = head.after; entry != head; ) {
+        Entry next = entry.after;
+        if (entry.due <= now) {
+          long dueAt = entry.due;
+          entry.unlink();
+          entry.due = dueAt;
+          entry.before = due.before;
+          entry.after = due;
+          due.before.after = entry;
+          due.before = entry;
         }
-        one = next;
+        entry = next;
       }
     }
-    turned = until;
+    currentTick = until;
     while (due.after != due) {
-      Entry one = due.after;
-      remove(one);
-      fired.accept(one);
+      Entry entry = due.after;
+      remove(entry);
+      fired.accept(entry);
     }
   }
 }
--- a/src/main/java/mothwing/server/AsyncLogWriter.java
+++ b/src/main/java/mothwing/server/AsyncLogWriter.java
@@ -13,10 +13,10 @@
  * place.
  */
 public final class AsyncLogWriter implements EventLog {
-  private static final int MOST_WAITING = 4096;
+  private static final int MAX_QUEUED_LINES = 4096;
   private static final String END = "";
 
-  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final PrintStream out;
   private final Thread writer = new Thread(this::write, "log");
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -30,7 +30,7 @@
  * @param stopMs milliseconds from the notice to leave to the stop
  * @param sockets most descriptors
  * @param settings the settings of the site
- * @param told all that it was read from
+ * @param source all that it was read from
  */
 public record Config(
     String name,
@@ -42,7 +42,7 @@
     long stopMs,
     int sockets,
     Settings settings,
-    JsonFields told) {
+    JsonFields source) {
   private static final int HEXADECIMAL = 16;
 
   /**
@@ -95,9 +95,9 @@
    * @return the configuration
    * @throws IOException where it cannot be read or understood, or lacks a key
    */
-  Config next(String path) throws IOException {
+  Config readSuccessor(String path) throws IOException {
     Config now = read(path);
-    told.requireKeysIn(now.told);
+    source.requireKeysIn(now.source);
     return now;
   }
 
@@ -107,7 +107,7 @@
    * @param now the new one
    * @return the one in force
    */
-  Config moved(Config now) {
+  Config withReloaded(Config now) {
     return new Config(
         name,
         listen,
@@ -118,11 +118,11 @@
         now.stopMs,
         sockets,
         now.settings,
-        now.told);
+        now.source);
   }
 
   /** The fields in which a new configuration asks for what only a new start can give. */
-  String differences(Config now) {
+  String restartRequiredFor(Config now) {
     List<String> all = new ArrayList<>();
     if (!name.equals(now.name)) {
       all.add("name");
--- a/src/main/java/mothwing/server/ConfigReloader.java
+++ b/src/main/java/mothwing/server/ConfigReloader.java
@@ -13,7 +13,7 @@
 public final class ConfigReloader {
   private final String path;
   private final Server server;
-  private Config last;
+  private Config current;
   private final ExecutorService reader =
       Executors.newSingleThreadExecutor(
           work -> {
@@ -31,7 +31,7 @@
    */
   public ConfigReloader(String path, Config first, Server server) {
     this.path = path;
-    this.last = first;
+    this.current = first;
     this.server = server;
   }
 
@@ -39,13 +39,13 @@
    * Reads it once more: may come from any thread, and more than once. What cannot be read changes
    * nothing.
    */
-  public void again() {
+  public void reload() {
     reader.execute(
         () -> {
           try {
-            Config now = last.next(path);
+            Config now = current.readSuccessor(path);
             server.reload(now);
-            last = now;
+            current = now;
           } catch (IOException | RuntimeException bad) {
             server.reloadFailed(
                 bad instanceof InvalidInputException ? bad.getMessage() : bad.toString());
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -21,8 +21,8 @@
 
 /** The DNS server as a process: its loop, its two helper threads, reload, drain and exit. */
 public final class DnsService implements Service {
-  private static final long STOP_MS = 5000;
-  private static final int LEAVE_PERIOD_MS = 20;
+  private static final long STOP_AFTER_MILLIS = 5000;
+  private static final int SHUTDOWN_POLL_MILLIS = 20;
 
   private final Path settings;
   private final EventLog log;
@@ -114,20 +114,20 @@
         () -> {
           if (!draining) {
             draining = true;
-            stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_MS);
-            front.drain(STOP_MS);
-            leave();
+            stopAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(STOP_AFTER_MILLIS);
+            front.drain(STOP_AFTER_MILLIS);
+            finishShutdown();
           }
         });
   }
 
-  private void leave() {
+  private void finishShutdown() {
     boolean last = System.nanoTime() >= stopAt;
     if (front.drained(last) || last) {
       log.write("leave");
       front.close(ended::countDown);
     } else {
-      loop.schedule(this::leave, LEAVE_PERIOD_MS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::finishShutdown, SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
--- a/src/main/java/mothwing/server/FileDescriptorBudget.java
+++ b/src/main/java/mothwing/server/FileDescriptorBudget.java
@@ -10,10 +10,10 @@
 final class FileDescriptorBudget {
   private static final Path LIMITS = Path.of("/proc/self/limits");
   private static final String OPEN_FILES = "Max open files";
-  private static final int MOST_SPARE = 64;
-  private static final int LEAST_SPARE =
+  private static final int MAX_RESERVED = 64;
+  private static final int MIN_RESERVED =
       24; // links, dials and listeners, and those that wait for the other side's close
-  private static final int USUALLY_HELD = 16;
+  private static final int USUALLY_OPEN = 16;
   private static final Path OPEN = Path.of("/proc/self/fd");
 
   private FileDescriptorBudget() {}
@@ -24,7 +24,7 @@
    * @param told the number in the configuration
    * @return descriptors, above 0
    */
-  static int most(int told) {
+  static int limitFor(int told) {
     try {
       return Math.min(told, limit(Files.readAllLines(LIMITS, StandardCharsets.ISO_8859_1), told));
     } catch (IOException notLinux) {
@@ -53,13 +53,13 @@
    * @return their number: a quarter, {@value #MOST_SPARE} at most, but no less than those held and
    *     {@value #LEAST_SPARE} more
    */
-  static int spare(int most, int held) {
-    return Math.max(held + LEAST_SPARE, Math.min(MOST_SPARE, most / 4));
+  static int reserved(int most, int held) {
+    return Math.max(held + MIN_RESERVED, Math.min(MAX_RESERVED, most / 4));
   }
 
   /** How many this process holds now, or an ordinary number where the kernel does not say. */
-  static int held() {
+  static int openNow() {
     String[] all = OPEN.toFile().list();
-    return all == null ? USUALLY_HELD : all.length;
+    return all == null ? USUALLY_OPEN : all.length;
   }
 }
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -147,11 +147,12 @@
    * @throws IOException where it cannot listen
    */
   public void start() throws IOException {
-    int descriptors = FileDescriptorBudget.most(config.sockets());
+    int descriptors = FileDescriptorBudget.limitFor(config.sockets());
     int most =
         Math.max(
             1,
-            (descriptors - FileDescriptorBudget.spare(descriptors, FileDescriptorBudget.held()))
+            (descriptors
+                    - FileDescriptorBudget.reserved(descriptors, FileDescriptorBudget.openNow()))
                 / (ajp == null ? 1 : 2));
     fronts.add(
         new Front(
@@ -165,11 +166,11 @@
     }
     ReadBudget turns = new ReadBudget(timers);
     broker.setOverloadCheck(turns::isOverloaded);
-    fronts.forEach(one -> one.listener().inTurns(turns));
+    fronts.forEach(one -> one.listener().limitReads(turns));
     if (config.management() == null) {
       listenNow(fronts);
     } else {
-      fronts.forEach(one -> one.listener().share());
+      fronts.forEach(one -> one.listener().shareAddress());
       AdminOperations operations = new Operators();
       door =
           listener(
@@ -318,8 +319,8 @@
         () -> {
           reloads++;
           Config before = config;
-          config = before.moved(now);
-          String waits = config.differences(now);
+          config = before.withReloaded(now);
+          String waits = config.restartRequiredFor(now);
           log.write(
               "reload pool="
                   + config.pool()
@@ -371,7 +372,7 @@
       door.trim(DOOR_PATIENCE, CloseReason.IDLE);
     }
     if (!leaving) {
-      listeners.forEach(Listener::look);
+      listeners.forEach(Listener::pollSharedPort);
     }
     if (idleSpan > 0 && !leaving) { // on the way out Drain says how long connections may stay
       listeners.forEach(one -> one.trim(idleSpan, CloseReason.IDLE));
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -35,7 +35,6 @@
           Map.entry("Parser.java", 489),
           Map.entry("DeploymentSimulation.java", 486),
           Map.entry("SimulatedOverrideNetwork.java", 481),
-          Map.entry("Connection.java", 474),
           Map.entry("ZoneFile.java", 473),
           Map.entry("Server.java", 467),
           Map.entry("ZoneKeeper.java", 464),
--- a/src/test/java/mothwing/admin/AdminConnectionTest.java
+++ b/src/test/java/mothwing/admin/AdminConnectionTest.java
@@ -28,7 +28,7 @@
     "",
     "leave",
     "LEAVE JOIN",
-    "x".repeat(AdminConnection.MOST_LINE + 1),
+    "x".repeat(AdminConnection.MAX_LINE_BYTES + 1),
     "x".repeat(5000)
   };
 
@@ -119,7 +119,7 @@
   @Example
   void aLineWithoutAnEndIsAnsweredAtItsBound() {
     EmbeddedChannel channel = call();
-    channel.writeInbound(Unpooled.wrappedBuffer(new byte[AdminConnection.MOST_LINE + 1]));
+    channel.writeInbound(Unpooled.wrappedBuffer(new byte[AdminConnection.MAX_LINE_BYTES + 1]));
     assertTrue(reply(channel).startsWith("NO "));
     assertFalse(channel.isOpen());
   }
--- a/src/test/java/mothwing/net/ConnectionTableTest.java
+++ b/src/test/java/mothwing/net/ConnectionTableTest.java
@@ -251,7 +251,7 @@
           now += step / 48 % 120;
           long at = now;
           List<TimingWheel.Entry> fired = new ArrayList<>();
-          wheel.look(now, fired::add);
+          wheel.advance(now, fired::add);
           Set<TimingWheel.Entry> expected = new HashSet<>(model.keySet());
           expected.removeIf(entry -> model.get(entry) > at);
           assertEquals(expected, new HashSet<>(fired));
--- /dev/null
+++ b/src/test/java/mothwing/net/ConnectionTimeoutsTest.java
@@ -0,0 +1,51 @@
+package mothwing.net;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import org.junit.jupiter.api.Test;
+
+/** What a peer is given time for, and why it is disconnected afterwards. */
+class ConnectionTimeoutsTest {
+  private static final long TIMEOUT = 100;
+  private static final long NEVER = Connection.NEVER;
+
+  private final ConnectionTimeouts timeouts = new ConnectionTimeouts();
+
+  private long expiresAt() {
+    return timeouts.expiresAt(TIMEOUT, true, NEVER);
+  }
+
+  @Test
+  void aPeerWithoutARequestExpiresUntilItIsIdentified() {
+    timeouts.opened(10);
+    assertEquals(110, expiresAt());
+    assertEquals(CloseReason.SILENT, timeouts.reason(111, TIMEOUT, NEVER));
+    assertEquals(NEVER, timeouts.expiresAt(TIMEOUT, false, NEVER), "its input is held up here");
+    timeouts.identified();
+    assertEquals(NEVER, expiresAt());
+  }
+
+  /** Guards against a message sent byte by byte that would never expire. */
+  @Test
+  void theFirstByteOfAnIncompleteMessageCounts() {
+    timeouts.identified();
+    timeouts.bytesReceived(20);
+    timeouts.bytesReceived(90);
+    assertEquals(120, expiresAt());
+    assertEquals(CloseReason.HALF_SENT, timeouts.reason(121, TIMEOUT, NEVER));
+    assertEquals(105, timeouts.expiresAt(TIMEOUT, true, 5), "an older request");
+    timeouts.bufferEmptied();
+    assertEquals(NEVER, expiresAt());
+  }
+
+  @Test
+  void unreadAnswersExpireEvenWhereNoInputIsAwaited() {
+    timeouts.identified();
+    timeouts.writeBlocked(30);
+    timeouts.writeBlocked(60);
+    assertEquals(130, timeouts.expiresAt(TIMEOUT, false, NEVER));
+    assertEquals(CloseReason.NOT_READ, timeouts.reason(131, TIMEOUT, NEVER));
+    timeouts.writeResumed();
+    assertEquals(NEVER, expiresAt());
+  }
+}
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -395,7 +395,7 @@
               || one.wholeAt <= noticeAt + GRACE,
           one.id + " came after the grace and ran");
     }
-    assertTrue(table.held() <= WIDE);
+    assertTrue(table.descriptors() <= WIDE);
     assertEquals(
         all.stream()
             .filter(one -> one.wholeAt < Long.MAX_VALUE && one.answers == 0 && !one.left)
--- a/src/test/java/mothwing/net/ReadBudgetTest.java
+++ b/src/test/java/mothwing/net/ReadBudgetTest.java
@@ -18,7 +18,7 @@
 /** What one turn of the loop takes of what clients sent, where taking costs time. */
 class ReadBudgetTest {
   private static final long COST = 500; // microseconds a piece
-  private static final int IN_A_TURN = (int) (ReadBudget.SPAN / COST);
+  private static final int IN_A_TURN = (int) (ReadBudget.TURN_MICROS / COST);
 
   private final Clock clock = new Clock();
   private final ReadBudget turns = new ReadBudget(clock);
--- a/src/test/java/mothwing/net/SharedPortQuotaTest.java
+++ b/src/test/java/mothwing/net/SharedPortQuotaTest.java
@@ -46,7 +46,7 @@
 
     void step(long now) {
       Side other = sides.size() < 2 ? null : sides.get(sides.get(0) == this ? 1 : 0);
-      if (answerAt == Long.MAX_VALUE && quota.wantsLook(now, open())) {
+      if (answerAt == Long.MAX_VALUE && quota.isPollDue(now, open())) {
         askedAt = now;
         answerAt =
             now + random.nextInt(random.nextInt(4) == 0 ? 400 : 20) * STEP; // some come very late
@@ -54,11 +54,11 @@
         sawOpen = other == null ? 0 : other.open();
       }
       if (now >= answerAt) {
-        quota.saw(askedAt, sawOther, sawOpen);
+        quota.update(askedAt, sawOther, sawOpen);
         answerAt = Long.MAX_VALUE;
       }
       quiet -= Math.min(quiet, quota.excess(now, open()));
-      for (int i = random.nextInt(COME + 1); i > 0 && listens && open() < quota.bound(now); i--) {
+      for (int i = random.nextInt(COME + 1); i > 0 && listens && open() < quota.limit(now); i--) {
         quiet++;
       }
       int turn = Math.min(quiet, random.nextInt(COME + 1));
--- a/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
+++ b/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
@@ -48,11 +48,11 @@
         FileDescriptorBudget.limit(
             List.of("Max open files            unlimited unlimited files"), 7));
     assertEquals(7, FileDescriptorBudget.limit(List.of(), 7));
-    assertEquals(64, FileDescriptorBudget.spare(1024, 16));
-    assertEquals(50, FileDescriptorBudget.spare(200, 16));
-    assertEquals(40, FileDescriptorBudget.spare(33, 16));
-    assertEquals(124, FileDescriptorBudget.spare(1024, 100));
-    assertTrue(FileDescriptorBudget.held() > 3);
+    assertEquals(64, FileDescriptorBudget.reserved(1024, 16));
+    assertEquals(50, FileDescriptorBudget.reserved(200, 16));
+    assertEquals(40, FileDescriptorBudget.reserved(33, 16));
+    assertEquals(124, FileDescriptorBudget.reserved(1024, 100));
+    assertTrue(FileDescriptorBudget.openNow() > 3);
   }
 
   private static String report(ServerSocket service) throws IOException {
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -310,7 +310,7 @@
                 3200,
                 256,
                 first.settings(),
-                first.told()),
+                first.source()),
             null,
             lines::add);
     server.start();
@@ -333,11 +333,11 @@
     for (String text : wrong) {
       assertNotEquals(good, text);
       Files.writeString(file, text);
-      reload.again();
+      reload.reload();
       awaitCount("reload-failed ", 1 + wrong.indexOf(text));
     }
     Files.writeString(file, good.replace("stock-check", "stock-look"));
-    reload.again();
+    reload.reload();
     awaitLine("reload ");
     String figures = call("DUMP");
     assertTrue(
