--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -4,11 +4,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import mothwing.net.CloseReason;
+import mothwing.net.Header;
 import mothwing.net.ProtocolException;
 
 /**
- * The packets of AJP/1.3: their numbers, how they are written, and how strings and header names are
- * read.
+ * The AJP/1.3 packet codec: packet codes, how packets are written, and how strings and header names
+ * are read.
  */
 final class Ajp {
   static final int TO_CONTAINER = 0x1234;
@@ -88,7 +89,7 @@
     }
   }
 
-  /** Begins a packet and returns where its length stands. */
+  /** Begins a packet and returns the index of its length. */
   private static int begin(ByteBuf out, int code) {
     out.writeShort(TO_SERVER).writeShort(0).writeByte(code);
     return out.writerIndex() - Short.BYTES - 1;
@@ -104,14 +105,14 @@
     out.writeByte(0);
   }
 
-  static void sendHeaders(ByteBuf out, int status, String phrase, List<String[]> fields) {
+  static void sendHeaders(ByteBuf out, int status, String phrase, List<Header> headers) {
     int at = begin(out, SEND_HEADERS);
     out.writeShort(status);
     string(out, phrase);
-    out.writeShort(fields.size());
-    for (String[] field : fields) {
-      string(out, field[0]);
-      string(out, field[1]);
+    out.writeShort(headers.size());
+    for (Header header : headers) {
+      string(out, header.name());
+      string(out, header.value());
     }
     finish(out, at);
   }
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -11,15 +11,17 @@
 import mothwing.net.CloseReason;
 import mothwing.net.Connection;
 import mothwing.net.FrontRequest;
+import mothwing.net.Header;
 import mothwing.net.Headers;
 import mothwing.net.ProtocolException;
+import mothwing.net.RequestFields;
 
 /**
- * One connection of a gateway that speaks AJP/1.3: one request at a time, and a close is its caller
- * leaving.
+ * One connection of a gateway that speaks AJP/1.3: one request at a time, which a close by the
+ * gateway cancels.
  */
 public final class AjpConnection extends Connection {
-  private static final byte[] NOTHING = new byte[0];
+  private static final byte[] NO_BYTES = new byte[0];
   private static final long LENGTH_UNKNOWN = -1;
 
   private final Broker broker;
@@ -29,7 +31,7 @@
    * Makes the state of a new connection.
    *
    * @param broker takes the requests
-   * @param log takes its line
+   * @param log takes its log lines
    * @param counters counts what happens
    */
   public AjpConnection(Broker broker, EventLog log, Counters counters) {
@@ -37,16 +39,16 @@
     this.broker = broker;
   }
 
-  /** The request that is open: its body is still to come, or its answer. */
+  /** The open request: the rest of its body is awaited, or its answer. */
   private final class PendingRequest extends FrontRequest {
-    private final InboundRequest.Fields fields = new InboundRequest.Fields();
-    private final long begunAt = now();
+    private final RequestFields fields = new RequestFields();
+    private final long startedAt = now();
     private String path;
     private String query = "";
     private long length = LENGTH_UNKNOWN;
     private boolean chunked;
-    private boolean reading = true;
-    private byte[] body = NOTHING;
+    private boolean incomplete = true;
+    private byte[] body = NO_BYTES;
 
     PendingRequest() {
       super(broker);
@@ -58,14 +60,14 @@
     }
 
     @Override
-    protected void write(int status, List<String[]> answer, byte[] content) {
+    protected void write(int status, List<Header> headers, byte[] content) {
       if (open != this) {
         return;
       }
       open = null;
       boolean reuse = !broker.isDraining();
       ByteBuf out = allocate(512 + content.length);
-      Ajp.sendHeaders(out, status, Headers.phrase(status), answer);
+      Ajp.sendHeaders(out, status, Headers.phrase(status), headers);
       Ajp.sendBody(out, content);
       Ajp.endResponse(out, reuse);
       count("answered-" + status);
@@ -90,38 +92,38 @@
           return length;
         }
       } catch (NumberFormatException notOne) {
-        // falls through to the complaint
+        // falls through to the error
       }
       throw new ProtocolException(CloseReason.MALFORMED, "content-length");
     }
 
     /**
-     * Takes a chunk of the body; an empty one is the last. Nothing more is asked for than a body
-     * may hold.
+     * Takes a chunk of the body; an empty one is the last. No more is requested than a body may
+     * hold.
      */
     void chunk(byte[] more) {
       int before = body.length;
-      int room =
+      int capacity =
           InboundRequest.MAX_BODY_BYTES
               + 1
-              - before; // one byte over shows that the body is too large
-      int taken = Math.min(room, more.length);
+              - before; // the one byte over shows that it is too large
+      int taken = Math.min(capacity, more.length);
       body = Arrays.copyOf(body, before + taken);
       System.arraycopy(more, 0, body, before, taken);
       if (body.length > InboundRequest.MAX_BODY_BYTES || length > InboundRequest.MAX_BODY_BYTES) {
-        reading = false;
+        incomplete = false;
         reject("oversized-body");
       } else if (more.length == 0 && length > body.length) {
-        reading = false;
+        incomplete = false;
         reject("body-cut-short");
       } else if (more.length == 0 || length == body.length) {
-        ready();
+        submit();
       } else {
-        ask();
+        requestChunk();
       }
     }
 
-    void ask() {
+    void requestChunk() {
       ByteBuf out = allocate(Ajp.HEADER_BYTES + 3);
       long wanted =
           length == LENGTH_UNKNOWN
@@ -131,8 +133,8 @@
       send(out);
     }
 
-    void ready() {
-      reading = false;
+    void submit() {
+      incomplete = false;
       count("requests");
       markIdentified();
       handle(path, query, fields, body);
@@ -146,7 +148,7 @@
 
   @Override
   protected long halfReadSince() {
-    return open != null && open.reading ? open.begunAt : NEVER;
+    return open != null && open.incomplete ? open.startedAt : NEVER;
   }
 
   @Override
@@ -172,7 +174,7 @@
 
   private void packet(ByteBuf in) throws ProtocolException {
     if (open != null) {
-      if (!open.reading) {
+      if (!open.incomplete) {
         throw new ProtocolException(CloseReason.TOO_MANY_OPEN, "a packet before the answer");
       }
       open.chunk(bodyChunk(in));
@@ -195,7 +197,7 @@
 
   private static byte[] bodyChunk(ByteBuf in) throws ProtocolException {
     if (!in.isReadable()) {
-      return NOTHING; // the end of the body
+      return NO_BYTES; // the end of the body
     }
     Ajp.need(in, Short.BYTES);
     int length = in.readUnsignedShort();
@@ -206,11 +208,11 @@
   }
 
   private void forward(ByteBuf in) throws ProtocolException {
-    PendingRequest asked = new PendingRequest();
+    PendingRequest request = new PendingRequest();
     Ajp.need(in, 1);
     in.skipBytes(1); // the method: any may be used
     Ajp.string(in); // protocol
-    asked.path = Ajp.string(in);
+    request.path = Ajp.string(in);
     for (int i = 0; i < 3; i++) {
       Ajp.string(in); // remote address, remote host, server name
     }
@@ -218,18 +220,18 @@
     in.skipBytes(Short.BYTES + 1); // port, whether by TLS
     int headers = in.readUnsignedShort();
     for (int i = 0; i < headers; i++) {
-      asked.header(Ajp.headerName(in), Ajp.string(in));
+      request.header(Ajp.headerName(in), Ajp.string(in));
     }
-    attributes(in, asked);
-    open = asked;
-    if (asked.chunked && asked.length == LENGTH_UNKNOWN) {
-      asked.ask();
-    } else if (asked.length <= 0) {
-      asked.ready(); // no body; else its first chunk comes unasked
+    attributes(in, request);
+    open = request;
+    if (request.chunked && request.length == LENGTH_UNKNOWN) {
+      request.requestChunk();
+    } else if (request.length <= 0) {
+      request.submit(); // no body; else its first chunk comes unrequested
     }
   }
 
-  private static void attributes(ByteBuf in, PendingRequest asked) throws ProtocolException {
+  private static void attributes(ByteBuf in, PendingRequest request) throws ProtocolException {
     while (true) {
       Ajp.need(in, 1);
       int code = in.readUnsignedByte();
@@ -249,17 +251,17 @@
       }
       String value = Ajp.string(in);
       if (code == Ajp.QUERY_STRING) {
-        asked.query = value;
+        request.query = value;
       }
     }
   }
 
   @Override
   protected void onClosed() {
-    PendingRequest left = open;
+    PendingRequest cancelled = open;
     open = null;
-    if (left != null) {
-      left.cancel();
+    if (cancelled != null) {
+      cancelled.cancel();
     }
   }
 }
--- a/src/main/java/mothwing/fastcgi/FastCgi.java
+++ b/src/main/java/mothwing/fastcgi/FastCgi.java
@@ -7,7 +7,7 @@
 import mothwing.net.ProtocolException;
 
 /**
- * The records of FastCGI 1.0: their numbers, how they are written, and how name-value pairs are
+ * The FastCGI 1.0 record codec: record types, how records are written, and how name-value pairs are
  * read.
  */
 final class FastCgi {
@@ -32,7 +32,7 @@
 
   private FastCgi() {}
 
-  /** Writes the head of a record. */
+  /** Writes the header of a record. */
   static void head(ByteBuf out, int type, int id, int length) {
     out.writeByte(VERSION)
         .writeByte(type)
--- a/src/main/java/mothwing/fastcgi/FastCgiClient.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiClient.java
@@ -7,7 +7,7 @@
 import java.io.DataInputStream;
 import java.io.IOException;
 
-/** One request of our own to a shop server, for tools that ask it something. */
+/** A FastCGI request to a running shop server and its answer, for command-line tools. */
 public final class FastCgiClient {
   private FastCgiClient() {}
 
@@ -33,7 +33,7 @@
    * Reads the answer to its end.
    *
    * @param in what the server sends
-   * @return what stood in its records
+   * @return the content of its records
    * @throws IOException where it ends early
    */
   public static byte[] readResponse(DataInputStream in) throws IOException {
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -15,35 +15,35 @@
 import mothwing.net.CloseReason;
 import mothwing.net.Connection;
 import mothwing.net.FrontRequest;
+import mothwing.net.Header;
 import mothwing.net.Headers;
 import mothwing.net.ProtocolException;
+import mothwing.net.RequestFields;
 
-/**
- * One connection of a gateway that speaks FastCGI: its open requests, by the numbers that the
- * gateway gave.
- */
+/** One connection of a gateway that speaks FastCGI, with its open requests by request id. */
 public final class FastCgiConnection extends Connection {
-  /** Most requests open at once on one connection. */
+  /** Most requests that may be open at once on one connection. */
   static final int MAX_OPEN_REQUESTS = 32;
 
   /** Most bytes of the parameters of one request. */
   static final int MAX_PARAMS_BYTES = 8 << 10;
 
   private static final int MAX_RECORD_BYTES =
-      FastCgi.HEADER_BYTES + MAX_PARAMS_BYTES + 0xFF; // a larger one is not gathered
-  private static final int MAX_SKIPPED_BYTES = 128 << 10; // bytes since the last whole request
-  private static final byte[] NOTHING = new byte[0];
+      FastCgi.HEADER_BYTES + MAX_PARAMS_BYTES + 0xFF; // a larger one is not buffered
+  private static final int MAX_SKIPPED_BYTES = 128 << 10; // since the last complete request
+  private static final String HEADER_PREFIX = "HTTP_";
+  private static final byte[] NO_BYTES = new byte[0];
 
   private final Broker broker;
   private final Map<Integer, PendingRequest> open = new HashMap<>();
-  private int skip;
-  private int passedOver;
+  private int bytesToSkip;
+  private int skippedBytes;
 
   /**
    * Makes the state of a new connection.
    *
    * @param broker takes the requests
-   * @param log takes its line
+   * @param log takes its log lines
    * @param counters counts what happens
    */
   public FastCgiConnection(Broker broker, EventLog log, Counters counters) {
@@ -51,20 +51,20 @@
     this.broker = broker;
   }
 
-  /** A request of this connection, from its begin to its end. */
+  /** A request of this connection, from its first record to its answer. */
   private final class PendingRequest extends FrontRequest {
     private final int id;
-    private final boolean keep;
-    private final long begunAt = now();
-    private byte[] params = NOTHING;
-    private byte[] body = NOTHING;
-    private boolean paramsWhole;
-    private boolean read;
+    private final boolean keepConnection;
+    private final long startedAt = now();
+    private byte[] params = NO_BYTES;
+    private byte[] body = NO_BYTES;
+    private boolean paramsComplete;
+    private boolean complete;
 
-    PendingRequest(int id, boolean keep) {
+    PendingRequest(int id, boolean keepConnection) {
       super(broker);
       this.id = id;
-      this.keep = keep;
+      this.keepConnection = keepConnection;
     }
 
     @Override
@@ -73,7 +73,7 @@
     }
 
     @Override
-    protected void write(int status, List<String[]> fields, byte[] content) {
+    protected void write(int status, List<Header> headers, byte[] content) {
       if (!open.remove(id, this)) {
         return;
       }
@@ -83,57 +83,58 @@
               .append(' ')
               .append(Headers.phrase(status))
               .append("\r\n");
-      fields.forEach(one -> head.append(one[0]).append(": ").append(one[1]).append("\r\n"));
+      headers.forEach(
+          header -> head.append(header.name()).append(": ").append(header.value()).append("\r\n"));
       byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
       ByteBuf out = allocate(first.length + content.length + 5 * FastCgi.HEADER_BYTES);
       FastCgi.stream(out, FastCgi.STDOUT, id, first, content);
       FastCgi.end(out, id, FastCgi.REQUEST_COMPLETE);
       count("answered-" + status);
       send(out);
-      if (!keep) {
+      if (!keepConnection) {
         close(CloseReason.ASKED, "");
       }
     }
 
-    /** The last byte of the request is there. */
-    void whole() {
+    /** The last byte of the request has come. */
+    void completed() {
       count("requests");
       markIdentified();
-      passedOver = 0;
-      if (!paramsWhole) {
+      skippedBytes = 0;
+      if (!paramsComplete) {
         reject("params-not-ended");
         return;
       }
-      InboundRequest.Fields fields = new InboundRequest.Fields();
-      String[] of = {"", ""};
+      RequestFields fields = new RequestFields();
+      Map<String, String> variables = new HashMap<>();
       try {
         FastCgi.pairs(
             Unpooled.wrappedBuffer(params),
             (name, value) -> {
-              if (name.equals("SCRIPT_NAME")) {
-                of[0] = value;
-              } else if (name.equals("QUERY_STRING")) {
-                of[1] = value;
-              } else if (name.startsWith("HTTP_")) {
-                fields.set(name.substring("HTTP_".length()).replace('_', '-'), value);
+              if (name.startsWith(HEADER_PREFIX)) {
+                fields.set(name.substring(HEADER_PREFIX.length()).replace('_', '-'), value);
+              } else {
+                variables.put(name, value);
               }
             });
       } catch (ProtocolException cut) {
         reject("bad-params");
         return;
       }
-      params = NOTHING;
-      handle(of[0], of[1], fields, body);
+      params = NO_BYTES;
+      handle(
+          variables.getOrDefault("SCRIPT_NAME", ""),
+          variables.getOrDefault("QUERY_STRING", ""),
+          fields,
+          body);
     }
 
-    /** A part of it is larger than may be. */
+    /** A part of it exceeds its bound. */
     void oversized(String part) {
       reject("oversized-" + part);
     }
 
-    /**
-     * The gateway has stopped waiting. The answer that lets it use the number again does no harm.
-     */
+    /** The gateway has stopped waiting. The answer frees the request id for it. */
     void abort() {
       count("aborted");
       cancel();
@@ -149,18 +150,18 @@
   @Override
   protected long halfReadSince() {
     long oldest = NEVER;
-    for (PendingRequest one : open.values()) {
-      oldest = one.read ? oldest : Math.min(oldest, one.begunAt);
+    for (PendingRequest request : open.values()) {
+      oldest = request.complete ? oldest : Math.min(oldest, request.startedAt);
     }
     return oldest;
   }
 
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
-    if (skip > 0) {
-      int part = Math.min(skip, in.readableBytes());
+    if (bytesToSkip > 0) {
+      int part = Math.min(bytesToSkip, in.readableBytes());
       in.skipBytes(part);
-      skip -= part;
+      bytesToSkip -= part;
     }
     if (in.readableBytes() < FastCgi.HEADER_BYTES) {
       return false;
@@ -172,44 +173,44 @@
     int type = in.getUnsignedByte(at + 1);
     int id = in.getUnsignedShort(at + 2);
     int length = in.getUnsignedShort(at + 4);
-    int whole = FastCgi.HEADER_BYTES + length + in.getUnsignedByte(at + 6);
-    if (passOver(type, open.get(id), length)) {
-      passedOver += whole;
-      if (passedOver > MAX_SKIPPED_BYTES) {
+    int size = FastCgi.HEADER_BYTES + length + in.getUnsignedByte(at + 6);
+    if (isSkipped(type, open.get(id), length)) {
+      skippedBytes += size;
+      if (skippedBytes > MAX_SKIPPED_BYTES) {
         throw new ProtocolException(
             CloseReason.OVERSIZED, "over " + MAX_SKIPPED_BYTES + " bytes that no request takes");
       }
-      skip = whole;
+      bytesToSkip = size;
       return true;
     }
-    if (in.readableBytes() < whole) {
+    if (in.readableBytes() < size) {
       return false;
     }
     record(type, id, in.slice(at + FastCgi.HEADER_BYTES, length));
-    in.skipBytes(whole);
+    in.skipBytes(size);
     return true;
   }
 
   /**
-   * Whether a record's content is of no use: that of a request which is answered, or which it makes
-   * too large. The latter is answered now, at the head of the record: the end may never come, or 60
-   * MB later.
+   * Whether a record's content is to be skipped: that of a request which was answered, or which it
+   * makes too large. The latter is answered now, at the header of the record, as its end may never
+   * come.
    */
-  private boolean passOver(int type, PendingRequest asked, int length) {
+  private boolean isSkipped(int type, PendingRequest request, int length) {
     if (type != FastCgi.PARAMS && type != FastCgi.STDIN) {
       return length > MAX_PARAMS_BYTES;
     }
-    if (asked != null
-        && !asked.read
+    if (request != null
+        && !request.complete
         && type == FastCgi.PARAMS
-        && asked.params.length + length > MAX_PARAMS_BYTES) {
-      asked.oversized("params");
-    } else if (asked != null
-        && !asked.read
+        && request.params.length + length > MAX_PARAMS_BYTES) {
+      request.oversized("params");
+    } else if (request != null
+        && !request.complete
         && type == FastCgi.STDIN
-        && asked.body.length + length > InboundRequest.MAX_BODY_BYTES) {
-      asked.oversized("body");
-    } else if (asked != null) {
+        && request.body.length + length > InboundRequest.MAX_BODY_BYTES) {
+      request.oversized("body");
+    } else if (request != null) {
       return false;
     }
     return true;
@@ -217,24 +218,24 @@
 
   private void record(int type, int id, ByteBuf content) throws ProtocolException {
     if (id == 0) {
-      management(type, content);
+      managementRecord(type, content);
       return;
     }
-    PendingRequest asked = open.get(id);
+    PendingRequest request = open.get(id);
     switch (type) {
       case FastCgi.BEGIN_REQUEST -> begin(id, content);
       case FastCgi.ABORT_REQUEST -> {
-        if (asked != null) { // else it crossed the answer
-          asked.abort();
+        if (request != null) { // else the abort crossed the answer
+          request.abort();
         }
       }
-      case FastCgi.PARAMS -> params(asked, content);
-      case FastCgi.STDIN -> body(asked, content);
+      case FastCgi.PARAMS -> params(request, content);
+      case FastCgi.STDIN -> body(request, content);
       default -> throw new ProtocolException(CloseReason.MALFORMED, "record of type " + type);
     }
   }
 
-  private void management(int type, ByteBuf content) throws ProtocolException {
+  private void managementRecord(int type, ByteBuf content) throws ProtocolException {
     ByteBuf out = allocate(128);
     if (type == FastCgi.GET_VALUES) {
       markIdentified();
@@ -267,8 +268,8 @@
       throw new ProtocolException(
           CloseReason.TOO_MANY_OPEN, "over " + MAX_OPEN_REQUESTS + " requests");
     }
-    PendingRequest asked = new PendingRequest(id, (content.getByte(2) & FastCgi.KEEP_CONN) != 0);
-    open.put(id, asked);
+    PendingRequest request = new PendingRequest(id, (content.getByte(2) & FastCgi.KEEP_CONN) != 0);
+    open.put(id, request);
     if (content.getUnsignedShort(0) != FastCgi.RESPONDER) {
       open.remove(id);
       ByteBuf out = allocate(2 * FastCgi.HEADER_BYTES);
@@ -278,26 +279,26 @@
     }
   }
 
-  private void params(PendingRequest asked, ByteBuf content) {
-    if (asked == null || asked.paramsWhole) {
+  private void params(PendingRequest request, ByteBuf content) {
+    if (request == null || request.paramsComplete) {
       return;
     }
     if (!content.isReadable()) {
-      asked.paramsWhole = true;
+      request.paramsComplete = true;
     } else {
-      asked.params = joined(asked.params, content);
+      request.params = joined(request.params, content);
     }
   }
 
-  private void body(PendingRequest asked, ByteBuf content) {
-    if (asked == null || asked.read) {
+  private void body(PendingRequest request, ByteBuf content) {
+    if (request == null || request.complete) {
       return;
     }
     if (content.isReadable()) {
-      asked.body = joined(asked.body, content);
+      request.body = joined(request.body, content);
     } else {
-      asked.read = true;
-      asked.whole();
+      request.complete = true;
+      request.completed();
     }
   }
 
@@ -309,8 +310,8 @@
 
   @Override
   protected void onClosed() {
-    List<PendingRequest> left = new ArrayList<>(open.values());
+    List<PendingRequest> cancelled = new ArrayList<>(open.values());
     open.clear();
-    left.forEach(PendingRequest::cancel);
+    cancelled.forEach(PendingRequest::cancel);
   }
 }
--- a/src/main/java/mothwing/net/FrontRequest.java
+++ b/src/main/java/mothwing/net/FrontRequest.java
@@ -5,16 +5,22 @@
 import java.util.List;
 import mothwing.broker.Broker;
 import mothwing.broker.Exchange;
-import mothwing.broker.InboundRequest;
 import mothwing.broker.ResponseSink;
 
 /**
- * A request of a front from its first byte to its answer: what both fronts do alike with a request
- * that was read whole. Answers are a status, fields and content; how they are written is the
- * front's own.
+ * A request of a front from its first byte to its answer: what every front does alike with a
+ * complete request. Answers are a status, header fields and content; the front writes them in its
+ * own protocol.
  */
 public abstract class FrontRequest implements ResponseSink {
-  private static final byte[] NOTHING = new byte[0];
+  private static final String HEALTH_CHECK_PATH = "/ping";
+  private static final String COUNTERS_PATH = "/counts";
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int CONTENT_TOO_LARGE = 413;
+  private static final int INTERNAL_ERROR = 500;
+  private static final int UNAVAILABLE = 503;
+  private static final byte[] NO_CONTENT = new byte[0];
 
   private final Broker broker;
   private Exchange exchange;
@@ -32,10 +38,10 @@
    * Writes the answer. Only the first one may leave.
    *
    * @param status its status
-   * @param fields its fields, names with values
+   * @param headers its header fields
    * @param content its content
    */
-  protected abstract void write(int status, List<String[]> fields, byte[] content);
+  protected abstract void write(int status, List<Header> headers, byte[] content);
 
   /**
    * Counts a request that could not be understood.
@@ -45,76 +51,75 @@
   protected abstract void rejected(String code);
 
   /**
-   * Hands a request that was read whole to the broker, or answers it here.
+   * Hands a complete request to the broker, or answers it here.
    *
    * @param path the path it was sent to
    * @param query its query string
    * @param fields its fields
    * @param body its body
    */
-  protected final void handle(
-      String path, String query, InboundRequest.Fields fields, byte[] body) {
-    if (path.equals("/ping")) {
+  protected final void handle(String path, String query, RequestFields fields, byte[] body) {
+    if (path.equals(HEALTH_CHECK_PATH)) {
       broker.healthCheck(
-          Headers.probes(query), good -> answer(good ? 200 : 503, List.of(), NOTHING));
+          Headers.isActiveHealthCheck(query),
+          healthy -> answer(healthy ? OK : UNAVAILABLE, List.of(), NO_CONTENT));
       return;
     }
-    if (path.equals("/counts")) {
-      answer(200, List.of(), (broker.counts() + "\n").getBytes(StandardCharsets.UTF_8));
+    if (path.equals(COUNTERS_PATH)) {
+      answer(OK, List.of(), (broker.counts() + "\n").getBytes(StandardCharsets.UTF_8));
       return;
     }
-    long advice = broker.retryAfterIfOverloaded(path);
-    if (advice >= 0) {
-      sendRejection(false, advice);
+    long retryAfterMillis = broker.retryAfterIfOverloaded(path);
+    if (retryAfterMillis >= 0) {
+      sendRejection(false, retryAfterMillis);
       return;
     }
     try {
       exchange = broker.submit(fields.toRequest(path, body), this);
-    } catch (InboundRequest.InvalidRequestException bad) {
-      reject(bad.getMessage());
+    } catch (InvalidRequestException invalid) {
+      reject(invalid.getMessage());
     }
   }
 
   /**
-   * Fails a request that could not be understood.
+   * Answers a request that could not be understood.
    *
    * @param code the reason
    */
   protected final void reject(String code) {
     rejected(code);
     answer(
-        code.startsWith("oversized") ? 413 : 400,
+        code.startsWith("oversized") ? CONTENT_TOO_LARGE : BAD_REQUEST,
         List.of(),
         code.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Its caller has left. */
+  /** Cancels the request: its caller has disconnected or aborted it. */
   public final void cancel() {
     if (exchange != null) {
       broker.cancelled(exchange);
     }
   }
 
-  private void answer(int status, List<String[]> more, byte[] content) {
-    List<String[]> fields = new ArrayList<>(more);
-    broker.freeValue().ifPresent(value -> fields.add(Headers.feedback(value)));
-    fields.add(new String[] {"Content-Type", "application/octet-stream"});
-    fields.add(new String[] {"Content-Length", Integer.toString(content.length)});
-    write(status, fields, content);
+  private void answer(int status, List<Header> extra, byte[] content) {
+    List<Header> headers = new ArrayList<>(extra);
+    broker.freeValue().ifPresent(value -> headers.add(Headers.freeValue(value)));
+    headers.addAll(Headers.content(content.length));
+    write(status, headers, content);
   }
 
   @Override
   public final void sendResult(byte[] result) {
-    answer(200, List.of(), result);
+    answer(OK, List.of(), result);
   }
 
   @Override
-  public final void sendRejection(boolean last, long holdOffMs) {
-    answer(503, Headers.refusal(last, holdOffMs), NOTHING);
+  public final void sendRejection(boolean last, long retryAfterMillis) {
+    answer(UNAVAILABLE, Headers.rejection(last, retryAfterMillis), NO_CONTENT);
   }
 
   @Override
   public final void sendFailure(String code) {
-    answer(500, List.of(), code.getBytes(StandardCharsets.ISO_8859_1));
+    answer(INTERNAL_ERROR, List.of(), code.getBytes(StandardCharsets.ISO_8859_1));
   }
 }
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -10,7 +10,6 @@
 import io.netty.channel.EventLoop;
 import io.netty.channel.WriteBufferWaterMark;
 import io.netty.channel.socket.nio.NioChannelOption;
-import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.util.concurrent.Future;
 import io.netty.util.concurrent.GlobalEventExecutor;
 import io.netty.util.concurrent.Promise;
@@ -19,26 +18,19 @@
 import java.net.BindException;
 import java.net.InetSocketAddress;
 import java.net.StandardSocketOptions;
-import java.nio.channels.ServerSocketChannel;
-import java.nio.channels.SocketChannel;
-import java.util.ArrayList;
-import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Supplier;
 import mothwing.broker.Counters;
 import mothwing.broker.Scheduler;
 
 /**
- * Accepts the connections of one front: no more than a bound, the idle ones closed after a span,
- * and those with nothing open closed once the process is leaving. At the bound a new connection
- * takes the place of one on which nothing is open: of a stranger, which never asked anything whole,
- * before that of a gateway.
+ * Accepts the connections of one front up to a limit, and closes those that are idle or time out.
+ * At the limit a new connection evicts one without an open request: one that never sent a complete
+ * request before one of an identified gateway.
  */
 public final class Listener {
-  /** Accepts in a row that may fail, or find nobody, before it is believed. */
-  private static final int MAX_FAILED_ACCEPTS = 10;
-
-  /** Milliseconds between tries to listen where the system has no room for a moment. */
+  /** Between attempts to bind where the system lacks resources for a moment. */
   private static final int BIND_RETRY_MILLIS = 50;
 
   private static final int MAX_BIND_ATTEMPTS = 60;
@@ -49,11 +41,11 @@
   private static final int INITIAL_READ_BYTES = 2048;
   private static final int MAX_READ_BYTES = 8192;
 
-  private final Supplier<? extends Connection> maker;
+  private final Supplier<? extends Connection> factory;
   private final int maxConnections;
   private final Counters counters;
   private final String side;
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final ConnectionTable table;
   private AcceptingChannel channel;
   private boolean shared;
@@ -61,137 +53,44 @@
   private boolean pollInProgress;
   private ReadBudget readBudget;
 
-  /** A listening socket that can be closed without losing who waits at it. */
-  private final class AcceptingChannel extends NioServerSocketChannel {
-    private int failedInARow;
-
-    /**
-     * Where no descriptor is left, below the bound as it may be, somebody gives way, and who waits
-     * is accepted a second later: the runtime rests for so long after a failure, so that nothing
-     * turns in circles. Any other failure of a moment costs one turn of the loop.
-     */
-    @Override
-    protected int doReadMessages(List<Object> accepted) throws Exception {
-      try {
-        SocketChannel one = javaChannel().accept();
-        failedInARow = 0;
-        return one == null || !taken(one, accepted) ? 0 : 1;
-      } catch (IOException none) {
-        counters.add(side + "-not-accepted");
-        if (outOfDescriptors(none)) {
-          table.evict();
-          throw none;
-        }
-        if (++failedInARow > MAX_FAILED_ACCEPTS) {
-          throw none;
-        }
-        return 0;
-      }
-    }
-
-    private boolean taken(SocketChannel one, List<Object> accepted) throws IOException {
-      try {
-        return accepted.add(new RetryingSocketChannel(this, one));
-      } catch (RuntimeException gone) { // it was reset meanwhile
-        one.close();
-        return false;
-      }
-    }
-
-    /**
-     * Takes all that waits and closes, with nothing between. The runtime puts off the close of a
-     * channel that its selector holds, and what connects meanwhile is reset; so it is taken out
-     * first, and a select lets go of it.
-     *
-     * @param then what to do once it is closed
-     */
-    void closeEmptied(Runnable then) {
-      deregister()
-          .addListener(
-              out ->
-                  eventLoop()
-                      .schedule(
-                          () -> {
-                            List<SocketChannel> waiting = new ArrayList<>();
-                            try (ServerSocketChannel last =
-                                javaChannel()) { // closed before anything is made of who waited
-                              takeAll(last, waiting);
-                            } catch (IOException over) {
-                              counters.add(
-                                  side + "-not-emptied"); // no descriptor is left: the close turns
-                              // away who waits
-                            }
-                            waiting.forEach(
-                                one ->
-                                    pipeline()
-                                        .fireChannelRead(new RetryingSocketChannel(this, one)));
-                            close();
-                            then.run();
-                          },
-                          1,
-                          TimeUnit.MILLISECONDS));
-    }
-
-    /**
-     * Takes all that waits; an accept may be interrupted or fail for a moment with others still
-     * waiting behind it.
-     */
-    private void takeAll(ServerSocketChannel last, List<SocketChannel> waiting) throws IOException {
-      for (int inARow = 0; inARow < MAX_FAILED_ACCEPTS; ) {
-        try {
-          SocketChannel one = last.accept();
-          inARow = one == null ? inARow + 1 : 0;
-          if (one != null) {
-            waiting.add(one);
-          }
-        } catch (IOException failed) {
-          inARow++;
-          if (outOfDescriptors(failed) && inARow == MAX_FAILED_ACCEPTS) {
-            throw failed;
-          }
-        }
-      }
-    }
-  }
-
   /**
    * Makes a listener that does not listen yet.
    *
    * @param side its name in counters
-   * @param maker makes the state of a new connection
-   * @param most most connections at once
-   * @param patience microseconds after which who says nothing, stops in the middle of a request or
-   *     does not read is closed
-   * @param timers the clocks
+   * @param factory makes the state of a new connection
+   * @param maxConnections most connections at once
+   * @param peerTimeout microseconds after which a peer that sends nothing, stops in the middle of a
+   *     request or does not read is disconnected
+   * @param scheduler the clock and timers
    * @param counters counts what happens
    */
   public Listener(
       String side,
-      Supplier<? extends Connection> maker,
-      int most,
-      long patience,
-      Scheduler timers,
+      Supplier<? extends Connection> factory,
+      int maxConnections,
+      long peerTimeout,
+      Scheduler scheduler,
       Counters counters) {
     this.side = side;
-    this.maker = maker;
-    this.maxConnections = most;
-    this.timers = timers;
-    table = new ConnectionTable(patience, timers);
+    this.factory = factory;
+    this.maxConnections = maxConnections;
+    this.scheduler = scheduler;
+    table = new ConnectionTable(peerTimeout, scheduler);
     this.counters = counters;
   }
 
-  /** Lets another process of the same user listen at the same address, which must do the same. */
+  /** Shares the address with another process of the same user, which must share it too. */
   public void shareAddress() {
     shared = true;
   }
 
   /**
-   * Lets its connections take what was sent in turns.
+   * Bounds how long its connections read in one turn of the loop.
    *
-   * @param all the turns, one for all listeners of a loop
+   * @param budget the budget, shared by all listeners of a loop
    */
-  public void limitReads(ReadBudget all) {
-    readBudget = all;
+  public void limitReads(ReadBudget budget) {
+    readBudget = budget;
   }
 
   /**
@@ -200,15 +99,16 @@
    * @param loop the thread of it all
    * @param allocator gives buffers
    * @param address where to listen
-   * @return done once it listens, or cannot: at once where the address is taken, after some seconds
-   *     of tries where the system has no room
+   * @return done once it listens, or cannot: at once where the address is in use, after some
+   *     seconds of retries where the system lacks resources
    */
   public Future<Void> listen(
       EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
     ServerBootstrap bootstrap =
         new ServerBootstrap()
             .group(loop)
-            .channelFactory(AcceptingChannel::new)
+            .channelFactory(
+                () -> new AcceptingChannel(name -> counters.add(side + "-" + name), table::evict))
             .option(ChannelOption.SO_BACKLOG, BACKLOG_CONNECTIONS)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
@@ -228,10 +128,10 @@
                   }
                 });
     if (shared) {
-      quota = new SharedPortQuota(maxConnections, timers.now());
+      quota = new SharedPortQuota(maxConnections, scheduler.now());
       bootstrap
           .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-          .option(ChannelOption.AUTO_READ, false); // until it knows who else is there
+          .option(ChannelOption.AUTO_READ, false); // until the first poll shows who else listens
     }
     Promise<Void> result = loop.newPromise();
     bind(loop, bootstrap, address, result, MAX_BIND_ATTEMPTS);
@@ -243,7 +143,7 @@
       ServerBootstrap bootstrap,
       InetSocketAddress address,
       Promise<Void> result,
-      int tries) {
+      int attempts) {
     ChannelFuture bound = bootstrap.bind(address);
     bound.addListener(
         done ->
@@ -253,82 +153,84 @@
                     channel = (AcceptingChannel) bound.channel();
                     result.setSuccess(null);
                     pollSharedPort();
-                  } else if (done.cause() instanceof BindException || tries <= 1) {
+                  } else if (done.cause() instanceof BindException || attempts <= 1) {
                     result.setFailure(done.cause());
                   } else {
-                    counters.add(side + "-listened-again");
+                    counters.add(side + "-bind-retries");
                     loop.schedule(
-                        () -> bind(loop, bootstrap, address, result, tries - 1),
+                        () -> bind(loop, bootstrap, address, result, attempts - 1),
                         BIND_RETRY_MILLIS,
                         TimeUnit.MILLISECONDS);
                   }
                 }));
   }
 
-  /** Whether a system call failed as this process, or the machine, has no descriptor left. */
-  private static boolean outOfDescriptors(IOException failure) {
-    return failure.getMessage() != null && failure.getMessage().contains("Too many open files");
-  }
-
   private int connectionLimit() {
-    return quota == null ? maxConnections : Math.max(1, quota.limit(timers.now()));
+    return quota == null ? maxConnections : Math.max(1, quota.limit(scheduler.now()));
   }
 
   /**
-   * Where the address may be shared: looks whether another process is there, if that may matter
-   * now, and makes room down to what is left to this one. To be called every few milliseconds, on
-   * the event loop.
+   * Where the address is shared: polls whether another process listens there, if that may matter
+   * now, and evicts connections down to the quota of this one. To be called every few milliseconds,
+   * on the event loop.
    */
   public void pollSharedPort() {
     if (quota == null || !channel.isOpen() || channel.localAddress() == null) {
       return;
     }
-    for (int over = quota.excess(timers.now(), table.size()); over > 0; over--) {
+    for (int over = quota.excess(scheduler.now(), table.size()); over > 0; over--) {
       table.evict();
     }
-    channel.config().setAutoRead(quota.limit(timers.now()) > 0);
-    long at = timers.now();
-    if (pollInProgress || !quota.isPollDue(at, table.size())) {
-      return;
+    channel.config().setAutoRead(quota.limit(scheduler.now()) > 0);
+    long now = scheduler.now();
+    if (!pollInProgress && quota.isPollDue(now, table.size())) {
+      pollInProgress = true;
+      startPoll(now, table.size());
     }
-    pollInProgress = true;
-    int own = table.size();
+  }
+
+  /** Reads the socket table on another thread, as it may be long. */
+  private void startPoll(long startedAt, int ownConnections) {
     InetSocketAddress address = channel.localAddress();
+    EventLoop loop = channel.eventLoop();
     GlobalEventExecutor.INSTANCE.execute(
-        () -> { // the list may be long
-          SocketTable seen = null;
-          try {
-            seen = SocketTable.at(address, SocketTable.LISTS);
-          } catch (IOException | UncheckedIOException none) {
-            seen = null; // not Linux, or not to be read: it goes on as if alone
-          }
-          SocketTable said = seen;
-          channel.eventLoop().execute(() -> polled(at, Math.min(own, table.size()), said));
+        () -> {
+          Optional<SocketTable> sockets = readSocketTable(address);
+          loop.execute(() -> polled(startedAt, Math.min(ownConnections, table.size()), sockets));
         });
   }
 
-  private void polled(long at, int own, SocketTable seen) {
+  private static Optional<SocketTable> readSocketTable(InetSocketAddress address) {
+    try {
+      return Optional.of(SocketTable.at(address, SocketTable.LISTS));
+    } catch (IOException | UncheckedIOException notReadable) { // as on other systems than Linux
+      return Optional.empty();
+    }
+  }
+
+  private void polled(long startedAt, int ownConnections, Optional<SocketTable> sockets) {
     pollInProgress = false;
-    if (seen == null) {
-      counters.add(side + "-no-list-of-sockets");
+    if (sockets.isEmpty()) {
+      counters.add(side + "-socket-table-unreadable");
       quota.assumeAlone();
     } else {
-      quota.update(at, seen.listeners() > 1, seen.connections() - own);
+      SocketTable table = sockets.get();
+      quota.update(startedAt, table.listeners() > 1, table.connections() - ownConnections);
     }
     pollSharedPort();
   }
 
   private void accept(Channel accepted) {
     if (table.size() >= connectionLimit()) {
-      pollSharedPort(); // it may be alone, and have more
+      pollSharedPort(); // the quota may have risen
       table.evict();
     }
     if (table.size() >= connectionLimit()) {
-      counters.add(side + "-over-bound");
+      counters.add(side + "-rejected-at-limit");
       accepted.close();
       return;
     }
-    Connection connection = maker.get();
+    Connection connection = factory.get();
     connection.limitReads(readBudget);
     table.add(connection);
     accepted.closeFuture().addListener(closed -> table.remove(connection));
@@ -345,8 +247,8 @@
   }
 
   /**
-   * How many connections hold a descriptor: those that are open, and those that wait for the other
-   * side's close.
+   * How many connections hold a file descriptor: those that are open, and those that await the
+   * close of the other side.
    *
    * @return their number
    */
@@ -355,23 +257,22 @@
   }
 
   /**
-   * Closes what was idle for longer than a span, and who says nothing, stops in the middle of a
-   * request or does not read: each would hold its place for ever. To be called every few
-   * milliseconds.
+   * Closes connections that are idle for too long, and those whose peer has timed out. To be called
+   * every few milliseconds.
    *
-   * @param span microseconds; 0 closes all that has nothing open
-   * @param why the reason
+   * @param idleLimit microseconds; 0 closes all without an open request
+   * @param reason why idle connections are closed
    */
-  public void trim(long span, CloseReason why) {
-    table.trim(span, why);
+  public void trim(long idleLimit, CloseReason reason) {
+    table.trim(idleLimit, reason);
   }
 
   /**
-   * Accepts no further connections, but for those that wait already. On the event loop only.
+   * Stops listening after accepting the connections in the backlog. On the event loop only.
    *
-   * @param then what to do once it does not listen any longer
+   * @param then called once it has stopped
    */
   public void stop(Runnable then) {
-    channel.closeEmptied(then);
+    channel.closeAfterBacklog(then);
   }
 }
--- /dev/null
+++ b/src/main/java/mothwing/net/RequestFields.java
@@ -0,0 +1,124 @@
+package mothwing.net;
+
+import java.util.Locale;
+import java.util.regex.Pattern;
+import mothwing.broker.InboundRequest;
+
+/**
+ * The one place that knows the names of request fields on the wire: collects the fields of one
+ * request as a front reads them, checks them, and makes an {@link InboundRequest}. Names are
+ * compared without case; unknown ones are ignored.
+ */
+public final class RequestFields {
+  /** The wire name of the request's id, new with every attempt. */
+  public static final String ID = "trace-id";
+
+  /** The wire name of the time at which the request reached the gateway, in Unix milliseconds. */
+  public static final String ACCEPTED_AT_MILLIS = "accepted-at-ms";
+
+  /** The wire name of the number of the client; checked, and not used further. */
+  public static final String CLIENT_NUMBER = "client-no";
+
+  /** The wire name of the tenant. */
+  public static final String TENANT = "project";
+
+  /** The wire name of the memory that the request reserves, in KiB. */
+  public static final String MEMORY_KB = "reserve-kb";
+
+  /** The wire name of the rank within the class, from 0 to under 1. */
+  public static final String RANK = "standing";
+
+  /** The wire name of the key under which a read may be cached. */
+  public static final String CACHE_KEY = "lookup-key";
+
+  /** The wire name of the idempotency key. */
+  public static final String IDEMPOTENCY_KEY = "replay-key";
+
+  /** The wire name of the longest wait of the caller, in milliseconds. */
+  public static final String MAX_WAIT_MILLIS = "max-wait-ms";
+
+  private static final Pattern ID_FORMAT = Pattern.compile("[0-9a-fA-F]{16}");
+  private static final Pattern INTEGER_FORMAT = Pattern.compile("[0-9]{1,15}");
+  // Narrower than what Java parses, which would also take 12f, 0x1p3 and NaN.
+  private static final Pattern DECIMAL_FORMAT =
+      Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?");
+  private static final double MEMORY_LIMIT_KB = 2000;
+
+  private String id = "";
+  private String acceptedAt = "";
+  private String clientNumber = "0";
+  private String tenant = "";
+  private String memory = "";
+  private String rank = "";
+  private String cacheKey;
+  private String idempotencyKey;
+  private String maxWait;
+
+  /**
+   * Takes one field; the last one of a name holds.
+   *
+   * @param name its name on the wire, in any case
+   * @param value its text
+   */
+  public void set(String name, String value) {
+    switch (name.toLowerCase(Locale.ROOT)) {
+      case ID -> id = value;
+      case ACCEPTED_AT_MILLIS -> acceptedAt = value;
+      case CLIENT_NUMBER -> clientNumber = value;
+      case TENANT -> tenant = value;
+      case MEMORY_KB -> memory = value;
+      case RANK -> rank = value;
+      case CACHE_KEY -> cacheKey = value;
+      case IDEMPOTENCY_KEY -> idempotencyKey = value;
+      case MAX_WAIT_MILLIS -> maxWait = value;
+      default -> {}
+    }
+  }
+
+  /**
+   * Makes the request of the fields taken so far.
+   *
+   * @param path the path it was sent to, {@code /call/CLASS}
+   * @param body its body
+   * @return the request
+   * @throws InvalidRequestException where a field is missing or invalid
+   */
+  public InboundRequest toRequest(String path, byte[] body) throws InvalidRequestException {
+    require(path.startsWith(InboundRequest.PATH_PREFIX), "path");
+    require(ID_FORMAT.matcher(id).matches(), ID);
+    require(INTEGER_FORMAT.matcher(acceptedAt).matches(), ACCEPTED_AT_MILLIS);
+    require(INTEGER_FORMAT.matcher(clientNumber).matches(), CLIENT_NUMBER);
+    double memoryKb = decimal(memory, MEMORY_KB);
+    double rankValue = decimal(rank, RANK);
+    require(memoryKb > 0 && memoryKb < MEMORY_LIMIT_KB, MEMORY_KB);
+    require(rankValue < 1, RANK);
+    require(idempotencyKey == null || isKeyLengthValid(), IDEMPOTENCY_KEY);
+    require(maxWait == null || INTEGER_FORMAT.matcher(maxWait).matches(), MAX_WAIT_MILLIS);
+    return new InboundRequest(
+        id,
+        Long.parseLong(acceptedAt),
+        tenant,
+        path.substring(InboundRequest.PATH_PREFIX.length()),
+        memoryKb,
+        rankValue,
+        cacheKey,
+        idempotencyKey,
+        maxWait == null ? InboundRequest.NOT_STATED : Long.parseLong(maxWait),
+        body);
+  }
+
+  private boolean isKeyLengthValid() {
+    return !idempotencyKey.isEmpty() && idempotencyKey.length() <= InboundRequest.MAX_KEY_CHARS;
+  }
+
+  private static double decimal(String text, String field) throws InvalidRequestException {
+    require(DECIMAL_FORMAT.matcher(text).matches(), field);
+    return Double.parseDouble(text);
+  }
+
+  private static void require(boolean valid, String field) throws InvalidRequestException {
+    if (!valid) {
+      throw new InvalidRequestException(field);
+    }
+  }
+}
--- a/src/main/java/mothwing/trial/BrokerFixture.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -12,7 +12,6 @@
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
 import mothwing.broker.Exchange;
-import mothwing.broker.InboundRequest;
 import mothwing.broker.ResponseSink;
 import mothwing.broker.Scheduler;
 import mothwing.broker.WorkerPool;
@@ -31,6 +30,8 @@
 import mothwing.control.StopMode;
 import mothwing.control.Tenant;
 import mothwing.net.Connection;
+import mothwing.net.InvalidRequestException;
+import mothwing.net.RequestFields;
 import mothwing.overload.OverloadController;
 
 /**
@@ -140,11 +141,11 @@
 
   /** A request is read, as a front would bring it; its answer goes to the caller. */
   public Exchange ask(String id, String kind, byte[] body, ResponseSink caller) {
-    InboundRequest.Fields fields = new InboundRequest.Fields();
+    RequestFields fields = new RequestFields();
     Gateway.fields(id, wallClockMillis()).forEach(fields::set);
     try {
       return broker.submit(fields.toRequest("/call/" + kind, body), caller);
-    } catch (InboundRequest.InvalidRequestException bad) {
+    } catch (InvalidRequestException bad) {
       throw new IllegalArgumentException(bad.getMessage(), bad);
     }
   }
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -16,6 +16,7 @@
 import mothwing.control.RunOutcome;
 import mothwing.control.Settings;
 import mothwing.control.Tenant;
+import mothwing.net.RequestFields;
 import mothwing.testing.SettingsVariants;
 import mothwing.trial.BrokerFixture;
 import mothwing.trial.Gateway;
@@ -302,7 +303,7 @@
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
     long accepted = stand.wallClockMillis() + 1_900;
     stand.pass(2 * SECOND + 300_000);
-    InboundRequest.Fields fields = new InboundRequest.Fields();
+    RequestFields fields = new RequestFields();
     Gateway.fields(BrokerFixture.id(1), accepted).forEach(fields::set);
     stand.broker.submit(fields.toRequest("/call/" + BrokerFixture.ORDER, new byte[0]), caller());
     stand.broker.startRun(BrokerFixture.id(1));
