--- a/src/main/java/mothwing/admin/AdminCommand.java
+++ b/src/main/java/mothwing/admin/AdminCommand.java
@@ -2,32 +2,32 @@
 
 import java.util.Locale;
 
-/** The calls of the operators' door. */
+/** The commands of operators, with their names on the wire. */
 public enum AdminCommand {
-  /** Asks whether this process takes clients. */
+  /** Queries whether this process serves clients. */
   HEALTH,
-  /** Asks for the figures. */
+  /** Queries the statistics. */
   DUMP,
-  /** Asks for the members of the fleet. */
+  /** Queries the members of the fleet. */
   MEMBERS,
-  /** Sends gateways away. */
+  /** Takes the server out of rotation. */
   LEAVE,
-  /** Takes gateways again. */
+  /** Puts the server back into rotation. */
   JOIN;
 
   /**
-   * Carries out the call that a line holds. A line that is no call changes nothing.
+   * Executes the command on a line. A line without a command changes nothing.
    *
-   * @param line what came, without its end
-   * @param on the shop server
-   * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, but for
-   *     the figures
+   * @param line the line, without its end
+   * @param operations the shop server
+   * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, except
+   *     for statistics and members
    */
-  static String reply(String line, AdminOperations on) {
+  static String reply(String line, AdminOperations operations) {
     String word = line.strip();
-    for (AdminCommand call : values()) {
-      if (call.name().equals(word)) {
-        return call.execute(on);
+    for (AdminCommand command : values()) {
+      if (command.name().equals(word)) {
+        return command.execute(operations);
       }
     }
     return failure(
@@ -36,23 +36,27 @@
             : "unknown call, known are HEALTH DUMP MEMBERS LEAVE JOIN");
   }
 
-  private String execute(AdminOperations on) {
+  private String execute(AdminOperations operations) {
     return switch (this) {
-      case HEALTH -> on.isServing() ? "YES\n" : failure("not taking clients");
-      case DUMP -> on.statistics() + "\nEND\n";
+      case HEALTH -> operations.isServing() ? "YES\n" : failure("not taking clients");
+      case DUMP -> operations.statistics() + "\nEND\n";
       case MEMBERS ->
-          on.members() == null ? failure("no fleet is configured") : on.members() + "\nEND\n";
+          operations
+              .members()
+              .map(members -> members + "\nEND\n")
+              .orElseGet(() -> failure("no fleet is configured"));
       case LEAVE, JOIN ->
-          on.setOutOfRotation(this == LEAVE) ? "YES\n" : failure("leaving for good");
+          operations.setOutOfRotation(this == LEAVE) ? "YES\n" : failure("leaving for good");
     };
   }
 
-  static String failure(String why) {
-    return "NO " + why + "\n";
+  /** The reply to a command that failed. */
+  static String failure(String reason) {
+    return "NO " + reason + "\n";
   }
 
   /**
-   * The call as it stands in counters.
+   * The command as it is called in counters.
    *
    * @return its name in lower case
    */
--- a/src/main/java/mothwing/admin/AdminConnection.java
+++ b/src/main/java/mothwing/admin/AdminConnection.java
@@ -9,25 +9,25 @@
 import mothwing.net.ProtocolException;
 
 /**
- * A caller at the operators' door: one line, one reply, and a close. What follows the line is not
- * read; a line over {@link #MAX_LINE_BYTES} bytes is answered with a plain no.
+ * A connection of an operator: one command line, one reply, and a close. Input after the line is
+ * ignored; a line over {@link #MAX_LINE_BYTES} bytes is answered with an error.
  */
 public final class AdminConnection extends Connection {
-  /** Most bytes of a line, its end left out. */
+  /** Most bytes of a line without its end. */
   static final int MAX_LINE_BYTES = 64;
 
-  private final AdminOperations on;
+  private final AdminOperations operations;
 
   /**
-   * Makes the state of a new caller.
+   * Makes the state of a new connection.
    *
-   * @param on the shop server
-   * @param log takes its line
+   * @param operations the shop server
+   * @param log takes its log lines
    * @param counters counts what happens
    */
-  public AdminConnection(AdminOperations on, EventLog log, Counters counters) {
+  public AdminConnection(AdminOperations operations, EventLog log, Counters counters) {
     super("management", MAX_LINE_BYTES + 2, log, counters);
-    this.on = on;
+    this.operations = operations;
   }
 
   @Override
@@ -38,15 +38,15 @@
     }
     markIdentified();
     count("calls");
-    boolean whole = length >= 0 && length <= MAX_LINE_BYTES + 1;
-    String answer =
-        whole
+    boolean complete = length >= 0 && length <= MAX_LINE_BYTES + 1;
+    String reply =
+        complete
             ? AdminCommand.reply(
-                in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), on)
+                in.readCharSequence(length, StandardCharsets.US_ASCII).toString(), operations)
             : AdminCommand.failure("a line has at most " + MAX_LINE_BYTES + " bytes");
-    count(answer.startsWith("NO ") ? "answered-no" : "answered");
-    ByteBuf out = allocate(answer.length());
-    out.writeCharSequence(answer, StandardCharsets.US_ASCII);
+    count(reply.startsWith("NO ") ? "answered-no" : "answered");
+    ByteBuf out = allocate(reply.length());
+    out.writeCharSequence(reply, StandardCharsets.US_ASCII);
     send(out);
     close(CloseReason.ASKED, "");
     return true;
--- a/src/main/java/mothwing/admin/AdminOperations.java
+++ b/src/main/java/mothwing/admin/AdminOperations.java
@@ -1,34 +1,36 @@
 package mothwing.admin;
 
-/** What operators may ask of a running shop server. All of it is called on the event loop. */
+import java.util.Optional;
+
+/** The operations of a running shop server for operators. Called on the event loop only. */
 public interface AdminOperations {
   /**
-   * Whether this process takes clients.
+   * Whether this process serves clients.
    *
-   * @return true from when it listens for them and its worker pool is up, until the notice to leave
+   * @return true from when it listens for them and its worker pool is connected, until it drains
    */
   boolean isServing();
 
   /**
-   * The figures of this moment.
+   * The statistics of this moment.
    *
    * @return one JSON object on one line
    */
   String statistics();
 
   /**
-   * What this server holds of its fleet.
+   * This server's view of its fleet.
    *
-   * @return one JSON object on one line, or null where it is of no fleet
+   * @return one JSON object on one line, or none where the server belongs to no fleet
    */
-  String members();
+  Optional<String> members();
 
   /**
-   * Sends gateways away, or ends that: health checks are bad from now on, or good again. Both may
-   * be said twice.
+   * Takes the server out of rotation, or back: health checks fail from now on, or succeed again.
+   * Idempotent.
    *
-   * @param away whether gateways are to go
-   * @return false where the process is leaving for good, in which case nothing has changed
+   * @param outOfRotation whether gateways are to use other servers
+   * @return false where the process is draining, in which case nothing has changed
    */
-  boolean setOutOfRotation(boolean away);
+  boolean setOutOfRotation(boolean outOfRotation);
 }
--- a/src/main/java/mothwing/cli/Dns.java
+++ b/src/main/java/mothwing/cli/Dns.java
@@ -13,9 +13,9 @@
   static int run(Path settings, PrintStream out) throws IOException, InterruptedException {
     AsyncLogWriter log = new AsyncLogWriter(out);
     DnsService service = new DnsService(settings, log);
-    String noHangups = Hangup.handle(service::reload);
-    if (noHangups != null) {
-      log.write("no-reloads what=\"" + noHangups + "\"");
+    String sighupProblem = Hangup.handle(service::reload);
+    if (sighupProblem != null) {
+      log.write("sighup-unavailable what=\"" + sighupProblem + "\"");
     }
     service.start();
     Foreground.leaveOnSignal(service, log);
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -21,13 +21,13 @@
     // Netty would look for the logging library of the DNS part first, and load it.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     CompletableFuture<ConfigReloader> started = new CompletableFuture<>();
-    String noHangups =
+    String sighupProblem =
         Hangup.handle(
             () -> started.thenAccept(ConfigReloader::reload)); // early: the default ends it
     Config config = Config.read(path);
     AsyncLogWriter log = new AsyncLogWriter(out);
-    if (noHangups != null) {
-      log.write("no-reloads what=\"" + noHangups + "\"");
+    if (sighupProblem != null) {
+      log.write("sighup-unavailable what=\"" + sighupProblem + "\"");
     }
     Site site = siteFile == null ? new Site(null, null, null) : Config.readSite(Path.of(siteFile));
     Server server = new Server(config, site.ajp(), log);
--- a/src/main/java/mothwing/net/ConnectionEvents.java
+++ b/src/main/java/mothwing/net/ConnectionEvents.java
@@ -45,6 +45,6 @@
   void ended(CloseReason reason, String traffic, String detail) {
     count("ended-" + reason.code());
     String more = detail.isEmpty() ? "" : " detail=\"" + detail + "\"";
-    log.write("end side=" + side + " reason=" + reason.code() + " " + traffic + more);
+    log.write("connection-closed side=" + side + " reason=" + reason.code() + " " + traffic + more);
   }
 }
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -124,7 +124,7 @@
   private void finishShutdown() {
     boolean last = System.nanoTime() >= stopAt;
     if (front.drained(last) || last) {
-      log.write("leave");
+      log.write("shutdown-complete");
       front.close(ended::countDown);
     } else {
       loop.schedule(this::finishShutdown, SHUTDOWN_POLL_MILLIS, TimeUnit.MILLISECONDS);
--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -19,153 +19,167 @@
 import mothwing.net.RetryingSocketChannel;
 
 /**
- * The way out of a running server: it stops listening, finds out whether another process takes
- * clients at its address, lets the core answer what was read, closes connections once nothing is
- * open on them, and says when all is done.
+ * The graceful shutdown of a running server: stops listening, finds out whether another process
+ * serves clients at its address, lets the broker answer the requests that were read, closes idle
+ * connections, and reports when all is done. On the event loop only.
  */
 final class GracefulShutdown {
-  private static final long MILLI = 1000;
-  private static final long PERIOD = 20 * MILLI;
-  private static final long LAST_MOMENT =
-      150 * MILLI; // before the stop, at which the process ends by itself
-  private static final long STOOD_STILL =
-      5 * PERIOD; // late by so much: it could not read meanwhile
-  private static final long TO_READ =
-      200 * MILLI; // for what waits in the sockets then, read and answered in some turns
-  private static final long TO_CLOSE = 60 * MILLI; // for the other sides' closes in the last moment
-  private static final long LONGEST_COUNTED =
-      3000 * MILLI; // the kill may come after the longest deadline,
-  private static final long KILL_AFTER =
-      700 * MILLI; // counted as 3 s where it is longer, and this, whatever was told
-  private static final int PROBE_MS =
-      100; // a full queue lets an attempt wait; nobody there refuses at once
-  private static final int PROBE_AGAIN_MS = 10;
-  private static final int MOST_PROBES = 8;
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long STEP_PERIOD_MICROS = 20_000;
+
+  /** So long before the stop the requests that are still pending are failed. */
+  private static final long FINAL_PHASE_MICROS = 150_000;
+
+  /** A step that is late by more: the process stalled, and its sockets hold unread requests. */
+  private static final long STALL_MICROS = 5 * STEP_PERIOD_MICROS;
+
+  /** After a stall, for reading and answering what the sockets hold. */
+  private static final long READ_AFTER_STALL_MICROS = 200_000;
+
+  /** In the final phase, for the closes of the other sides. */
+  private static final long CLOSE_MICROS = 60_000;
+
+  /** The process may be killed after the longest deadline, up to this, and the grace. */
+  private static final long MAX_DEADLINE_MICROS = 3_000_000;
+
+  private static final long KILL_GRACE_MICROS = 700_000;
+
+  /** A connect waits where a backlog is full; where nobody listens it is refused at once. */
+  private static final int PROBE_TIMEOUT_MILLIS = 100;
+
+  private static final int PROBE_RETRY_MILLIS = 10;
+  private static final int MAX_PROBES = 8;
 
   private final EventLoop loop;
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final Broker broker;
   private final EventLog log;
   private final Runnable done;
   private List<Listener> listeners;
   private long stopAt;
-  private long stepAt;
+  private long nextStepAt;
   private long readUntil = Long.MIN_VALUE;
-  private long lastUntil = Long.MAX_VALUE;
-  private int open;
+  private long finalPhaseEndsAt = Long.MAX_VALUE;
+  private int listening;
 
   /**
-   * Makes one.
+   * Makes a shutdown that has not begun.
    *
    * @param loop the thread of it all
-   * @param timers the clocks
+   * @param scheduler the clock and timers
    * @param broker answers what was read
    * @param log takes lines of the log
    * @param done called once, when the process may end
    */
-  GracefulShutdown(EventLoop loop, Scheduler timers, Broker broker, EventLog log, Runnable done) {
+  GracefulShutdown(
+      EventLoop loop, Scheduler scheduler, Broker broker, EventLog log, Runnable done) {
     this.loop = loop;
-    this.timers = timers;
+    this.scheduler = scheduler;
     this.broker = broker;
     this.log = log;
     this.done = done;
   }
 
   /**
-   * Begins, on the notice to leave.
+   * Begins.
    *
-   * @param all the listeners of clients
-   * @param shared whether another process may listen at the first one's address
+   * @param clientListeners the listeners of clients
+   * @param shared whether another process may listen at the address of the first one
    * @param config the configuration in force
    */
-  void begin(List<Listener> all, boolean shared, Config config) {
-    listeners = List.copyOf(all);
-    long noticeAt = timers.now();
-    stepAt = noticeAt + PROBE_MS * MILLI;
-    open = listeners.size();
-    if (open == 0) {
-      go(noticeAt, false, config);
+  void begin(List<Listener> clientListeners, boolean shared, Config config) {
+    listeners = List.copyOf(clientListeners);
+    long requestedAt = scheduler.now();
+    nextStepAt = requestedAt + PROBE_TIMEOUT_MILLIS * MICROS_PER_MILLI;
+    listening = listeners.size();
+    if (listening == 0) {
+      drain(requestedAt, false, config);
       return;
     }
     SocketAddress address = listeners.get(0).address();
     listeners.forEach(
-        one ->
-            one.stop(
+        listener ->
+            listener.stop(
                 () -> {
-                  if (--open > 0) {
+                  if (--listening > 0) {
                     return;
                   } else if (shared) {
-                    probe(address, noticeAt, config, MOST_PROBES);
+                    probe(address, requestedAt, config, MAX_PROBES);
                   } else {
-                    go(noticeAt, false, config);
+                    drain(requestedAt, false, config);
                   }
                 }));
   }
 
-  /**
-   * Whoever accepts a connection at the address that this process has just left takes its clients.
-   */
-  private void probe(SocketAddress address, long noticeAt, Config config, int tries) {
+  /** Another process serves the clients if it accepts a connection at the address just left. */
+  private void probe(SocketAddress address, long requestedAt, Config config, int attempts) {
     new Bootstrap()
         .group(loop)
         .channelFactory(RetryingSocketChannel::new)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, PROBE_MS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, PROBE_TIMEOUT_MILLIS)
         .handler(new ChannelInboundHandlerAdapter())
         .connect(address)
         .addListener(
-            tried ->
+            connected ->
                 loop.execute(
-                    () -> probed((ChannelFuture) tried, address, noticeAt, config, tries)));
+                    () ->
+                        probed((ChannelFuture) connected, address, requestedAt, config, attempts)));
   }
 
-  /** A socket that could not be made for a moment says nothing of who takes clients. */
+  /** A socket that cannot be made for the moment says nothing about another process. */
   private void probed(
-      ChannelFuture tried, SocketAddress address, long noticeAt, Config config, int tries) {
-    boolean timedOut = tried.cause() instanceof ConnectTimeoutException;
-    boolean refused = tried.cause() instanceof ConnectException && !timedOut;
-    boolean unknown = tried.cause() != null && !refused && !timedOut;
-    if (tried.isSuccess()) {
-      tried.channel().close();
+      ChannelFuture connected,
+      SocketAddress address,
+      long requestedAt,
+      Config config,
+      int attempts) {
+    boolean timedOut = connected.cause() instanceof ConnectTimeoutException;
+    boolean refused = connected.cause() instanceof ConnectException && !timedOut;
+    boolean unknown = connected.cause() != null && !refused && !timedOut;
+    if (connected.isSuccess()) {
+      connected.channel().close();
     }
-    if (unknown && tries > 1) {
+    if (unknown && attempts > 1) {
       loop.schedule(
-          () -> probe(address, noticeAt, config, tries - 1), PROBE_AGAIN_MS, TimeUnit.MILLISECONDS);
+          () -> probe(address, requestedAt, config, attempts - 1),
+          PROBE_RETRY_MILLIS,
+          TimeUnit.MILLISECONDS);
     } else {
-      go(noticeAt, !refused && !unknown, config);
+      drain(requestedAt, !refused && !unknown, config);
     }
   }
 
-  private void go(long noticeAt, boolean handover, Config config) {
+  private void drain(long requestedAt, boolean handover, Config config) {
     long deadline =
         config.settings().classes().stream().mapToLong(RequestClass::deadline).max().orElse(0);
-    long earliestKill = Math.min(deadline, LONGEST_COUNTED) + KILL_AFTER;
-    stopAt = noticeAt + Math.min(config.stopMs() * MILLI, earliestKill);
-    broker.drain(noticeAt, stopAt, handover);
+    long earliestKill = Math.min(deadline, MAX_DEADLINE_MICROS) + KILL_GRACE_MICROS;
+    stopAt = requestedAt + Math.min(config.stopMs() * MICROS_PER_MILLI, earliestKill);
+    broker.drain(requestedAt, stopAt, handover);
     step();
   }
 
-  /**
-   * The last moment does not come while the sockets hold what was sent as the process stood still.
-   */
+  /** The final phase does not begin while sockets hold requests that came during a stall. */
   private void step() {
-    long now = timers.now();
-    if (now - stepAt > STOOD_STILL) {
-      readUntil = now + TO_READ;
-      log.write("stood-still late_ms=" + (now - stepAt) / MILLI);
+    long now = scheduler.now();
+    if (now - nextStepAt > STALL_MICROS) {
+      readUntil = now + READ_AFTER_STALL_MICROS;
+      log.write("event-loop-stalled late_ms=" + (now - nextStepAt) / MICROS_PER_MILLI);
     }
-    stepAt = now + PERIOD;
-    boolean last = now >= Math.max(stopAt - LAST_MOMENT, readUntil);
-    if (last && lastUntil == Long.MAX_VALUE) {
-      lastUntil = now + TO_CLOSE;
+    nextStepAt = now + STEP_PERIOD_MICROS;
+    boolean finalPhase = now >= Math.max(stopAt - FINAL_PHASE_MICROS, readUntil);
+    if (finalPhase && finalPhaseEndsAt == Long.MAX_VALUE) {
+      finalPhaseEndsAt = now + CLOSE_MICROS;
       broker.failPending();
     }
-    listeners.forEach(one -> one.trim(last ? 0 : PERIOD, CloseReason.DRAIN));
-    if (now >= lastUntil
-        || broker.pendingCount() == 0 && listeners.stream().allMatch(one -> one.open() == 0)) {
-      log.write("leave owed=" + broker.pendingCount());
-      loop.execute(done); // behind what was answered in this turn
+    listeners.forEach(
+        listener -> listener.trim(finalPhase ? 0 : STEP_PERIOD_MICROS, CloseReason.DRAIN));
+    if (now >= finalPhaseEndsAt
+        || (broker.pendingCount() == 0
+            && listeners.stream().allMatch(listener -> listener.open() == 0))) {
+      log.write("shutdown-complete pending=" + broker.pendingCount());
+      loop.execute(done); // after the answers of this turn
     } else {
-      timers.schedule(stepAt, this::step);
+      scheduler.schedule(nextStepAt, this::step);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/mothwing/server/ListenException.java
@@ -0,0 +1,19 @@
+package mothwing.server;
+
+import java.io.IOException;
+import java.net.InetSocketAddress;
+
+/** An address cannot be listened at. */
+public final class ListenException extends IOException {
+  private static final long serialVersionUID = 1L;
+
+  /**
+   * Makes the error.
+   *
+   * @param address the address
+   * @param cause why it cannot be bound
+   */
+  ListenException(InetSocketAddress address, Throwable cause) {
+    super("cannot listen on " + address + ": " + cause.getMessage(), cause);
+  }
+}
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -1,20 +1,15 @@
 package mothwing.server;
 
-import com.google.gson.Gson;
 import io.netty.buffer.PooledByteBufAllocator;
 import io.netty.channel.EventLoop;
 import io.netty.channel.nio.NioEventLoopGroup;
-import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.nio.file.Files;
 import java.nio.file.Path;
 import java.security.SecureRandom;
-import java.util.ArrayList;
 import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.ExecutionException;
 import java.util.concurrent.TimeUnit;
@@ -27,7 +22,6 @@
 import mothwing.broker.Broker;
 import mothwing.broker.Counters;
 import mothwing.broker.EventLog;
-import mothwing.broker.RunClaims;
 import mothwing.control.RequestClass;
 import mothwing.dependency.DependencyConnectionManager;
 import mothwing.discovery.LoadReporter;
@@ -40,21 +34,22 @@
 import mothwing.overload.OverloadController;
 import mothwing.peer.PeerTransport;
 import mothwing.pool.WorkerPoolClient;
+import mothwing.settings.InvalidInputException;
 import mothwing.settings.Site;
-import mothwing.store.ClaimTable;
 
-/** One shop server: the parts, wired together on one event loop, from its start to its end. */
+/** One shop server: wires its parts together on one event loop, and starts and stops them. */
 public final class Server implements Service {
-  private static final long MILLI = 1000;
-  private static final long TRIM_PERIOD = 50 * MILLI;
-  private static final int MOST_OPERATORS = 16;
-  private static final long PATIENCE =
-      2500 * MILLI; // some write for 2 s; bad clients are owed an end within 3 s
-  private static final long DOOR_PATIENCE =
-      10_000 * MILLI; // operators may type; others make room at the bound
-  private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
-  private static final int PAGE = 8192;
-  private static final int CHUNK_ORDER = 5; // chunks of 256 KiB
+  private static final long SUPERVISION_PERIOD_MICROS = 50_000;
+  private static final int MAX_ADMIN_CONNECTIONS = 16;
+
+  /** Gateways may take 2 s to send a request; bad clients are disconnected within 3 s. */
+  private static final long CLIENT_TIMEOUT_MICROS = 2_500_000;
+
+  /** Long enough for an operator who types. */
+  private static final long ADMIN_TIMEOUT_MICROS = 10_000_000;
+
+  private static final int PAGE_BYTES = 8192;
+  private static final int CHUNK_ORDER = 5; // chunks of PAGE_BYTES << 5, or 256 KiB
 
   private final InetSocketAddress ajp;
   private final EventLog log;
@@ -62,31 +57,26 @@
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final PooledByteBufAllocator allocator =
-      new PooledByteBufAllocator(true, 1, 1, PAGE, CHUNK_ORDER, 0, 0, false);
-  private final EventLoopScheduler timers = new EventLoopScheduler(loop);
-  private final List<Front> fronts = new ArrayList<>();
-  private final List<Listener> listeners = new CopyOnWriteArrayList<>(); // those that listen
+      new PooledByteBufAllocator(true, 1, 1, PAGE_BYTES, CHUNK_ORDER, 0, 0, false);
+  private final EventLoopScheduler scheduler = new EventLoopScheduler(loop);
+  private final ClientFronts fronts;
+  private final ReloadStatistics reloads = new ReloadStatistics();
   private final CountDownLatch ended = new CountDownLatch(1);
   private final WorkerPoolClient pool;
   private final Broker broker;
-  private final LoadReporter announcer;
+  private final LoadReporter loadReporter;
   private volatile boolean failed;
-  private boolean leaving;
-  private int binding = 1; // binds under way, and the start itself
+  private boolean draining;
   private Config config;
-  private Listener door;
+  private Listener adminListener;
   private PeerTransport peer;
-  private DependencyConnectionManager ledger;
-  private long reloads;
-  private long reloadErrors;
-  private long idleSpan;
-
-  private record Front(Listener listener, InetSocketAddress address) {}
+  private DependencyConnectionManager dependency;
+  private long idleLimit;
 
   /**
    * Wires a server that is not started yet.
    *
-   * @param config what it is told
+   * @param config its configuration
    * @param ajp where to listen for AJP, or null for nowhere
    * @param log takes lines of the log
    */
@@ -94,104 +84,150 @@
     this.config = config;
     this.ajp = ajp;
     this.log = log;
-    pool = new WorkerPoolClient(dialer(config.pool()), timers, counters, log);
-    broker = new Broker(config.settings(), OverloadController::new, pool, timers, counters, log);
-    announcer =
+    fronts = new ClientFronts(loop, allocator, log);
+    pool = new WorkerPoolClient(connector(config.pool()), scheduler, counters, log);
+    broker = new Broker(config.settings(), OverloadController::new, pool, scheduler, counters, log);
+    loadReporter =
         new LoadReporter(
-            dialer(config.announce()),
+            connector(config.announce()),
             config.name(),
             () -> !broker.isDraining() && !broker.outOfRotation(),
-            timers,
+            scheduler,
             counters,
             log);
     if (config.ledger() != null) {
-      callBelow();
+      connectDependency();
     }
-    idleSpan = config.settings().signals().idleTimeout();
-    broker.setIdleConnectionCloser(span -> idleSpan = span);
+    idleLimit = config.settings().signals().idleTimeout();
+    broker.setIdleConnectionCloser(limit -> idleLimit = limit);
   }
 
   /**
-   * Makes it a member of a fleet. To be called before {@link #start}; nothing of it is loaded
-   * otherwise.
+   * Makes it a member of a fleet. To be called before {@link #start}.
    *
-   * @param fleet which
-   * @throws IOException where the server's name cannot travel
+   * @param fleet the fleet
+   * @throws InvalidInputException where the server's name may not be that of a member
    */
-  public void join(Site.Fleet fleet) throws IOException {
+  public void join(Site.Fleet fleet) throws InvalidInputException {
     if (!Site.Fleet.mayBeCalled(config.name())) {
-      throw new IOException(
+      throw new InvalidInputException(
           "field name: \""
               + config.name()
               + "\" is not "
               + Site.Fleet.NAMED
               + ", as a member of a fleet is called");
     }
-    peer = new PeerTransport(fleet, config.name(), loop, timers, new SecureRandom(), counters, log);
+    peer =
+        new PeerTransport(fleet, config.name(), loop, scheduler, new SecureRandom(), counters, log);
   }
 
-  private void callBelow() {
-    ledger = new DependencyConnectionManager(dialer(config.ledger()), timers, counters, log);
-    ledger.attach(broker);
+  private void connectDependency() {
+    dependency =
+        new DependencyConnectionManager(connector(config.ledger()), scheduler, counters, log);
+    dependency.attach(broker);
   }
 
-  private TcpConnector dialer(InetSocketAddress to) {
-    return new TcpConnector(loop, allocator, to);
+  private TcpConnector connector(InetSocketAddress address) {
+    return new TcpConnector(loop, allocator, address);
   }
 
   /**
-   * Starts: listens, links to the pool, reports. Where there is an operators' door the address of
-   * clients may be shared with the process that this one is to follow, so they are listened for
-   * once the pool is up.
+   * Starts: listens, connects to the pool, reports load. Where operators may call, the address of
+   * clients may be shared with the process that this one replaces, so clients are listened for only
+   * once the pool is connected.
    *
-   * @throws IOException where it cannot listen
+   * @throws ListenException where an address cannot be listened at
    */
-  public void start() throws IOException {
+  public void start() throws ListenException {
+    addFronts();
+    try {
+      if (config.management() == null) {
+        fronts.listen();
+      } else {
+        fronts.shareAddresses();
+        shareRunClaims();
+        listenForOperators();
+        broker.whenReady(() -> fronts.listenInBackground(this::listenFailed));
+      }
+    } catch (ListenException failure) {
+      failed = true;
+      ended.countDown();
+      throw failure;
+    }
+    loop.execute(this::startOnLoop);
+    logStart();
+  }
+
+  private void addFronts() {
     int descriptors = FileDescriptorBudget.limitFor(config.sockets());
-    int most =
-        Math.max(
-            1,
-            (descriptors
-                    - FileDescriptorBudget.reserved(descriptors, FileDescriptorBudget.openNow()))
-                / (ajp == null ? 1 : 2));
+    int reserved = FileDescriptorBudget.reserved(descriptors, FileDescriptorBudget.openNow());
+    int maxConnections = Math.max(1, (descriptors - reserved) / (ajp == null ? 1 : 2));
     fronts.add(
-        new Front(
-            listener("fastcgi", () -> new FastCgiConnection(broker, log, counters), most, PATIENCE),
-            config.listen()));
+        clientListener(
+            "fastcgi", () -> new FastCgiConnection(broker, log, counters), maxConnections),
+        config.listen());
     if (ajp != null) {
       fronts.add(
-          new Front(
-              listener("ajp", () -> new AjpConnection(broker, log, counters), most, PATIENCE),
-              ajp));
+          clientListener("ajp", () -> new AjpConnection(broker, log, counters), maxConnections),
+          ajp);
+    }
+    ReadBudget budget = new ReadBudget(scheduler);
+    broker.setOverloadCheck(budget::isOverloaded);
+    fronts.limitReads(budget);
+  }
+
+  private Listener clientListener(String side, Supplier<Connection> factory, int maxConnections) {
+    return new Listener(side, factory, maxConnections, CLIENT_TIMEOUT_MICROS, scheduler, counters);
+  }
+
+  private void listenForOperators() throws ListenException {
+    AdminOperations operations =
+        new ServerAdmin(
+            broker,
+            fronts::isListening,
+            () -> Optional.ofNullable(peer).map(PeerTransport::told),
+            reloads);
+    adminListener =
+        new Listener(
+            "management",
+            () -> new AdminConnection(operations, log, counters),
+            MAX_ADMIN_CONNECTIONS,
+            ADMIN_TIMEOUT_MICROS,
+            scheduler,
+            counters);
+    fronts.bind(adminListener, config.management());
+  }
+
+  /**
+   * Another process may serve at the same address: both claim the runs that must not be doubled.
+   */
+  private void shareRunClaims() {
+    Path file = SharedRunClaims.file(config.name());
+    try {
+      broker.setRunClaims(SharedRunClaims.open(file));
+    } catch (IOException | RuntimeException failure) {
+      log.write(
+          "shared-claims-unavailable file=" + file + " what=\"" + failure.getMessage() + "\"");
     }
-    ReadBudget turns = new ReadBudget(timers);
-    broker.setOverloadCheck(turns::isOverloaded);
-    fronts.forEach(one -> one.listener().limitReads(turns));
-    if (config.management() == null) {
-      listenNow(fronts);
-    } else {
-      fronts.forEach(one -> one.listener().shareAddress());
-      AdminOperations operations = new Operators();
-      door =
-          listener(
-              "management",
-              () -> new AdminConnection(operations, log, counters),
-              MOST_OPERATORS,
-              DOOR_PATIENCE);
-      shareClaims();
-      listenNow(List.of(new Front(door, config.management())));
-      broker.whenReady(() -> listenLater(List.copyOf(fronts)));
+  }
+
+  private void listenFailed(InetSocketAddress address, Throwable cause) {
+    failed = true;
+    log.write("listen-failed address=" + address + " what=\"" + cause.getMessage() + "\"");
+    ended.countDown();
+  }
+
+  private void startOnLoop() {
+    pool.attach(broker);
+    loadReporter.start();
+    if (peer != null) {
+      peer.start();
     }
-    loop.execute(
-        () -> {
-          pool.attach(broker);
-          announcer.start();
-          if (peer != null) {
-            peer.start();
-          }
-          trim();
-          bindingOver();
-        });
+    supervise();
+    fronts.bindFinished();
+  }
+
+  private void logStart() {
     log.write(
         "start name="
             + config.name()
@@ -200,7 +236,7 @@
             + " ajp="
             + (ajp == null ? "off" : ajp)
             + " management="
-            + (door == null ? "off" : door.address())
+            + (adminListener == null ? "off" : adminListener.address())
             + " sockets="
             + config.sockets()
             + " stop_ms="
@@ -208,209 +244,104 @@
   }
 
   /**
-   * Another process may serve at the same address: each run of a guarded request is claimed in a
-   * table that both map.
+   * Applies what a running server can take of a new configuration: the settings, the addresses that
+   * it connects to, and the time of a shutdown. Open requests and runs are not affected. May be
+   * called from any thread, and more than once.
+   *
+   * @param next the new configuration
    */
-  private void shareClaims() {
-    Path file = Path.of(System.getProperty("java.io.tmpdir"), "mothwing-claims-" + config.name());
-    try {
-      long boot = Files.readString(BOOT_ID).strip().hashCode();
-      ClaimTable table =
-          ClaimTable.open(
-              file, new SecureRandom().nextLong(), boot, () -> System.nanoTime() / MILLI);
-      broker.setRunClaims(
-          (key, span) ->
-              switch (table.claim(key, span)) {
-                case GRANTED -> RunClaims.Claim.GRANTED;
-                case HELD -> RunClaims.Claim.HELD;
-                case FULL -> RunClaims.Claim.FULL;
-                case UNKNOWN -> RunClaims.Claim.UNKNOWN;
-              });
-    } catch (IOException | RuntimeException none) {
-      log.write("no-shared-claims file=" + file + " what=\"" + none.getMessage() + "\"");
-    }
-  }
-
-  private Listener listener(String side, Supplier<Connection> maker, int most, long patience) {
-    return new Listener(side, maker, most, patience, timers, counters);
+  public void reload(Config next) {
+    loop.execute(
+        () -> {
+          reloads.countSuccess();
+          Config before = config;
+          config = before.withReloaded(next);
+          logReload(config.restartRequiredFor(next));
+          applySettings(before);
+          reconnect(before);
+        });
   }
 
-  private void listenNow(List<Front> all) throws IOException {
-    for (Front one : all) {
-      Future<Void> bound =
-          one.listener().listen(loop, allocator, one.address()).awaitUninterruptibly();
-      if (!bound.isSuccess()) {
-        failed = true;
-        ended.countDown();
-        throw new IOException(
-            "cannot listen on " + one.address() + ": " + bound.cause().getMessage());
-      }
-      if (one.listener() != door) {
-        listeners.add(one.listener());
-      }
-    }
+  private void logReload(String restartRequiredFor) {
+    String classes =
+        config.settings().classes().stream()
+            .map(RequestClass::name)
+            .collect(Collectors.joining(","));
+    log.write(
+        "reload pool="
+            + config.pool()
+            + " announce="
+            + config.announce()
+            + " stop_ms="
+            + config.stopMs()
+            + " classes="
+            + classes
+            + (restartRequiredFor.isEmpty() ? "" : " needs-restart=" + restartRequiredFor));
   }
 
-  private void listenLater(List<Front> all) {
-    for (Front one : all) {
-      if (leaving) {
-        return;
-      }
-      binding++;
-      one.listener()
-          .listen(loop, allocator, one.address())
-          .addListener(
-              bound -> {
-                if (bound.isSuccess()) {
-                  listeners.add(one.listener());
-                  log.write("takes-clients listen=" + one.address());
-                  bindingOver();
-                } else {
-                  failed = true;
-                  log.write(
-                      "listen-failed address="
-                          + one.address()
-                          + " what=\""
-                          + bound.cause().getMessage()
-                          + "\"");
-                  ended.countDown();
-                }
-              });
+  private void applySettings(Config before) {
+    broker.applySettings(config.settings());
+    long limit = config.settings().signals().idleTimeout();
+    if (limit != before.settings().signals().idleTimeout()) {
+      idleLimit = limit;
     }
   }
 
-  /** What operators may ask. */
-  private final class Operators implements AdminOperations {
-    private final Gson json = new Gson();
-
-    @Override
-    public boolean isServing() {
-      return broker.isServing() && listeners.size() == fronts.size();
+  private void reconnect(Config before) {
+    if (!config.pool().equals(before.pool())) {
+      pool.changeAddress(connector(config.pool()));
     }
-
-    @Override
-    public String statistics() {
-      Map<String, Object> all = broker.statistics();
-      all.put("config_reloads", reloads);
-      all.put("config_reload_errors", reloadErrors);
-      return json.toJson(all);
+    if (dependency == null && config.ledger() != null) {
+      connectDependency();
+    } else if (config.ledger() != null && !config.ledger().equals(before.ledger())) {
+      dependency.changeAddress(connector(config.ledger()));
     }
-
-    @Override
-    public String members() {
-      return peer == null ? null : json.toJson(peer.told());
-    }
-
-    @Override
-    public boolean setOutOfRotation(boolean away) {
-      return broker.outOfRotation(away);
+    if (!config.announce().equals(before.announce())) {
+      loadReporter.changeAddress(connector(config.announce()));
     }
   }
 
   /**
-   * Takes what a running server can take of a new configuration: the settings, where the pool and
-   * the announce service are, and the time to leave. Requests and runs go on. May come from any
-   * thread, and more than once.
-   *
-   * @param now the new configuration
-   */
-  public void reload(Config now) {
-    loop.execute(
-        () -> {
-          reloads++;
-          Config before = config;
-          config = before.withReloaded(now);
-          String waits = config.restartRequiredFor(now);
-          log.write(
-              "reload pool="
-                  + config.pool()
-                  + " announce="
-                  + config.announce()
-                  + " stop_ms="
-                  + config.stopMs()
-                  + " classes="
-                  + config.settings().classes().stream()
-                      .map(RequestClass::name)
-                      .collect(Collectors.joining(","))
-                  + (waits.isEmpty() ? "" : " needs-restart=" + waits));
-          broker.applySettings(config.settings());
-          if (config.settings().signals().idleTimeout()
-              != before.settings().signals().idleTimeout()) {
-            idleSpan = config.settings().signals().idleTimeout();
-          }
-          if (!config.pool().equals(before.pool())) {
-            pool.changeAddress(dialer(config.pool()));
-          }
-          if (ledger == null && config.ledger() != null) {
-            callBelow();
-          } else if (config.ledger() != null && !config.ledger().equals(before.ledger())) {
-            ledger.changeAddress(dialer(config.ledger()));
-          }
-          if (!config.announce().equals(before.announce())) {
-            announcer.changeAddress(dialer(config.announce()));
-          }
-        });
-  }
-
-  /**
-   * Counts and logs a configuration that was turned down: nothing has changed. May come from any
+   * Counts and logs a configuration that was rejected: nothing has changed. May be called from any
    * thread.
    *
-   * @param why what is wrong with it
+   * @param reason what is wrong with it
    */
-  public void reloadFailed(String why) {
+  public void reloadFailed(String reason) {
     loop.execute(
         () -> {
-          reloadErrors++;
-          log.write("reload-failed what=\"" + why + "\"");
+          reloads.countFailure();
+          log.write("reload-failed what=\"" + reason + "\"");
         });
   }
 
-  private void trim() {
-    timers.schedule(timers.now() + TRIM_PERIOD, this::trim);
-    if (door != null) {
-      door.trim(DOOR_PATIENCE, CloseReason.IDLE);
-    }
-    if (!leaving) {
-      listeners.forEach(Listener::pollSharedPort);
-    }
-    if (idleSpan > 0 && !leaving) { // on the way out Drain says how long connections may stay
-      listeners.forEach(one -> one.trim(idleSpan, CloseReason.IDLE));
+  private void supervise() {
+    scheduler.schedule(scheduler.now() + SUPERVISION_PERIOD_MICROS, this::supervise);
+    if (adminListener != null) {
+      adminListener.trim(ADMIN_TIMEOUT_MICROS, CloseReason.IDLE);
     }
+    fronts.supervise(idleLimit);
   }
 
-  /**
-   * While an address is being bound the way out waits: who connects to it in that moment is owed an
-   * answer too.
-   */
   @Override
   public void drain() {
     loop.execute(
         () -> {
-          if (!leaving) {
-            leaving = true;
-            announcer.stop();
+          if (!draining) {
+            draining = true;
+            loadReporter.stop();
             if (peer != null) {
               peer.leave();
             }
-            if (binding == 0) {
-              leave();
-            }
+            fronts.stop(this::shutDown);
           }
         });
   }
 
-  private void bindingOver() {
-    binding--;
-    if (binding == 0 && leaving) {
-      leave();
-    }
-  }
-
-  private void leave() {
+  private void shutDown() {
     new GracefulShutdown(
             loop,
-            timers,
+            scheduler,
             broker,
             log,
             () -> {
@@ -420,7 +351,7 @@
               }
               ended.countDown();
             })
-        .begin(listeners, config.management() != null, config);
+        .begin(fronts.listening(), config.management() != null, config);
   }
 
   @Override
@@ -434,7 +365,7 @@
     loop.execute(() -> line.complete("counts " + broker.counts()));
     try {
       return line.get(1, TimeUnit.SECONDS);
-    } catch (InterruptedException | ExecutionException | TimeoutException late) {
+    } catch (InterruptedException | ExecutionException | TimeoutException unavailable) {
       return "counts unknown";
     }
   }
@@ -445,7 +376,7 @@
    * @return the addresses, with the ports that were given
    */
   public List<InetSocketAddress> listening() {
-    return listeners.stream().map(Listener::address).toList();
+    return fronts.listening().stream().map(Listener::address).toList();
   }
 
   /**
@@ -454,7 +385,7 @@
    * @return the address, with the port that was given
    */
   public InetSocketAddress management() {
-    return door.address();
+    return adminListener.address();
   }
 
   @Override
--- /dev/null
+++ b/src/main/java/mothwing/server/SharedRunClaims.java
@@ -0,0 +1,45 @@
+package mothwing.server;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.security.SecureRandom;
+import java.util.concurrent.TimeUnit;
+import mothwing.broker.RunClaims;
+import mothwing.store.ClaimTable;
+
+/**
+ * The claims on runs of requests with an idempotency key, in a table that this process and another
+ * one at the same address both map into memory: each run is claimed by one of them.
+ */
+final class SharedRunClaims {
+  private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
+
+  private SharedRunClaims() {}
+
+  /** The file of the table of a server of that name. */
+  static Path file(String serverName) {
+    return Path.of(System.getProperty("java.io.tmpdir"), "mothwing-claims-" + serverName);
+  }
+
+  /**
+   * Opens the table.
+   *
+   * @param file its file
+   * @return the claims
+   * @throws IOException where it cannot be opened
+   */
+  static RunClaims open(Path file) throws IOException {
+    long boot = Files.readString(BOOT_ID).strip().hashCode();
+    long owner = new SecureRandom().nextLong();
+    ClaimTable table =
+        ClaimTable.open(file, owner, boot, () -> TimeUnit.NANOSECONDS.toMicros(System.nanoTime()));
+    return (key, span) ->
+        switch (table.claim(key, span)) {
+          case GRANTED -> RunClaims.Claim.GRANTED;
+          case HELD -> RunClaims.Claim.HELD;
+          case FULL -> RunClaims.Claim.FULL;
+          case UNKNOWN -> RunClaims.Claim.UNKNOWN;
+        };
+  }
+}
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -36,7 +36,6 @@
           Map.entry("DeploymentSimulation.java", 486),
           Map.entry("SimulatedOverrideNetwork.java", 481),
           Map.entry("ZoneFile.java", 473),
-          Map.entry("Server.java", 467),
           Map.entry("ZoneKeeper.java", 464),
           Map.entry("Relay.java", 460),
           Map.entry("Oracles.java", 450),
--- a/src/test/java/mothwing/admin/AdminConnectionTest.java
+++ b/src/test/java/mothwing/admin/AdminConnectionTest.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import mothwing.trial.BrokerFixture;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -49,8 +50,8 @@
         }
 
         @Override
-        public String members() {
-          return leaving ? null : "{\"members\":[]}";
+        public Optional<String> members() {
+          return leaving ? Optional.empty() : Optional.of("{\"members\":[]}");
         }
 
         @Override
@@ -110,7 +111,9 @@
     assertEquals(expected, told);
     assertEquals(
         lines.size(),
-        stand.lines.stream().filter(one -> one.startsWith("end side=management")).count());
+        stand.lines.stream()
+            .filter(one -> one.startsWith("connection-closed side=management"))
+            .count());
     leaving = false;
     told.clear();
     stand.lines.clear();
--- a/src/test/java/mothwing/cli/StartTest.java
+++ b/src/test/java/mothwing/cli/StartTest.java
@@ -58,7 +58,7 @@
     try (StandInPool pool = new StandInPool(1)) {
       Process server = start(pool, List.of());
       try (BufferedReader log = server.inputReader()) {
-        assertTrue(next(log, "no-reloads").contains("env --default-signal=HUP"));
+        assertTrue(next(log, "sighup-unavailable").contains("env --default-signal=HUP"));
       } finally {
         server.destroyForcibly().waitFor();
       }
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -116,12 +116,12 @@
       assertEquals(STATUS_SERVED, one.answer().status());
       assertTrue(one.endsInOrder(), "it was reset");
     }
-    log.awaitLine("end side=fastcgi reason=malformed");
+    log.awaitLine("connection-closed side=fastcgi reason=malformed");
     assertTrue(
         log.lines().stream()
             .anyMatch(
                 line ->
-                    line.startsWith("end side=fastcgi reason=malformed")
+                    line.startsWith("connection-closed side=fastcgi reason=malformed")
                         && line.contains(" in=" + all.size() + " ")),
         "unread at the close: " + log.lines());
   }
@@ -147,7 +147,7 @@
               endless.send(new byte[1024]);
             }
           });
-      log.awaitLines("end side=fastcgi reason=malformed", 2);
+      log.awaitLines("connection-closed side=fastcgi reason=malformed", 2);
     }
   }
 
@@ -310,7 +310,7 @@
     InetSocketAddress had = server.listening().get(0);
     server.await();
     assertThrows(ConnectException.class, () -> new Crossing(had).close());
-    assertTrue(log.lines().contains("leave owed=0"), log.lines()::toString);
+    assertTrue(log.lines().contains("shutdown-complete pending=0"), log.lines()::toString);
   }
 
   /**
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -191,7 +191,7 @@
       for (int i = 0; i < 3; i++) { // the signal may repeat
         server.reload(config(door.address(), Loopback.NOBODY));
       }
-      awaitLine("end side=pool reason=moved");
+      awaitLine("connection-closed side=pool reason=moved");
       two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {4, 5});
       pool.awaitSpawns(2);
       pool.release();
--- a/src/test/java/mothwing/server/UpgradeTest.java
+++ b/src/test/java/mothwing/server/UpgradeTest.java
@@ -149,7 +149,7 @@
             old.lines.stream().anyMatch(line -> line.contains(" handover=true")),
             old.lines::toString);
         assertTrue(
-            old.lines.stream().anyMatch(line -> line.contains(" leave owed=0")),
+            old.lines.stream().anyMatch(line -> line.contains(" shutdown-complete pending=0")),
             old.lines::toString);
         assertTrue(lost.size() <= UNAVOIDABLE, () -> lost + "\n" + old.lines + "\n" + next.lines);
         Map<String, Integer> runs = first.spawns();
--- a/src/test/java/mothwing/testing/FrontModel.java
+++ b/src/test/java/mothwing/testing/FrontModel.java
@@ -209,7 +209,8 @@
     channel.close();
     assertEquals(0, stand.counters.get("faults"));
     assertEquals(
-        open ? 1 : 0, stand.lines.stream().filter(line -> line.startsWith("end side=")).count());
+        open ? 1 : 0,
+        stand.lines.stream().filter(line -> line.startsWith("connection-closed side=")).count());
   }
 
   /** Whether the last line of the log is that of a connection which ended for a reason. */
