--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -4,17 +4,18 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import mothwing.net.CloseReason;
+import mothwing.net.Header;
 import mothwing.net.ProtocolException;
 
 /**
- * The packets of AJP/1.3: their numbers, how they are written, and how strings and header names are
- * read.
+ * The AJP/1.3 packet codec: packet codes, how packets are written, and how strings and header names
+ * are read.
  */
 final class Ajp {
   static final int TO_CONTAINER = 0x1234;
   static final int TO_SERVER = 0x4142; // the letters AB
-  static final int HEAD = 4;
-  static final int MOST_PACKET = 8192;
+  static final int HEADER_BYTES = 4;
+  static final int MAX_PACKET_BYTES = 8192;
   static final int FORWARD_REQUEST = 2;
   static final int SEND_BODY_CHUNK = 3;
   static final int SEND_HEADERS = 4;
@@ -22,8 +23,8 @@
   static final int GET_BODY_CHUNK = 6;
   static final int CPONG = 9;
   static final int CPING = 10;
-  static final int MOST_CHUNK =
-      MOST_PACKET - HEAD - 4; // less the code, the length and the closing byte
+  static final int MAX_CHUNK_BYTES =
+      MAX_PACKET_BYTES - HEADER_BYTES - 4; // less the code, the length and the closing byte
 
   static final int CONTEXT = 0x01;
   static final int QUERY_STRING = 0x05;
@@ -88,7 +89,7 @@
     }
   }
 
-  /** Begins a packet and returns where its length stands. */
+  /** Begins a packet and returns the index of its length. */
   private static int begin(ByteBuf out, int code) {
     out.writeShort(TO_SERVER).writeShort(0).writeByte(code);
     return out.writerIndex() - Short.BYTES - 1;
@@ -104,21 +105,21 @@
     out.writeByte(0);
   }
 
-  static void sendHeaders(ByteBuf out, int status, String phrase, List<String[]> fields) {
+  static void sendHeaders(ByteBuf out, int status, String phrase, List<Header> headers) {
     int at = begin(out, SEND_HEADERS);
     out.writeShort(status);
     string(out, phrase);
-    out.writeShort(fields.size());
-    for (String[] field : fields) {
-      string(out, field[0]);
-      string(out, field[1]);
+    out.writeShort(headers.size());
+    for (Header header : headers) {
+      string(out, header.name());
+      string(out, header.value());
     }
     finish(out, at);
   }
 
   static void sendBody(ByteBuf out, byte[] content) {
-    for (int from = 0; from < content.length; from += MOST_CHUNK) {
-      int length = Math.min(MOST_CHUNK, content.length - from);
+    for (int from = 0; from < content.length; from += MAX_CHUNK_BYTES) {
+      int length = Math.min(MAX_CHUNK_BYTES, content.length - from);
       int at = begin(out, SEND_BODY_CHUNK);
       out.writeShort(length).writeBytes(content, from, length).writeByte(0);
       finish(out, at);
--- a/src/test/java/mothwing/admin/AdminConnectionTest.java
+++ b/src/test/java/mothwing/admin/AdminConnectionTest.java
@@ -10,6 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import mothwing.trial.BrokerFixture;
 import net.jqwik.api.Example;
 import net.jqwik.api.ForAll;
@@ -28,7 +29,7 @@
     "",
     "leave",
     "LEAVE JOIN",
-    "x".repeat(AdminConnection.MOST_LINE + 1),
+    "x".repeat(AdminConnection.MAX_LINE_BYTES + 1),
     "x".repeat(5000)
   };
 
@@ -49,8 +50,8 @@
         }
 
         @Override
-        public String members() {
-          return leaving ? null : "{\"members\":[]}";
+        public Optional<String> members() {
+          return leaving ? Optional.empty() : Optional.of("{\"members\":[]}");
         }
 
         @Override
@@ -110,7 +111,9 @@
     assertEquals(expected, told);
     assertEquals(
         lines.size(),
-        stand.lines.stream().filter(one -> one.startsWith("end side=management")).count());
+        stand.lines.stream()
+            .filter(one -> one.startsWith("connection-closed side=management"))
+            .count());
     leaving = false;
     told.clear();
     stand.lines.clear();
@@ -119,7 +122,7 @@
   @Example
   void aLineWithoutAnEndIsAnsweredAtItsBound() {
     EmbeddedChannel channel = call();
-    channel.writeInbound(Unpooled.wrappedBuffer(new byte[AdminConnection.MOST_LINE + 1]));
+    channel.writeInbound(Unpooled.wrappedBuffer(new byte[AdminConnection.MAX_LINE_BYTES + 1]));
     assertTrue(reply(channel).startsWith("NO "));
     assertFalse(channel.isOpen());
   }
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -192,7 +192,7 @@
       for (int i = 0; i < 3; i++) { // the signal may repeat
         server.reload(config(door.address(), Loopback.NOBODY));
       }
-      awaitLine("end side=pool reason=moved");
+      awaitLine("connection-closed side=pool reason=moved");
       two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {4, 5});
       pool.awaitSpawns(2);
       pool.release();
@@ -311,7 +311,7 @@
                 3200,
                 256,
                 first.settings(),
-                first.told()),
+                first.source()),
             null,
             lines::add);
     server.start();
@@ -334,11 +334,11 @@
     for (String text : wrong) {
       assertNotEquals(good, text);
       Files.writeString(file, text);
-      reload.again();
+      reload.reload();
       awaitCount("reload-failed ", 1 + wrong.indexOf(text));
     }
     Files.writeString(file, good.replace("stock-check", "stock-look"));
-    reload.again();
+    reload.reload();
     awaitLine("reload ");
     String figures = call("DUMP");
     assertTrue(
