--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -81,6 +81,11 @@
     return settings;
   }
 
+  /** The longest retry advice of a rejection, or 0 where the settings allow none. */
+  long maxRetryAfterMicros() {
+    return settings.signals().retryAfterHonoured() ? settings.signals().maxRetryAfter() : 0;
+  }
+
   /** The class of a name that is known now, or null. */
   RequestClass findClass(String kind) {
     Integer place = classes.indexOf(kind);
--- /dev/null
+++ b/src/main/java/mothwing/broker/ControllerActions.java
@@ -0,0 +1,118 @@
+package mothwing.broker;
+
+import java.util.function.Consumer;
+import mothwing.control.ControllerHost;
+
+/**
+ * Carries out the actions of the controller. An action on a request that is no longer open has no
+ * effect.
+ */
+final class ControllerActions implements ControllerHost {
+  private static final long MICROS_PER_MILLI = 1000;
+
+  private final BrokerParts parts;
+  private final OpenRequests open;
+  private Consumer<Long> idleConnectionCloser = span -> {};
+
+  ControllerActions(BrokerParts parts) {
+    this.parts = parts;
+    open = parts.context.open();
+  }
+
+  void setIdleConnectionCloser(Consumer<Long> closer) {
+    idleConnectionCloser = closer;
+  }
+
+  @Override
+  public void startRun(String id) {
+    parts.runs.start(id);
+  }
+
+  @Override
+  public void stopRun(String id) {
+    parts.runs.stop(id);
+  }
+
+  @Override
+  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
+    Exchange exchange = open.get(id);
+    if (exchange == null) {
+      return;
+    }
+    if (exchange.hasRun() && !exchange.isIdempotent()) {
+      parts.answers.fail(exchange, FailureReason.RAN_BEFORE); // a rejection states: nothing ran
+    } else {
+      long retryAfterMicros = parts.shutdownState.retryAfter(stayAway);
+      long retryAfterMillis = (retryAfterMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+      parts.answers.reject(exchange, RejectionReason.DECIDED, dontRetry, retryAfterMillis);
+    }
+    open.removeUnlessInPool(exchange);
+  }
+
+  @Override
+  public void failRequest(String id) {
+    Exchange exchange = open.get(id);
+    if (exchange != null) {
+      parts.answers.fail(exchange, FailureReason.DECIDED);
+      open.removeUnlessInPool(exchange);
+    }
+  }
+
+  @Override
+  public void startCall(String id, long until) {
+    parts.calls.start(id, until);
+  }
+
+  @Override
+  public void skipCall(String id) {
+    parts.calls.skip(id);
+  }
+
+  @Override
+  public void rememberKey(String id, long span) {
+    Exchange exchange = open.get(id);
+    if (exchange != null) {
+      parts.keys.keep(exchange, parts.context.scheduler().now() + span);
+    }
+  }
+
+  @Override
+  public void forgetKey(String id) {
+    Exchange exchange = open.get(id);
+    if (exchange != null) {
+      parts.keys.forget(exchange);
+    }
+  }
+
+  @Override
+  public void replayResult(String id) {
+    parts.replays.replay(id);
+  }
+
+  @Override
+  public void scheduleTimer(long at, String tag) {
+    parts.gauges.scheduleTimer(at, tag);
+  }
+
+  @Override
+  public void publishFreeValue(double value) {
+    if (!parts.shutdownState.isHandingOver()) { // it would be taken for that of the next process
+      parts.freeValue.publish(value);
+    }
+  }
+
+  @Override
+  public void setHealth(boolean cheap, boolean good) {
+    parts.checks.setHealth(cheap, good);
+  }
+
+  @Override
+  public void closeIdleConnections(long span) {
+    idleConnectionCloser.accept(span);
+  }
+
+  @Override
+  public void log(String text) {
+    parts.context.log().write("controller " + text);
+  }
+}
--- /dev/null
+++ b/src/main/java/mothwing/broker/OpenRequests.java
@@ -0,0 +1,56 @@
+package mothwing.broker;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The table of all open requests by id, in the order in which they were read. A request stays open
+ * while its answer is pending or the pool has a run of it.
+ */
+final class OpenRequests {
+  private final Map<String, Exchange> byId = new LinkedHashMap<>();
+
+  /** The open request of an id, or null. */
+  Exchange get(String id) {
+    return byId.get(id);
+  }
+
+  /** Adds a request whose id is not open yet. */
+  void add(Exchange exchange) {
+    byId.put(exchange.request().id(), exchange);
+  }
+
+  void remove(String id) {
+    byId.remove(id);
+  }
+
+  /** Removes a request unless the pool still has a run of it. */
+  void removeUnlessInPool(Exchange exchange) {
+    if (!exchange.isInPool()) {
+      byId.remove(exchange.request().id(), exchange);
+    }
+  }
+
+  int size() {
+    return byId.size();
+  }
+
+  /** All open requests, as a view that must not be held while requests are added or removed. */
+  Collection<Exchange> view() {
+    return Collections.unmodifiableCollection(byId.values());
+  }
+
+  /** A copy of the table, for loops that add or remove requests. */
+  List<Exchange> snapshot() {
+    return new ArrayList<>(byId.values());
+  }
+
+  /** How many requests still wait for their answer. */
+  long pendingCount() {
+    return byId.values().stream().filter(Exchange::isPending).count();
+  }
+}
--- /dev/null
+++ b/src/main/java/mothwing/broker/Replays.java
@@ -0,0 +1,78 @@
+package mothwing.broker;
+
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import mothwing.control.RunOutcome;
+
+/**
+ * Repeats of requests with an idempotency key that wait for the result of the original run. A
+ * repeat whose original never ran is rejected, since nothing of it ran either.
+ */
+final class Replays {
+  private final OpenRequests open;
+  private final IdempotencyKeys keys;
+  private final RequestAnswers answers;
+  private final EventBatcher events;
+  private final Counters counters;
+  private final Map<String, IdempotencyKeys.Entry> originalsByRepeatId = new LinkedHashMap<>();
+
+  Replays(
+      OpenRequests open,
+      IdempotencyKeys keys,
+      RequestAnswers answers,
+      EventBatcher events,
+      Counters counters) {
+    this.open = open;
+    this.keys = keys;
+    this.answers = answers;
+    this.events = events;
+    this.counters = counters;
+  }
+
+  /** Answers a repeat from the run of its original, now or once that has ended. */
+  void replay(String id) {
+    Exchange repeat = open.get(id);
+    if (repeat == null || !repeat.isPending()) {
+      return;
+    }
+    IdempotencyKeys.Entry original = keys.repeated(repeat);
+    if (original != null) {
+      originalsByRepeatId.put(id, original);
+      answerEnded();
+    }
+  }
+
+  /** Answers the repeats whose original has ended, and drops those that wait no longer. */
+  void answerEnded() {
+    for (Map.Entry<String, IdempotencyKeys.Entry> entry :
+        new ArrayList<>(originalsByRepeatId.entrySet())) {
+      String id = entry.getKey();
+      Exchange repeat = open.get(id);
+      boolean waits = repeat != null && repeat.isPending();
+      if (waits && entry.getValue().pending()) {
+        continue;
+      }
+      originalsByRepeatId.remove(id);
+      if (waits) {
+        answer(repeat, entry.getValue());
+      }
+    }
+  }
+
+  private void answer(Exchange repeat, IdempotencyKeys.Entry original) {
+    counters.add("replayed");
+    boolean good = original.result() != null;
+    if (good) {
+      answers.complete(repeat, original.result());
+    } else if (original.begun()) {
+      answers.fail(repeat, FailureReason.REPLAYED_FAILURE);
+    } else {
+      answers.reject(repeat, RejectionReason.REPLAYED_NOTHING, false, 0);
+    }
+    String id = repeat.request().id();
+    open.remove(id);
+    RunOutcome outcome = good ? RunOutcome.SUCCEEDED : RunOutcome.FAILED;
+    events.enqueue((to, at) -> to.runEnded(at, id, outcome, 0));
+  }
+}
--- /dev/null
+++ b/src/main/java/mothwing/broker/RequestAnswers.java
@@ -0,0 +1,62 @@
+package mothwing.broker;
+
+/**
+ * Answers requests, and counts and logs each answer. An exchange takes only its first answer; what
+ * comes later has no effect and is not counted.
+ */
+final class RequestAnswers {
+  private final Counters counters;
+  private final RateLimitedEventLog reasons;
+  private final RequestStatistics statistics;
+  private final DependencyCalls calls;
+
+  RequestAnswers(
+      Counters counters,
+      RateLimitedEventLog reasons,
+      RequestStatistics statistics,
+      DependencyCalls calls) {
+    this.counters = counters;
+    this.reasons = reasons;
+    this.statistics = statistics;
+    this.calls = calls;
+  }
+
+  void complete(Exchange exchange, byte[] result) {
+    if (exchange.serve(result)) {
+      counters.add("served");
+      count(exchange, RequestStatistics.End.COMPLETED);
+    }
+  }
+
+  /**
+   * Rejects a request of which nothing ran.
+   *
+   * @param exchange the request
+   * @param reason why
+   * @param dontRetry whether no other server should be tried
+   * @param retryAfterMillis how long to stay away, or 0 for no advice
+   */
+  void reject(Exchange exchange, RejectionReason reason, boolean dontRetry, long retryAfterMillis) {
+    if (exchange.refuse(dontRetry, retryAfterMillis)) {
+      counters.add("refused-" + reason.code());
+      reasons.write("refused", exchange, reason.code());
+      count(exchange, RequestStatistics.End.REJECTED);
+    }
+  }
+
+  /** Fails a request that may have taken effect; a call of its run is abandoned. */
+  void fail(Exchange exchange, FailureReason reason) {
+    if (exchange.fail(reason.code())) {
+      calls.abandon(exchange);
+      counters.add("failed-" + reason.code());
+      reasons.write("failed", exchange, reason.code());
+      count(exchange, RequestStatistics.End.FAILED);
+    }
+  }
+
+  private void count(Exchange exchange, RequestStatistics.End end) {
+    if (exchange.classIndex() >= 0) { // unknown names must not fill the table
+      statistics.recordEnd(exchange.request().className(), end);
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -0,0 +1,187 @@
+package mothwing.broker;
+
+import java.util.function.BooleanSupplier;
+import mothwing.control.Controller;
+import mothwing.control.Idempotency;
+import mothwing.control.Request;
+import mothwing.control.RequestClass;
+
+/**
+ * Takes requests that fronts have read: answers at once what cannot be decided, and reports all
+ * else to the controller.
+ */
+final class RequestIntake {
+  /** Requests open at once; the controller never sees those beyond. */
+  static final int MAX_OPEN_REQUESTS = 4096;
+
+  private static final long MICROS_PER_MILLI = 1000;
+
+  /** How far a gateway's wall clock may be ahead of ours with nothing wrong. */
+  private static final long MAX_CLOCK_LEAD_MILLIS = 1000;
+
+  private final BrokerContext context;
+  private final IdempotencyKeys keys;
+  private final RequestAnswers answers;
+  private final RequestStatistics statistics;
+  private boolean ready;
+  private BooleanSupplier overloadCheck = () -> false;
+
+  RequestIntake(
+      BrokerContext context,
+      IdempotencyKeys keys,
+      RequestAnswers answers,
+      RequestStatistics statistics) {
+    this.context = context;
+    this.keys = keys;
+    this.answers = answers;
+    this.statistics = statistics;
+  }
+
+  /** The controller has started; before that all requests are rejected. */
+  void start() {
+    ready = true;
+  }
+
+  void setOverloadCheck(BooleanSupplier isOverloaded) {
+    overloadCheck = isOverloaded;
+  }
+
+  /**
+   * Rejects a request undecided where this process lags too far behind.
+   *
+   * @param path the path of the request
+   * @return the milliseconds of its retry advice, or {@link Broker#NOT_OVERLOADED}
+   */
+  long retryAfterIfOverloaded(String path) {
+    if (!path.startsWith(InboundRequest.PATH_PREFIX) || !overloadCheck.getAsBoolean()) {
+      return Broker.NOT_OVERLOADED;
+    }
+    String className = path.substring(InboundRequest.PATH_PREFIX.length());
+    if (context.settings().findClass(className) == null) {
+      return Broker.NOT_OVERLOADED;
+    }
+    context.counters().add("read");
+    context.counters().add("refused-" + RejectionReason.BEHIND.code());
+    statistics.recordEnd(className, RequestStatistics.End.REJECTED);
+    return retryAfterMillis();
+  }
+
+  /** Takes a request and answers it, or queues it for the controller. */
+  Exchange submit(InboundRequest request, ResponseSink caller) {
+    context.counters().add("read");
+    RequestClass requestClass = context.settings().findClass(request.className());
+    Exchange exchange =
+        requestClass == null
+            ? exchangeOfUnknownClass(request, caller)
+            : exchange(request, caller, requestClass);
+    if (requestClass == null) {
+      answers.fail(exchange, FailureReason.UNKNOWN_CLASS);
+    } else if (!context.settings().isKnownTenant(request.tenant())) {
+      answers.fail(exchange, FailureReason.UNKNOWN_TENANT);
+    } else if (context.open().get(request.id()) != null) {
+      answers.fail(exchange, FailureReason.REPEATED_TRACE_ID);
+    } else if (!ready) {
+      reject(exchange, RejectionReason.NOT_READY);
+    } else if (context.open().size() >= MAX_OPEN_REQUESTS) {
+      reject(exchange, RejectionReason.TABLE_FULL);
+    } else if (!keys.room(exchange)) {
+      reject(exchange, RejectionReason.KEYS_FULL);
+    } else {
+      context.open().add(exchange);
+      context.events().enqueue((to, at) -> deliver(exchange, to, at));
+    }
+    return exchange;
+  }
+
+  private Exchange exchangeOfUnknownClass(InboundRequest request, ResponseSink caller) {
+    long now = context.scheduler().now();
+    int tenantIndex = context.settings().tenantIndex(request.tenant());
+    int classIndex = context.settings().classIndex(request.className());
+    return new Exchange(request, caller, false, now, now, now, classIndex, tenantIndex, 0);
+  }
+
+  private Exchange exchange(
+      InboundRequest request, ResponseSink caller, RequestClass requestClass) {
+    long now = context.scheduler().now();
+    long arrivedAt = now - unreadMicros(request, requestClass);
+    boolean keyed =
+        requestClass.idempotency() == Idempotency.GUARDED && request.idempotencyKey() != null;
+    return new Exchange(
+        request,
+        caller,
+        requestClass.idempotency() == Idempotency.SAFE,
+        now,
+        arrivedAt,
+        arrivedAt + waitMicros(request, requestClass),
+        context.settings().classIndex(request.className()),
+        context.settings().tenantIndex(request.tenant()),
+        keyed ? requestClass.idempotencyWindow() : 0);
+  }
+
+  /**
+   * For how long a request lay unread: the one place where wall time becomes a span of the
+   * monotonic clock. The wall clock may have stepped since the arrival; an arrival in the future,
+   * or longer ago than the deadline of its class, is ignored.
+   */
+  private long unreadMicros(InboundRequest request, RequestClass requestClass) {
+    long millis = context.scheduler().wallClockMillis() - request.acceptedAtMs();
+    boolean plausible =
+        millis >= -MAX_CLOCK_LEAD_MILLIS && millis <= requestClass.deadline() / MICROS_PER_MILLI;
+    if (!plausible) {
+      context.counters().add("stamps-not-believed");
+      return 0;
+    }
+    return Math.max(0, millis * MICROS_PER_MILLI);
+  }
+
+  /** How long the caller waits from the arrival on, at most the deadline of the class. */
+  private static long waitMicros(InboundRequest request, RequestClass requestClass) {
+    boolean shorter =
+        request.maxWaitMs() != InboundRequest.NOT_STATED
+            && request.maxWaitMs() < requestClass.deadline() / MICROS_PER_MILLI;
+    return shorter ? request.maxWaitMs() * MICROS_PER_MILLI : requestClass.deadline();
+  }
+
+  private void reject(Exchange exchange, RejectionReason reason) {
+    answers.reject(exchange, reason, false, retryAfterMillis());
+  }
+
+  private long retryAfterMillis() {
+    return context.settings().maxRetryAfterMicros() / MICROS_PER_MILLI;
+  }
+
+  /**
+   * Reports a request to the controller. Which request it repeats is looked up only here, as those
+   * read before it in the same batch have been decided by now.
+   */
+  private void deliver(Exchange exchange, Controller to, long at) {
+    IdempotencyKeys.Entry original = keys.repeated(exchange);
+    if (original != null && !original.sameBody(exchange)) {
+      answers.fail(exchange, FailureReason.KEY_OF_ANOTHER);
+      context.open().removeUnlessInPool(exchange);
+      return;
+    }
+    if (original != null) {
+      context.counters().add("repeats");
+    }
+    exchange.held();
+    to.requestRead(at, report(exchange, original == null ? null : original.id(), at));
+  }
+
+  private static Request report(Exchange exchange, String originalId, long at) {
+    InboundRequest request = exchange.request();
+    boolean waitStated = request.maxWaitMs() != InboundRequest.NOT_STATED;
+    return new Request(
+        request.id(),
+        exchange.classIndex(),
+        exchange.tenantIndex(),
+        0,
+        at - exchange.arrivedAt(),
+        request.cacheKey(),
+        request.memoryKb(),
+        originalId,
+        request.rank(),
+        waitStated ? exchange.deadline() : 0,
+        !exchange.isIdempotent());
+  }
+}
--- /dev/null
+++ b/src/main/java/mothwing/broker/RunAdmission.java
@@ -0,0 +1,61 @@
+package mothwing.broker;
+
+/**
+ * Whether a request may be run in this process, whatever the controller decides: at most one
+ * attempt per idempotency key among all processes at this address, and nothing after the grace
+ * period of a shutdown. A request that may not run is answered here.
+ */
+final class RunAdmission {
+  private static final long MICROS_PER_MILLI = 1000;
+
+  private final BrokerContext context;
+  private final IdempotencyKeys keys;
+  private final ShutdownState shutdown;
+  private final RequestAnswers answers;
+  private RunClaims claims = RunClaims.UNSHARED;
+
+  RunAdmission(
+      BrokerContext context, IdempotencyKeys keys, ShutdownState shutdown, RequestAnswers answers) {
+    this.context = context;
+    this.keys = keys;
+    this.shutdown = shutdown;
+    this.answers = answers;
+  }
+
+  void setClaims(RunClaims shared) {
+    claims = shared;
+  }
+
+  /** Whether a request may be run; otherwise it has been answered. */
+  boolean admit(Exchange exchange) {
+    if (keys.ranBefore(exchange)) {
+      answers.fail(exchange, FailureReason.RAN_BEFORE); // it has to be answered from that run
+      return false;
+    }
+    if (!shutdown.mayStillRun(exchange.readAt())) {
+      long retryAfter = shutdown.retryAfter(context.settings().maxRetryAfterMicros());
+      answers.reject(exchange, RejectionReason.DRAINED, false, retryAfter / MICROS_PER_MILLI);
+      return false;
+    }
+    return !exchange.hasIdempotencyKey() || claim(exchange);
+  }
+
+  private boolean claim(Exchange exchange) {
+    long span =
+        exchange.arrivedAt()
+            + exchange.window()
+            + IdempotencyKeys.READ_LATE
+            - context.scheduler().now();
+    RunClaims.Claim claim = claims.claim(IdempotencyKeys.key(exchange), span);
+    switch (claim) {
+      case HELD -> answers.fail(exchange, FailureReason.RAN_BESIDE);
+      case UNKNOWN -> answers.fail(exchange, FailureReason.CLAIM_UNKNOWN);
+      case FULL -> {
+        long retryAfter = context.settings().maxRetryAfterMicros();
+        answers.reject(exchange, RejectionReason.KEYS_FULL, false, retryAfter / MICROS_PER_MILLI);
+      }
+      case GRANTED -> {}
+    }
+    return claim == RunClaims.Claim.GRANTED;
+  }
+}
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -1,7 +1,5 @@
 package mothwing.broker;
 
-import java.util.ArrayList;
-import java.util.Map;
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 import mothwing.control.StopMode;
@@ -82,7 +80,7 @@
   /** Microseconds between further questions about a run whose end is lost. */
   private static final long PROBE_AGAIN = 1000 * MILLI;
 
-  private final Map<String, Exchange> open;
+  private final OpenRequests open;
   private final WorkerPool workers;
   private final Counters counters;
   private final EventLog log;
@@ -108,7 +106,7 @@
    * @param actions carried out by the broker
    */
   RunReconciler(
-      Map<String, Exchange> open,
+      OpenRequests open,
       WorkerPool workers,
       Counters counters,
       EventLog log,
@@ -138,12 +136,12 @@
    */
   void caughtUp(long now) {
     int inDoubt = 0;
-    for (Exchange run : open.values()) {
+    for (Exchange run : open.view()) {
       inDoubt += reconcile(run) ? 1 : 0;
     }
     log.write(
         "pool-caught-up in_pool="
-            + open.values().stream().filter(Exchange::isInPool).count()
+            + open.view().stream().filter(Exchange::isInPool).count()
             + " in_doubt="
             + inDoubt);
     if (inDoubt > 0) {
@@ -233,7 +231,7 @@
 
   /** The pool has read all that was asked in doubt, and said nothing of what is still in doubt. */
   private void resolve() {
-    for (Exchange run : new ArrayList<>(open.values())) {
+    for (Exchange run : open.snapshot()) {
       if (!run.doubted()) {
         continue;
       }
@@ -282,7 +280,7 @@
       workers.requestGauges(BEHIND_DOUBTS);
     }
     lostRuns = 0;
-    for (Exchange run : new ArrayList<>(open.values())) {
+    for (Exchange run : open.snapshot()) {
       if (run.isInPool() && run.stopping() && now >= run.stopAgainAt()) {
         run.stopAgainAt(now + STOP_AGAIN);
         workers.stopRun(run.request().id());
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -244,7 +244,7 @@
           (name, value) -> {
             switch (name) {
               case "FCGI_MAX_REQS", "FCGI_MAX_CONNS" ->
-                  FastCgi.pair(pairs, name, "" + Broker.MOST_OPEN);
+                  FastCgi.pair(pairs, name, "" + Broker.MAX_OPEN_REQUESTS);
               case "FCGI_MPXS_CONNS" -> FastCgi.pair(pairs, name, "1");
               default -> {}
             }
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -26,7 +26,6 @@
   /** Files that are still too long, with the length that each must not grow beyond. */
   private static final Map<String, Integer> LONG_FILES =
       Map.ofEntries(
-          Map.entry("Broker.java", 1050),
           Map.entry("OverloadController.java", 985),
           Map.entry("ProcessStage.java", 751),
           Map.entry("Membership.java", 726),
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -260,9 +260,9 @@
     stand.running.clear();
     stand.pass(14 * SECOND);
     assertEquals(List.of("failed overdue"), answers);
-    assertTrue(!decisions.told.contains("finished MOOT"));
+    assertTrue(!decisions.told.contains("finished NOT_STARTED"));
     stand.pass(SECOND);
-    assertTrue(decisions.told.contains("finished MOOT"));
+    assertTrue(decisions.told.contains("finished NOT_STARTED"));
     assertEquals(1, stand.counters.get("lost-runs"));
     assertTrue(stand.broker.counts().startsWith("in_hand=0 "), stand.broker.counts());
   }
@@ -519,11 +519,11 @@
 
   @Test
   void keepsToABoundOnOpenRequests() {
-    for (int i = 0; i < Broker.MOST_OPEN; i++) {
+    for (int i = 0; i < Broker.MAX_OPEN_REQUESTS; i++) {
       ask(i, BrokerFixture.LOOK);
     }
     assertEquals(List.of(), answers);
-    ask(Broker.MOST_OPEN, BrokerFixture.LOOK);
+    ask(Broker.MAX_OPEN_REQUESTS, BrokerFixture.LOOK);
     assertEquals(List.of("refused false 1000"), answers);
   }
 
