--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -140,7 +140,7 @@
       return;
     }
     BrokerContext context = parts.context;
-    context.counters().add("gone");
+    context.counters().add(CounterNames.CANCELLED);
     String id = exchange.request().id();
     if (context.open().get(id) == exchange) {
       parts.calls.abandon(exchange);
@@ -208,8 +208,8 @@
 
   /** The counts so far, one line of {@code name=value} words. */
   public String counts() {
-    String open = "in_hand=" + parts.context.open().size();
-    return open + " owed=" + pendingCount() + " " + parts.context.counters();
+    String open = "open=" + parts.context.open().size();
+    return open + " pending=" + pendingCount() + " " + parts.context.counters();
   }
 
   /**
@@ -251,7 +251,9 @@
     parts.intake.start();
     parts.checks.start();
     parts.gauges.start();
-    context.log().write("ready cold=" + coldStart + " age_ms=" + age / MICROS_PER_MILLI);
+    context
+        .log()
+        .write(EventNames.READY + " cold=" + coldStart + " age_ms=" + age / MICROS_PER_MILLI);
     controller.serverStarted(context.scheduler().now() - age);
     parts.deadlines.start();
     parts.shutdown.controllerStarted();
--- a/src/main/java/mothwing/broker/ControllerActions.java
+++ b/src/main/java/mothwing/broker/ControllerActions.java
@@ -113,6 +113,6 @@
 
   @Override
   public void log(String text) {
-    parts.context.log().write("controller " + text);
+    parts.context.log().write(EventNames.CONTROLLER + " " + text);
   }
 }
--- a/src/main/java/mothwing/broker/DeadlineWatch.java
+++ b/src/main/java/mothwing/broker/DeadlineWatch.java
@@ -63,8 +63,8 @@
   }
 
   private void failOverdue(Exchange exchange) {
-    context.counters().add("overdue");
-    context.log().write("overdue id=" + exchange);
+    context.counters().add(CounterNames.OVERDUE);
+    context.log().write(EventNames.OVERDUE + " id=" + exchange);
     parts.answers().fail(exchange, FailureReason.OVERDUE);
     context.open().removeUnlessInPool(exchange);
   }
--- a/src/main/java/mothwing/broker/DependencyCalls.java
+++ b/src/main/java/mothwing/broker/DependencyCalls.java
@@ -55,10 +55,10 @@
   void awaited(String id, byte[] content) {
     Exchange exchange = open.get(id);
     if (exchange == null || !exchange.isInPool()) {
-      counters.add("blocked-unasked");
+      counters.add(CounterNames.CALLS_AWAITED_UNEXPECTED);
       return;
     }
-    counters.add("blocked");
+    counters.add(CounterNames.CALLS_AWAITED);
     abandon(exchange);
     exchange.atCall(content);
     events.enqueue((to, at) -> to.callAwaited(at, id));
@@ -75,7 +75,7 @@
     }
     long limit = Math.max(MICROS_PER_MILLI, until - scheduler.now());
     exchange.calls(scheduler.now() + limit + TIMEOUT_SLACK_MICROS);
-    counters.add("calls");
+    counters.add(CounterNames.CALLS_STARTED);
     if (!client.startCall(id, limit / MICROS_PER_MILLI, exchange.asked())) {
       ended(id, RunOutcome.UNREACHABLE, null);
     }
@@ -85,7 +85,7 @@
   void skip(String id) {
     Exchange exchange = open.get(id);
     if (exchange != null && exchange.asked() != null && !exchange.calling()) {
-      counters.add("calls-left-out");
+      counters.add(CounterNames.CALLS_SKIPPED);
       resume(exchange, null);
     }
   }
@@ -94,10 +94,10 @@
   void ended(String id, RunOutcome outcome, byte[] result) {
     Exchange exchange = open.get(id);
     if (exchange == null || !exchange.callOver()) {
-      counters.add("call-unasked");
+      counters.add(CounterNames.CALL_ENDED_UNEXPECTED);
       return;
     }
-    counters.add("call-" + outcome.name().toLowerCase(Locale.ROOT));
+    counters.add(CounterNames.CALL_ENDED_PREFIX + outcome.name().toLowerCase(Locale.ROOT));
     if (outcome == RunOutcome.SUCCEEDED) {
       resume(exchange, result);
     }
@@ -114,7 +114,7 @@
   /** Abandons the call of a request, if there is one. */
   void abandon(Exchange exchange) {
     if (exchange.callOver()) {
-      counters.add("call-abandoned");
+      counters.add(CounterNames.CALL_ABANDONED);
       client.abandonCall(exchange.request().id());
     }
   }
--- a/src/main/java/mothwing/broker/EventBatcher.java
+++ b/src/main/java/mothwing/broker/EventBatcher.java
@@ -74,9 +74,10 @@
     try {
       step.run();
     } catch (RuntimeException fault) {
-      counters.add("controller-faults");
+      counters.add(CounterNames.CONTROLLER_FAULTS);
       StackTraceElement[] trace = fault.getStackTrace();
-      log.write("controller-fault " + fault + (trace.length > 0 ? " at=" + trace[0] : ""));
+      log.write(
+          EventNames.CONTROLLER_FAULT + " " + fault + (trace.length > 0 ? " at=" + trace[0] : ""));
     }
   }
 }
--- a/src/main/java/mothwing/broker/GaugeSampler.java
+++ b/src/main/java/mothwing/broker/GaugeSampler.java
@@ -68,7 +68,7 @@
 
   private void timeOut(String echo) {
     if (tagsByEcho.containsKey(echo)) {
-      counters.add("gauges-late");
+      counters.add(CounterNames.GAUGES_LATE);
       deliver(echo, absentSample());
     }
   }
--- a/src/main/java/mothwing/broker/HealthChecks.java
+++ b/src/main/java/mothwing/broker/HealthChecks.java
@@ -57,7 +57,7 @@
    * @param answer takes whether the check succeeded, once
    */
   void check(boolean deep, Consumer<Boolean> answer) {
-    counters.add("checks");
+    counters.add(CounterNames.HEALTH_CHECKS);
     if (!started || shallowOnly || !deep || !isHealthy()) {
       answer.accept(started && isHealthy());
     } else if (!pool.isReady() || checksByEcho.size() >= MAX_CHECKS) {
--- a/src/main/java/mothwing/broker/RateLimitedEventLog.java
+++ b/src/main/java/mothwing/broker/RateLimitedEventLog.java
@@ -43,7 +43,7 @@
       second = now;
       lines = 0;
       if (suppressed > 0) {
-        log.write("reasons-suppressed lines=" + suppressed);
+        log.write(EventNames.EVENTS_SUPPRESSED + " lines=" + suppressed);
         suppressed = 0;
       }
     }
--- a/src/main/java/mothwing/broker/Replays.java
+++ b/src/main/java/mothwing/broker/Replays.java
@@ -61,7 +61,7 @@
   }
 
   private void answer(Exchange repeat, IdempotencyKeys.Entry original) {
-    counters.add("replayed");
+    counters.add(CounterNames.REPLAYED);
     boolean good = original.result() != null;
     if (good) {
       answers.complete(repeat, original.result());
--- a/src/main/java/mothwing/broker/RequestAnswers.java
+++ b/src/main/java/mothwing/broker/RequestAnswers.java
@@ -23,7 +23,7 @@
 
   void complete(Exchange exchange, byte[] result) {
     if (exchange.serve(result)) {
-      counters.add("served");
+      counters.add(CounterNames.COMPLETED);
       count(exchange, RequestStatistics.End.COMPLETED);
     }
   }
@@ -38,8 +38,8 @@
    */
   void reject(Exchange exchange, RejectionReason reason, boolean dontRetry, long retryAfterMillis) {
     if (exchange.refuse(dontRetry, retryAfterMillis)) {
-      counters.add("refused-" + reason.code());
-      reasons.write("refused", exchange, reason.code());
+      counters.add(CounterNames.REJECTED_PREFIX + reason.code());
+      reasons.write(EventNames.REJECTED, exchange, reason.code());
       count(exchange, RequestStatistics.End.REJECTED);
     }
   }
@@ -48,8 +48,8 @@
   void fail(Exchange exchange, FailureReason reason) {
     if (exchange.fail(reason.code())) {
       calls.abandon(exchange);
-      counters.add("failed-" + reason.code());
-      reasons.write("failed", exchange, reason.code());
+      counters.add(CounterNames.FAILED_PREFIX + reason.code());
+      reasons.write(EventNames.FAILED, exchange, reason.code());
       count(exchange, RequestStatistics.End.FAILED);
     }
   }
--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -60,15 +60,15 @@
     if (context.settings().findClass(className) == null) {
       return Broker.NOT_OVERLOADED;
     }
-    context.counters().add("read");
-    context.counters().add("refused-" + RejectionReason.BEHIND.code());
+    context.counters().add(CounterNames.REQUESTS_READ);
+    context.counters().add(CounterNames.REJECTED_PREFIX + RejectionReason.BEHIND.code());
     statistics.recordEnd(className, RequestStatistics.End.REJECTED);
     return retryAfterMillis();
   }
 
   /** Takes a request and answers it, or queues it for the controller. */
   Exchange submit(InboundRequest request, ResponseSink caller) {
-    context.counters().add("read");
+    context.counters().add(CounterNames.REQUESTS_READ);
     RequestClass requestClass = context.settings().findClass(request.className());
     Exchange exchange =
         requestClass == null
@@ -128,7 +128,7 @@
     boolean plausible =
         millis >= -MAX_CLOCK_LEAD_MILLIS && millis <= requestClass.deadline() / MICROS_PER_MILLI;
     if (!plausible) {
-      context.counters().add("stamps-not-believed");
+      context.counters().add(CounterNames.ARRIVAL_TIMES_IGNORED);
       return 0;
     }
     return Math.max(0, millis * MICROS_PER_MILLI);
@@ -162,7 +162,7 @@
       return;
     }
     if (original != null) {
-      context.counters().add("repeats");
+      context.counters().add(CounterNames.REPEATS);
     }
     exchange.held();
     to.requestRead(at, report(exchange, original == null ? null : original.id(), at));
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -59,7 +59,7 @@
       answers.fail(exchange, FailureReason.RAN_BEFORE); // the aborted run may have had its effect
       context.open().removeUnlessInPool(exchange);
     } else if (admission.admit(exchange)) {
-      context.counters().add("spawned");
+      context.counters().add(CounterNames.RUNS_STARTED);
       dispatch(exchange);
     } else {
       reportNotStarted(id);
@@ -90,17 +90,17 @@
     Exchange exchange = context.open().get(id);
     if (exchange != null && exchange.isInPool() && !exchange.stopping()) {
       exchange.stop(context.scheduler().now() + RunReconciler.STOP_AGAIN);
-      context.counters().add("suspended");
+      context.counters().add(CounterNames.RUNS_STOPPED);
       context.pool().stopRun(id);
     }
   }
 
   /** The pool reports the end of a run; the result is there where it succeeded. */
   void ended(String id, RunOutcome outcome, long tookMicros, byte[] result) {
-    context.counters().add("finished-" + outcome.name().toLowerCase(Locale.ROOT));
+    context.counters().add(CounterNames.RUN_ENDED_PREFIX + outcome.name().toLowerCase(Locale.ROOT));
     Exchange exchange = context.open().get(id);
     if (exchange == null || !exchange.isInPool()) {
-      context.counters().add("finished-unasked");
+      context.counters().add(CounterNames.RUN_ENDED_UNEXPECTED);
       return;
     }
     calls.abandon(exchange);
@@ -145,8 +145,8 @@
 
   @Override
   public void startAgain(Exchange run) {
-    context.counters().add("spawned-again");
-    context.reasons().write("started-again", run, "relinked");
+    context.counters().add(CounterNames.RUNS_RETRIED);
+    context.reasons().write(EventNames.RUN_RETRIED, run, "reconnected");
     dispatch(run);
   }
 
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -140,7 +140,8 @@
       inDoubt += reconcile(run) ? 1 : 0;
     }
     log.write(
-        "pool-caught-up in_pool="
+        EventNames.POOL_RESYNCHRONIZED
+            + " in_pool="
             + open.view().stream().filter(Exchange::isInPool).count()
             + " in_doubt="
             + inDoubt);
@@ -160,7 +161,8 @@
     } else if (run.unsent()) {
       actions.deliverCallResult(run);
     } else if (run.asked() != null) {
-      counters.add("relinked-at-call"); // nothing was said since it told of the call
+      counters.add(
+          CounterNames.CALLS_AWAITED_AT_RECONNECT); // nothing was said since it told of the call
     } else if (run.supplied() && mayBeLost) {
       if (run.isIdempotent() && halting.get() == StopMode.ABORT) {
         actions.halt(
@@ -249,8 +251,8 @@
    * does nothing to what runs.
    */
   private void probe(Exchange run) {
-    counters.add("runs-probed");
-    log.write("run-in-doubt id=" + run);
+    counters.add(CounterNames.RUNS_PROBED);
+    log.write(EventNames.RUN_IN_DOUBT + " id=" + run);
     boolean runsOnceAtMost =
         run.isIdempotent()
             || halting.get() != StopMode.ABORT; // an abort that is on its way threw work away
@@ -297,8 +299,8 @@
 
   private void lostEnd(Exchange run, long now) {
     if (idleLooks >= IDLE_LOOKS) {
-      counters.add("lost-runs");
-      log.write("lost-run id=" + run);
+      counters.add(CounterNames.LOST_RUNS);
+      log.write(EventNames.LOST_RUN + " id=" + run);
       actions.giveUp(run);
       return;
     }
--- a/src/main/java/mothwing/broker/ShutdownSequence.java
+++ b/src/main/java/mothwing/broker/ShutdownSequence.java
@@ -31,7 +31,7 @@
       return false;
     }
     if (now != before) {
-      log((now ? "away" : "back"), "");
+      log(now ? EventNames.OUT_OF_ROTATION : EventNames.IN_ROTATION, "");
     }
     return true;
   }
@@ -44,7 +44,7 @@
     long grace = context.settings().settings().rules().drainGracePeriod();
     state.begin(noticeAt, stopAt, grace, handover);
     long leftMillis = (stopAt - noticeAt) / MICROS_PER_MILLI;
-    log("drain", " stop_ms=" + leftMillis + " handover=" + handover);
+    log(EventNames.SHUTDOWN_REQUESTED, " stop_ms=" + leftMillis + " handover=" + handover);
     if (!controllerStarted) {
       return;
     }
@@ -60,6 +60,6 @@
   }
 
   private void log(String event, String details) {
-    context.log().write(event + " owed=" + context.open().pendingCount() + details);
+    context.log().write(event + " pending=" + context.open().pendingCount() + details);
   }
 }
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -209,7 +209,7 @@
     stand.broker.runEnded(BrokerFixture.id(1), RunOutcome.SUCCEEDED, 5, new byte[1]);
     assertEquals(List.of("served"), answers);
     assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
-    assertEquals(1, stand.counters.get("finished-unasked"));
+    assertEquals(1, stand.counters.get("run-ended-unexpected"));
   }
 
   @Test
@@ -264,7 +264,7 @@
     stand.pass(SECOND);
     assertTrue(decisions.told.contains("finished NOT_STARTED"));
     assertEquals(1, stand.counters.get("lost-runs"));
-    assertTrue(stand.broker.counts().startsWith("in_hand=0 "), stand.broker.counts());
+    assertTrue(stand.broker.counts().startsWith("open=0 "), stand.broker.counts());
   }
 
   /**
@@ -606,7 +606,7 @@
     guarded(6);
     assertEquals(List.of("failed crashed", "failed replayed-failure"), answers.subList(4, 6));
     stand.pass(20 * SECOND);
-    assertTrue(stand.broker.counts().startsWith("in_hand=0 owed=0 "), stand.broker.counts());
+    assertTrue(stand.broker.counts().startsWith("open=0 pending=0 "), stand.broker.counts());
   }
 
   /**
@@ -705,6 +705,6 @@
     assertEquals(
         "failed id=" + BrokerFixture.id(0) + " class=no-such-class reason=unknown-class",
         written.get(0));
-    assertTrue(stand.lines.contains("reasons-suppressed lines=" + over));
+    assertTrue(stand.lines.contains("events-suppressed lines=" + over));
   }
 }
--- a/src/test/java/mothwing/cli/CommandsTest.java
+++ b/src/test/java/mothwing/cli/CommandsTest.java
@@ -188,8 +188,10 @@
             .destroy(); // the signal alone: Process.destroy would close the log as well
         List<String> rest = log.lines().toList();
         assertEquals(0, process.waitFor(), rest::toString);
-        assertTrue(rest.stream().anyMatch(one -> one.contains(" drain owed=0 ")), rest::toString);
-        assertTrue(rest.get(rest.size() - 1).contains(" counts in_hand=0 owed=0 "), rest::toString);
+        assertTrue(
+            rest.stream().anyMatch(one -> one.contains(" shutdown-requested pending=0 ")),
+            rest::toString);
+        assertTrue(rest.get(rest.size() - 1).contains(" counts open=0 pending=0 "), rest::toString);
       } finally {
         process.destroyForcibly();
       }
@@ -218,7 +220,7 @@
       server.start();
       int port = server.listening().get(0).getPort();
       assertEquals(0, run("counts", "--server", "127.0.0.1:" + port), err::toString);
-      assertTrue(out.toString().startsWith("in_hand=0 owed=0 "), out::toString);
+      assertTrue(out.toString().startsWith("open=0 pending=0 "), out::toString);
       assertTrue(out.toString().contains("fastcgi-opened=1"), out::toString);
       server.close();
     }
--- a/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -305,7 +305,7 @@
     stand.broker.setDependencyClient(DependencyClient.UNAVAILABLE);
     stand.broker.startCall(BrokerFixture.id(1), stand.now() + 50_000);
     stand.pass(5_000);
-    assertEquals(1, stand.counters.get("call-unreached"));
+    assertEquals(1, stand.counters.get("call-unreachable"));
   }
 
   /**
@@ -353,7 +353,7 @@
       last.channel.runPendingTasks();
       assertFalse(last.channel.isOpen(), bad);
     }
-    assertEquals(6, stand.counters.get("call-cut"));
+    assertEquals(6, stand.counters.get("call-connection_lost"));
     assertEquals(Map.of(), stand.supplied);
   }
 }
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -66,7 +66,7 @@
                         Controller.class.getClassLoader(),
                         new Class<?>[] {Controller.class},
                         (self, method, arguments) -> {
-                          if (method.getName().equals("read")) {
+                          if (method.getName().equals("requestRead")) {
                             decision.on(host, ((Request) arguments[1]).id());
                           }
                           return null;
@@ -91,7 +91,7 @@
       now += 300;
       work.poll().run();
     }
-    assertTrue(broker.counts().startsWith("in_hand=0 owed=0 "), broker::counts);
+    assertTrue(broker.counts().startsWith("open=0 pending=0 "), broker::counts);
   }
 
   @Test
@@ -104,7 +104,7 @@
     assertEquals(Rcode.REFUSED, answer.getRcode());
     assertEquals(
         "overloaded", ((ExtendedErrorCodeOption) answer.getOPT().getOptions().get(0)).getText());
-    assertEquals(1, counters.get("refused-decided"));
+    assertEquals(1, counters.get("rejected-decided"));
   }
 
   /**
--- a/src/test/java/mothwing/dns/server/DnsServiceTest.java
+++ b/src/test/java/mothwing/dns/server/DnsServiceTest.java
@@ -69,7 +69,7 @@
       String counts = service.counts();
       service.close();
       assertTrue(
-          counts.contains("in_hand=0 owed=0 ")
+          counts.contains("open=0 pending=0 ")
               && !counts.contains("fault")
               && !counts.contains("overdue"),
           () -> counts + lines);
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -162,7 +162,7 @@
         assertEquals(end == null ? 500 : 200, model.gateway.answers.remove().status());
       }
     }
-    assertEquals(4, model.stand.counters.get("stamps-not-believed"));
+    assertEquals(4, model.stand.counters.get("arrival-times-ignored"));
   }
 
   @Example
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -465,6 +465,6 @@
       pool.end(0, true);
     }
     pass(20 * SECOND);
-    assertTrue(stand.broker.counts().startsWith("in_hand=0 "), stand.broker.counts());
+    assertTrue(stand.broker.counts().startsWith("open=0 "), stand.broker.counts());
   }
 }
--- a/src/test/java/mothwing/pool/WorkerPoolClientTest.java
+++ b/src/test/java/mothwing/pool/WorkerPoolClientTest.java
@@ -276,7 +276,7 @@
     end(BrokerFixture.id(1), "done");
     assertEquals(leaves ? null : "served", answers.get(BrokerFixture.id(1)));
     stand.pass(5_000);
-    assertTrue(stand.broker.counts().startsWith("in_hand=0 "), "its place is free");
+    assertTrue(stand.broker.counts().startsWith("open=0 "), "its place is free");
   }
 
   /**
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -161,7 +161,7 @@
     try (Crossing whole = resting();
         Crossing half = resting()) {
       byte[] request = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(2));
-      holdAt("drain ", server::drain);
+      holdAt("shutdown-requested ", server::drain);
       whole.send(request);
       whole.awaitUnread(request.length);
       byte[] other = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
@@ -175,7 +175,7 @@
       assertTrue(half.endsInOrder());
     }
     server.await();
-    assertTrue(server.counts().contains(" owed=0 "), server.counts());
+    assertTrue(server.counts().contains(" pending=0 "), server.counts());
     pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
   }
 
@@ -211,7 +211,7 @@
     start(1, 256);
     try (Crossing one = new Crossing(server.listening().get(0), 4096)) {
       int asked = fill(one);
-      holdAt("drain ", server::drain);
+      holdAt("shutdown-requested ", server::drain);
       one.awaitUnread(1);
       log.release();
       for (int i = 0; i < asked; i++) {
@@ -242,7 +242,7 @@
       assertTrue(one.endsInOrder() && silent.endsInOrder());
     }
     server.await();
-    assertTrue(server.counts().contains(" owed=0 "), server.counts());
+    assertTrue(server.counts().contains(" pending=0 "), server.counts());
   }
 
   /**
@@ -324,7 +324,7 @@
         Crossing two = connect()) {
       one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
-      holdAt("drain ", server::drain);
+      holdAt("shutdown-requested ", server::drain);
       pool.release(); // its end lies in the link's socket
       server.drain();
       two.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
@@ -351,7 +351,7 @@
     try (Crossing one = connect()) {
       one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
-      holdAt("drain ", server::drain);
+      holdAt("shutdown-requested ", server::drain);
       Settings had = BrokerFixture.settings(60, 2);
       RequestClass other =
           new RequestClass(
@@ -406,7 +406,7 @@
       one.reset();
       log.release();
       assertEquals(STATUS_SERVED, other.answer().status());
-      while (!server.counts().contains("in_hand=0 ")) {
+      while (!server.counts().contains("open=0 ")) {
         Thread.sleep(1); // the end of the other run may come a moment later
       }
     }
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -229,7 +229,7 @@
       two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {3});
       pool.awaitSpawns(2);
       server.drain();
-      awaitLine("drain ");
+      awaitLine("shutdown-requested ");
       one.ask(2, BrokerFixture.ORDER, BrokerFixture.id(3), new byte[0]);
       Answer refusal = one.answer();
       assertEquals(503, refusal.status());
@@ -241,8 +241,8 @@
     }
     server.await();
     assertEquals(2, pool.spawns().size());
-    assertTrue(server.counts().contains(" owed=0 "), server.counts());
-    assertTrue(server.counts().contains(" served=2"), server.counts());
+    assertTrue(server.counts().contains(" pending=0 "), server.counts());
+    assertTrue(server.counts().contains(" completed=2"), server.counts());
   }
 
   private String call(String line) throws IOException, InterruptedException {
--- a/src/test/java/mothwing/server/UpgradeTest.java
+++ b/src/test/java/mothwing/server/UpgradeTest.java
@@ -30,7 +30,7 @@
 class UpgradeTest {
   private static final int MOST_OF_CROWD = 400;
   private static final int WIDE = 3; // callers of each kind
-  private static final Pattern BEHIND = Pattern.compile(" refused-behind=(\\d+)");
+  private static final Pattern BEHIND = Pattern.compile(" rejected-behind=(\\d+)");
   private static final int UNAVOIDABLE =
       2; // what connects between the last look at the queue and its close
 
