--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -1,7 +1,5 @@
 package mothwing.broker;
 
-import java.util.ArrayList;
-import java.util.Map;
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 import mothwing.control.StopMode;
@@ -82,7 +80,7 @@
   /** Microseconds between further questions about a run whose end is lost. */
   private static final long PROBE_AGAIN = 1000 * MILLI;
 
-  private final Map<String, Exchange> open;
+  private final OpenRequests open;
   private final WorkerPool workers;
   private final Counters counters;
   private final EventLog log;
@@ -108,7 +106,7 @@
    * @param actions carried out by the broker
    */
   RunReconciler(
-      Map<String, Exchange> open,
+      OpenRequests open,
       WorkerPool workers,
       Counters counters,
       EventLog log,
@@ -138,12 +136,13 @@
    */
   void caughtUp(long now) {
     int inDoubt = 0;
-    for (Exchange run : open.values()) {
+    for (Exchange run : open.view()) {
       inDoubt += reconcile(run) ? 1 : 0;
     }
     log.write(
-        "pool-caught-up in_pool="
-            + open.values().stream().filter(Exchange::isInPool).count()
+        EventNames.POOL_RESYNCHRONIZED
+            + " in_pool="
+            + open.view().stream().filter(Exchange::isInPool).count()
             + " in_doubt="
             + inDoubt);
     if (inDoubt > 0) {
@@ -162,7 +161,8 @@
     } else if (run.unsent()) {
       actions.deliverCallResult(run);
     } else if (run.asked() != null) {
-      counters.add("relinked-at-call"); // nothing was said since it told of the call
+      counters.add(
+          CounterNames.CALLS_AWAITED_AT_RECONNECT); // nothing was said since it told of the call
     } else if (run.supplied() && mayBeLost) {
       if (run.isIdempotent() && halting.get() == StopMode.ABORT) {
         actions.halt(
@@ -233,7 +233,7 @@
 
   /** The pool has read all that was asked in doubt, and said nothing of what is still in doubt. */
   private void resolve() {
-    for (Exchange run : new ArrayList<>(open.values())) {
+    for (Exchange run : open.snapshot()) {
       if (!run.doubted()) {
         continue;
       }
@@ -251,8 +251,8 @@
    * does nothing to what runs.
    */
   private void probe(Exchange run) {
-    counters.add("runs-probed");
-    log.write("run-in-doubt id=" + run);
+    counters.add(CounterNames.RUNS_PROBED);
+    log.write(EventNames.RUN_IN_DOUBT + " id=" + run);
     boolean runsOnceAtMost =
         run.isIdempotent()
             || halting.get() != StopMode.ABORT; // an abort that is on its way threw work away
@@ -282,7 +282,7 @@
       workers.requestGauges(BEHIND_DOUBTS);
     }
     lostRuns = 0;
-    for (Exchange run : new ArrayList<>(open.values())) {
+    for (Exchange run : open.snapshot()) {
       if (run.isInPool() && run.stopping() && now >= run.stopAgainAt()) {
         run.stopAgainAt(now + STOP_AGAIN);
         workers.stopRun(run.request().id());
@@ -299,8 +299,8 @@
 
   private void lostEnd(Exchange run, long now) {
     if (idleLooks >= IDLE_LOOKS) {
-      counters.add("lost-runs");
-      log.write("lost-run id=" + run);
+      counters.add(CounterNames.LOST_RUNS);
+      log.write(EventNames.LOST_RUN + " id=" + run);
       actions.giveUp(run);
       return;
     }
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -26,7 +26,6 @@
   /** Files that are still too long, with the length that each must not grow beyond. */
   private static final Map<String, Integer> LONG_FILES =
       Map.ofEntries(
-          Map.entry("Broker.java", 1054),
           Map.entry("ProcessStage.java", 753),
           Map.entry("Membership.java", 729),
           Map.entry("SimulationStage.java", 577),
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -210,7 +210,7 @@
     stand.broker.runEnded(BrokerFixture.id(1), RunOutcome.SUCCEEDED, 5, new byte[1]);
     assertEquals(List.of("served"), answers);
     assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
-    assertEquals(1, stand.counters.get("finished-unasked"));
+    assertEquals(1, stand.counters.get("run-ended-unexpected"));
   }
 
   @Test
@@ -265,7 +265,7 @@
     stand.pass(SECOND);
     assertTrue(decisions.told.contains("finished NOT_STARTED"));
     assertEquals(1, stand.counters.get("lost-runs"));
-    assertTrue(stand.broker.counts().startsWith("in_hand=0 "), stand.broker.counts());
+    assertTrue(stand.broker.counts().startsWith("open=0 "), stand.broker.counts());
   }
 
   /**
@@ -524,11 +524,11 @@
 
   @Test
   void keepsToABoundOnOpenRequests() {
-    for (int i = 0; i < Broker.MOST_OPEN; i++) {
+    for (int i = 0; i < Broker.MAX_OPEN_REQUESTS; i++) {
       ask(i, BrokerFixture.LOOK);
     }
     assertEquals(List.of(), answers);
-    ask(Broker.MOST_OPEN, BrokerFixture.LOOK);
+    ask(Broker.MAX_OPEN_REQUESTS, BrokerFixture.LOOK);
     assertEquals(List.of("refused false 1000"), answers);
   }
 
@@ -611,7 +611,7 @@
     guarded(6);
     assertEquals(List.of("failed crashed", "failed replayed-failure"), answers.subList(4, 6));
     stand.pass(20 * SECOND);
-    assertTrue(stand.broker.counts().startsWith("in_hand=0 owed=0 "), stand.broker.counts());
+    assertTrue(stand.broker.counts().startsWith("open=0 pending=0 "), stand.broker.counts());
   }
 
   /**
@@ -710,6 +710,6 @@
     assertEquals(
         "failed id=" + BrokerFixture.id(0) + " class=no-such-class reason=unknown-class",
         written.get(0));
-    assertTrue(stand.lines.contains("reasons-suppressed lines=" + over));
+    assertTrue(stand.lines.contains("events-suppressed lines=" + over));
   }
 }
--- a/src/test/java/mothwing/cli/CommandsTest.java
+++ b/src/test/java/mothwing/cli/CommandsTest.java
@@ -196,8 +196,10 @@
             .destroy(); // the signal alone: Process.destroy would close the log as well
         List<String> rest = log.lines().toList();
         assertEquals(0, process.waitFor(), rest::toString);
-        assertTrue(rest.stream().anyMatch(one -> one.contains(" drain owed=0 ")), rest::toString);
-        assertTrue(rest.get(rest.size() - 1).contains(" counts in_hand=0 owed=0 "), rest::toString);
+        assertTrue(
+            rest.stream().anyMatch(one -> one.contains(" shutdown-requested pending=0 ")),
+            rest::toString);
+        assertTrue(rest.get(rest.size() - 1).contains(" counts open=0 pending=0 "), rest::toString);
       } finally {
         process.destroyForcibly();
       }
@@ -227,7 +229,7 @@
       int port = server.listening().get(0).getPort();
       assertEquals(0, run("counts", "--server", "127.0.0.1:" + port), err::toString);
       assertTrue(
-          out.toString(StandardCharsets.UTF_8).startsWith("in_hand=0 owed=0 "), out::toString);
+          out.toString(StandardCharsets.UTF_8).startsWith("open=0 pending=0 "), out::toString);
       assertTrue(out.toString(StandardCharsets.UTF_8).contains("fastcgi-opened=1"), out::toString);
       server.close();
     }
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -91,7 +91,7 @@
       now += 300;
       work.poll().run();
     }
-    assertTrue(broker.counts().startsWith("in_hand=0 owed=0 "), broker::counts);
+    assertTrue(broker.counts().startsWith("open=0 pending=0 "), broker::counts);
   }
 
   @Test
@@ -104,7 +104,7 @@
     assertEquals(Rcode.REFUSED, answer.getRcode());
     assertEquals(
         "overloaded", ((ExtendedErrorCodeOption) answer.getOPT().getOptions().get(0)).getText());
-    assertEquals(1, counters.get("refused-decided"));
+    assertEquals(1, counters.get("rejected-decided"));
   }
 
   /**
