--- a/src/main/java/mothwing/overload/BackpressureSignal.java
+++ b/src/main/java/mothwing/overload/BackpressureSignal.java
@@ -13,7 +13,7 @@
   /** Share of the traffic that is wanted at least, so that a recovery shows. */
   private static final double MIN_WANTED_RATIO = 0.1;
 
-  /** The wanted share is published in steps of one twentieth. */
+  /** Steps of the published share: it is rounded to twentieths. */
   private static final double WANTED_RATIO_STEPS = 20;
 
   /** Decay of the read and rejected work with each sample: some fifty samples count. */
@@ -25,16 +25,16 @@
   /** Seconds between the requests of one caller above which an idle connection costs more. */
   private static final double MAX_REUSE_SECONDS = 15;
 
-  /** Rejected share above which handshakes cost more than full tables; while trimming. */
-  private static final double RETRY_STORM_START_RATIO = 0.85;
+  /** Rejected share above which trimming ends: reconnecting costs more than full tables. */
+  private static final double MAX_REJECTED_RATIO_TO_TRIM = 0.85;
 
-  /** The same bound while connections are not trimmed. */
-  private static final double RETRY_STORM_END_RATIO = 0.6;
+  /** Rejected share above which trimming does not begin. */
+  private static final double MAX_REJECTED_RATIO_TO_BEGIN = 0.6;
 
   /** The shortest idle timeout that a host can keep. */
   private static final long MIN_IDLE_TIMEOUT_MICROS = 10_000;
 
-  /** The highest load level that is published: the level of a server that wants something. */
+  /** The highest load level that a server publishes which wants any traffic. */
   private static final double MAX_LEVEL = 0.95;
 
   private static final double NOTHING_PUBLISHED = -1;
@@ -118,7 +118,7 @@
   private void trimConnections(long ageMicros) {
     double measured = requestsRead * ControllerContext.SECOND_MICROS / ageMicros;
     double rate = Math.max(2 * settings.get().machine().cores(), measured);
-    double stormRatio = trimming ? RETRY_STORM_START_RATIO : RETRY_STORM_END_RATIO;
+    double stormRatio = trimming ? MAX_REJECTED_RATIO_TO_TRIM : MAX_REJECTED_RATIO_TO_BEGIN;
     boolean retryStorm = rejectedWork > readWork * stormRatio;
     boolean shouldTrim = settings.get().callers() > MAX_REUSE_SECONDS * rate && !retryStorm;
     long idleTimeout = settings.get().signals().idleTimeout();
--- a/src/main/java/mothwing/overload/ControllerContext.java
+++ b/src/main/java/mothwing/overload/ControllerContext.java
@@ -11,13 +11,13 @@
   /** Microseconds of one second. */
   static final double SECOND_MICROS = 1e6;
 
-  /** About 33 samples a second, as QGuard takes them. */
+  /** The shortest sample period: about 33 samples a second, as QGuard takes them. */
   private static final long MIN_SAMPLE_PERIOD_MICROS = 30_000;
 
-  /** A late timer and one batch interval fit into it. */
+  /** Sample periods between an answer and its due time: a late timer and one batch fit in. */
   private static final int DUE_MARGIN_SAMPLES = 2;
 
-  /** All answers are written before the process is killed. */
+  /** Sample periods between the last answer and the kill of the process. */
   private static final int STOP_MARGIN_SAMPLES = 8;
 
   private Settings settings;
--- a/src/main/java/mothwing/overload/DeadlineAdmission.java
+++ b/src/main/java/mothwing/overload/DeadlineAdmission.java
@@ -16,7 +16,7 @@
   /** Ratio of priority from which capacity is kept for requests that have not arrived. */
   private static final double RESERVED_PRIORITY_RATIO = 2;
 
-  /** Cores that are left for all other requests. */
+  /** Cores that a request can count on, however many are reserved for others. */
   private static final double MIN_CORES = 0.5;
 
   private final ControllerContext context;
--- a/src/main/java/mothwing/overload/FaultBudget.java
+++ b/src/main/java/mothwing/overload/FaultBudget.java
@@ -6,8 +6,13 @@
  * faults off as well, which leaves a small rate of attempts that show a recovery.
  */
 final class FaultBudget {
+  /** Faults that may be counted before the budget is exhausted. */
   private static final double MAX_FAULTS = 4;
+
+  /** Faults that a success takes off: half of the outcomes may be faults. */
   private static final double FAULTS_REPAID_BY_SUCCESS = 1;
+
+  /** Faults that time takes off: as many attempts are made while all fail. */
   private static final double FAULTS_FORGOTTEN_PER_CORE_SECOND = 1;
 
   private double faults;
--- a/src/main/java/mothwing/overload/LoadMonitor.java
+++ b/src/main/java/mothwing/overload/LoadMonitor.java
@@ -7,7 +7,10 @@
   /** Seconds over which the utilization of the cores is averaged: some ten runs. */
   private static final double AVERAGING_SECONDS = 3;
 
-  /** A gap of more samples means that the process stood still, which is no evidence of load. */
+  /**
+   * Sample periods between samples; a longer gap means that the process stood still, which is no
+   * evidence of load.
+   */
   private static final int MAX_GAP_SAMPLES = 3;
 
   private final ControllerContext context;
--- a/src/main/java/mothwing/overload/MemoryBudget.java
+++ b/src/main/java/mothwing/overload/MemoryBudget.java
@@ -4,7 +4,7 @@
 
 /** The memory of requests and idempotency keys, in kilobytes, and the bound on planned use. */
 final class MemoryBudget {
-  /** The rest of the memory takes one batch of reads that arrives before any decision. */
+  /** Share of the memory that is planned; the rest takes one batch of reads. */
   private static final double PLANNED_RATIO = 0.9;
 
   private double usedKb;
--- a/src/main/java/mothwing/overload/SlowdownEstimator.java
+++ b/src/main/java/mothwing/overload/SlowdownEstimator.java
@@ -12,7 +12,7 @@
   /** Core time for each core that is assumed at the usual speed, against single odd runs. */
   private static final double PRIOR_SECONDS = 0.5;
 
-  /** A lower ratio is taken for chance. */
+  /** Ratio of present to usual core time below which a difference is taken for chance. */
   private static final double MIN_SLOWDOWN_RATIO = 2;
 
   /** Runs that the usual core time must rest on. */
