--- a/src/test/java/mothwing/witness/OperatorsWitnessTest.java
+++ b/src/test/java/mothwing/witness/OperatorsWitnessTest.java
@@ -16,6 +16,7 @@
 import java.util.Collections;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Random;
 import java.util.Set;
 import mothwing.admin.AdminConnection;
@@ -58,8 +59,8 @@
     }
 
     @Override
-    public String members() {
-      return members;
+    public Optional<String> members() {
+      return Optional.ofNullable(members);
     }
 
     @Override
