--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -31,15 +31,15 @@
   private static final int COMMIT = 2;
   private static final long SECOND = 1_000_000;
   private static final long START = 77 * SECOND;
-  private static final double ENTRY = 100;
+  private static final double KEY_KB = 100;
 
   private static Settings settings(
-      StopMode halting, double memory, boolean cold, double callShare) {
-    return settings(halting, memory, cold, callShare, 4);
+      StopMode stopMode, double memory, boolean coldStart, double callQuota) {
+    return settings(stopMode, memory, coldStart, callQuota, 4);
   }
 
   private static Settings settings(
-      StopMode halting, double memory, boolean cold, double callShare, int callers) {
+      StopMode stopMode, double memory, boolean coldStart, double callQuota, int callers) {
     return new Settings(
         1,
         5_000,
@@ -56,13 +56,13 @@
         0,
         new Goal(0.5, 0.2, 0.2, 0.1),
         new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
-        new Dependency(callShare, 5 * SECOND, 200_000),
-        new Machine(2, memory, 8, ENTRY, cold, List.of("cpu_busy", "runnable"), halting),
+        new Dependency(callQuota, 5 * SECOND, 200_000),
+        new Machine(2, memory, 8, KEY_KB, coldStart, List.of("cpu_busy", "runnable"), stopMode),
         new Signals(FreeValue.SHARE, SECOND, true, SECOND, true, 30 * SECOND));
   }
 
-  private static Settings withClasses(Settings base, List<RequestClass> kinds) {
-    return SettingsVariants.parts(base, kinds, base.tenants());
+  private static Settings withClasses(Settings base, List<RequestClass> classes) {
+    return SettingsVariants.parts(base, classes, base.tenants());
   }
 
   private static RecordingHost host() {
@@ -70,23 +70,23 @@
   }
 
   private static Request request(
-      RecordingHost host, String id, int place, String forerunner, long patience) {
+      RecordingHost host, String id, int classIndex, String originalId, long callerTimeout) {
     return new Request(
         id,
-        place,
+        classIndex,
         0,
         100_000,
         1_000,
         null,
         10,
-        forerunner,
+        originalId,
         0.5,
-        patience == 0 ? 0 : host.now() + patience,
-        place != READ);
+        callerTimeout == 0 ? 0 : host.now() + callerTimeout,
+        classIndex != READ);
   }
 
-  private static Request request(RecordingHost host, String id, int place) {
-    return request(host, id, place, null, 3 * SECOND);
+  private static Request request(RecordingHost host, String id, int classIndex) {
+    return request(host, id, classIndex, null, 3 * SECOND);
   }
 
   /** Occupies both cores. */
@@ -178,7 +178,7 @@
     fillCores(host);
     host.read(request(host, "turn", COMMIT));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
-    assertTrue(host.did("replay again"), "also while the forerunner is held");
+    assertTrue(host.did("replay again"), "also while the originalId is held");
     host.finish("busy1", RunOutcome.SUCCEEDED);
     host.finish("turn", RunOutcome.SUCCEEDED);
     host.read(request(host, "third", COMMIT, "turn", 3 * SECOND));
@@ -206,7 +206,7 @@
 
   @Test
   void rejectsIdempotencyKeysBeyondTheMemory() {
-    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * ENTRY, false, 5), START);
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * KEY_KB, false, 5), START);
     for (int i = 0; i < 10; i++) {
       host.read(request(host, "turn" + i, COMMIT));
       if (!host.answered("turn" + i)) {
@@ -325,7 +325,7 @@
     assertTrue(host.count("start") - before <= 1);
     host.passUntil(host.now() + SECOND);
     host.read(request(host, "probe", SAVE));
-    assertTrue(host.did("start probe"), "it tries a little");
+    assertTrue(host.did("start probe"), "a few attempts are made");
   }
 
   @Test
@@ -337,7 +337,7 @@
       host.read(request(host, "dear" + i, COMMIT));
     }
     host.read(request(host, "cheap", SAVE));
-    assertTrue(host.did("refuse cheap last"), "and its caller is asked not to try elsewhere");
+    assertTrue(host.did("refuse cheap last"), "and its caller should not retry elsewhere");
     assertFalse(host.answered("dear0"));
   }
 
@@ -349,7 +349,9 @@
     }
     host.passUntil(START + SECOND / 2);
     assertEquals(
-        2, host.count("start"), "idle gauges do not lift a cold server's limit past its crowd");
+        2,
+        host.count("start"),
+        "idle cores do not raise the limit above the ceiling of slow start");
     RecordingHost warm = host();
     for (int i = 0; i < 12; i++) {
       warm.read(request(warm, "r" + i, COMMIT));
@@ -366,13 +368,10 @@
       host.read(request(host, "r" + i, SAVE));
       host.passUntil(host.now() + 10_000);
     }
-    assertTrue(host.actions.stream().anyMatch(one -> one.startsWith("say 0.")));
+    assertTrue(host.actions.stream().anyMatch(action -> action.startsWith("say 0.")));
   }
 
-  /**
-   * Guards against a server short of processor time that takes its own lateness for the cost of the
-   * work.
-   */
+  /** A server short of processor time must not take its own lateness for the cost of the work. */
   @Test
   void usesTheMeasuredDurationOfARunWhoseEndWasReportedLate() {
     for (long told : new long[] {SECOND / 10, 0}) {
@@ -400,14 +399,12 @@
     return host;
   }
 
-  /**
-   * Guards against cores full of answers that come after their aim, which are worth a fifth, in
-   * place of some in time.
-   */
+  /** On busy cores a late answer must not take the place of one within its latency objective. */
   @Test
   void runsForLateAnswersOnlyOnIdleCores() {
     assertTrue(
-        readsBehindEachOther(1).count("refuse") >= 20, "2 s of work on two cores, an aim of 1 s");
+        readsBehindEachOther(1).count("refuse") >= 20,
+        "2 s of work on two cores, an objective of 1 s");
     assertEquals(0, readsBehindEachOther(0.3).count("refuse"));
   }
 
@@ -460,14 +457,12 @@
               0.5,
               host.now() + 3 * SECOND,
               true));
-      assertEquals(busy == 0, host.did("start large"), "guessed past its aim, cores busy " + busy);
+      assertEquals(
+          busy == 0, host.did("start large"), "expected to miss its objective, cores busy " + busy);
     }
   }
 
-  /**
-   * Guards against calls that were slow once and then refused for good: what makes none hears of
-   * none.
-   */
+  /** A class that is rejected makes no calls: the learned call time must fade without them. */
   @Test
   void admitsCallingClassesAgainAfterSlowCalls() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0), START);
@@ -543,7 +538,7 @@
       host.finish("right" + i, RunOutcome.SUCCEEDED);
     }
     host.read(request(host, "after", SAVE, null, SECOND * 7 / 10));
-    assertTrue(host.did("refuse after"), "four runs tell what work costs now");
+    assertTrue(host.did("refuse after"), "four runs show what work costs now");
   }
 
   /**
@@ -562,9 +557,7 @@
     return host;
   }
 
-  /**
-   * Guards against idle cores that refuse a class for ever, as what is refused shows nothing new.
-   */
+  /** On idle cores a rejected class must be attempted: its cost is measured no other way. */
   @Test
   void idleCoresAttemptWhatWasSlow() {
     RecordingHost host = afterASlowStretch();
@@ -574,7 +567,7 @@
     assertTrue(host.did("start tried"), "nobody else has use for the core");
   }
 
-  /** Guards against the same on cores that other classes keep busy, quickly again. */
+  /** Cores that other classes keep busy must attempt a rejected class again, too. */
   @Test
   void aRejectedClassTakesTheCostsOfOtherClassesAfterAWhile() {
     RecordingHost host = afterASlowStretch();
@@ -597,10 +590,7 @@
     assertFalse(host.did("refuse again"));
   }
 
-  /**
-   * Guards against cores given to what is worth little while what is worth much comes and must then
-   * be refused.
-   */
+  /** Low priorities must not take the cores that frequent arrivals of high priority will need. */
   @Test
   void reservesCapacityForArrivalsOfHigherPriority() {
     for (boolean rush : new boolean[] {true, false}) {
@@ -626,10 +616,7 @@
     }
   }
 
-  /**
-   * Guards against callers that are kept away from idle cores by what was refused long before, at a
-   * higher cost.
-   */
+  /** Earlier rejections must not keep callers away from idle cores. */
   @Test
   void idleCoresWantAllTrafficAgainAtOnce() {
     for (boolean idle : new boolean[] {true, false}) {
@@ -640,7 +627,8 @@
       }
       host.gauges(idle ? 0.3 : 1, 0);
       host.passUntil(host.now() + SECOND);
-      List<String> says = host.actions.stream().filter(one -> one.startsWith("say ")).toList();
+      List<String> says =
+          host.actions.stream().filter(action -> action.startsWith("say ")).toList();
       assertEquals(idle, says.get(says.size() - 1).equals("say 1.0"), says::toString);
     }
   }
@@ -717,9 +705,9 @@
   void longDeadlinesDoNotTightenTheLadder() {
     for (boolean patient : new boolean[] {true, false}) {
       Settings base = settings(StopMode.ABORT, 4_000, false, 5);
-      List<RequestClass> kinds = new ArrayList<>(base.classes());
-      RequestClass read = kinds.get(READ);
-      kinds.set(
+      List<RequestClass> classes = new ArrayList<>(base.classes());
+      RequestClass read = classes.get(READ);
+      classes.set(
           READ,
           new RequestClass(
               "read",
@@ -731,7 +719,7 @@
               0,
               true,
               0));
-      RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
+      RecordingHost host = new RecordingHost(withClasses(base, classes), START);
       host.gauges(1, 3);
       for (int i = 0; i < 30; i++) {
         host.read(
@@ -809,7 +797,7 @@
     assertTrue(host.did("call next"));
   }
 
-  /** Guards against a link that breaks being taken for the end of the call that was out on it. */
+  /** The dependency may still work on a call whose connection was lost. */
   @Test
   void aCallOnALostConnectionStillCounts() {
     for (RunOutcome end : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
@@ -828,7 +816,7 @@
   @Test
   void anAbandonedRequestIsAnsweredAtOnce() {
     Settings base = settings(StopMode.ABORT, 20_000, false, 0.5);
-    List<RequestClass> kinds =
+    List<RequestClass> classes =
         base.classes().stream()
             .map(
                 kind ->
@@ -843,7 +831,7 @@
                         kind.callsDependency(),
                         0))
             .toList();
-    RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
+    RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
@@ -861,7 +849,7 @@
   @Test
   void leavesACallOutWhereADegradedAnswerEarnsMore() {
     Settings base = settings(StopMode.NONE, 20_000, false, 0.5);
-    List<RequestClass> kinds =
+    List<RequestClass> classes =
         base.classes().stream()
             .map(
                 kind ->
@@ -876,7 +864,7 @@
                         kind.callsDependency(),
                         kind.idempotency() == Idempotency.GUARDED ? 0 : 0.5))
             .toList();
-    RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
+    RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.atCall("turn");
@@ -919,8 +907,8 @@
 
   @Test
   void aShutdownAnswersWhatIsDueAfterTheKill() {
-    for (StopMode halting : StopMode.values()) {
-      RecordingHost host = new RecordingHost(settings(halting, 20_000, false, 5), START);
+    for (StopMode stopMode : StopMode.values()) {
+      RecordingHost host = new RecordingHost(settings(stopMode, 20_000, false, 5), START);
       host.gauges(1, 3);
       fillCores(host);
       host.read(request(host, "held", READ, null, 0), request(host, "turn", COMMIT, null, 0));
@@ -937,10 +925,7 @@
         id, SAVE, tenant, 100_000, 1_000, null, 10, null, 0.5, host.now() + 3 * SECOND, true);
   }
 
-  /**
-   * Guards against a tenant that comes by new settings and starts with what the one at its place
-   * before had used up.
-   */
+  /** A tenant of new settings must not start with the debt of another at its index. */
   @Test
   void aNewTenantAtTheSameIndexDoesNotInheritADebt() {
     for (boolean same : new boolean[] {true, false}) {
@@ -963,10 +948,7 @@
     }
   }
 
-  /**
-   * Guards against a value that callers read as something else once the settings give it another
-   * meaning.
-   */
+  /** Callers must not read an old value in a new meaning. */
   @Test
   void publishesTheFreeValueAgainInANewMeaning() {
     RecordingHost host = host();
@@ -978,7 +960,7 @@
       host.passUntil(host.now() + SECOND / 5);
       List<String> says =
           host.actions.subList(before, host.actions.size()).stream()
-              .filter(one -> one.startsWith("say "))
+              .filter(action -> action.startsWith("say "))
               .toList();
       assertEquals(
           meaning == FreeValue.SHARE
@@ -989,10 +971,7 @@
     }
   }
 
-  /**
-   * Guards against a class that comes by new settings and has room kept for what came of the one at
-   * its place before.
-   */
+  /** Capacity must not be reserved for a new class by the arrivals of another at its index. */
   @Test
   void aNewClassAtTheSameIndexDoesNotInheritArrivals() {
     for (boolean same : new boolean[] {true, false}) {
@@ -1005,12 +984,12 @@
       for (int i = 0; i < 30; i++) {
         host.read(request(host, "came" + i, READ));
       }
-      List<RequestClass> kinds = new ArrayList<>(host.settings().classes());
-      kinds.set(
+      List<RequestClass> classes = new ArrayList<>(host.settings().classes());
+      classes.set(
           READ,
           new RequestClass(
               same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Idempotency.SAFE, 0, true, 0));
-      host.changeSettings(withClasses(host.settings(), kinds));
+      host.changeSettings(withClasses(host.settings(), classes));
       host.read(request(host, "next", SAVE));
       assertEquals(
           same, host.answered("next"), "room is kept for what came of this class, and of no other");
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -30,7 +30,7 @@
   private static final int STEPS = 400;
   private static final int SUBJECTS = 12;
 
-  private static Settings settings(Random random, StopMode halting) {
+  private static Settings settings(Random random, StopMode stopMode) {
     boolean late = random.nextBoolean();
     return new Settings(
         random.nextLong(),
@@ -67,23 +67,23 @@
             40,
             random.nextBoolean(),
             List.of("cpu_busy", "runnable"),
-            halting),
+            stopMode),
         new Signals(FreeValue.LEVEL, SECOND, true, SECOND, true, 30 * SECOND));
   }
 
   @Test
   void guaranteesHoldUnderRandomFaults() {
     long answered = 0;
-    for (StopMode halting : StopMode.values()) {
+    for (StopMode stopMode : StopMode.values()) {
       for (int seed = 0; seed < SEQUENCES; seed++) {
-        answered += play(new Random(seed * 31L + halting.ordinal()), halting);
+        answered += play(new Random(seed * 31L + stopMode.ordinal()), stopMode);
       }
     }
     assertTrue(answered > 10_000, "requests were played to their end: " + answered);
   }
 
-  private static long play(Random random, StopMode halting) {
-    RecordingHost host = new RecordingHost(settings(random, halting), 77 * SECOND);
+  private static long play(Random random, StopMode stopMode) {
+    RecordingHost host = new RecordingHost(settings(random, stopMode), 77 * SECOND);
     boolean hasCallerDeadline = random.nextBoolean();
     String[] last = new String[SUBJECTS];
     long drainAt = random.nextInt(STEPS * 2);
@@ -132,7 +132,7 @@
 
   /**
    * A class and a tenant more, one class with less time, and the class "save" gone for another at
-   * its place.
+   * its classIndex.
    */
   private static Settings changed(Settings one) {
     List<RequestClass> classes = new ArrayList<>(one.classes());
@@ -164,16 +164,16 @@
 
   private static Request request(
       RecordingHost host, Random random, String id, boolean hasCallerDeadline, String[] last) {
-    int place = random.nextInt(host.settings().classes().size());
+    int classIndex = random.nextInt(host.settings().classes().size());
     int subject = random.nextInt(SUBJECTS);
     String before = null;
-    if (place == 2) {
+    if (classIndex == 2) {
       before = last[subject] != null && host.remembers(last[subject]) ? last[subject] : null;
       last[subject] = before == null ? id : before;
     }
     return new Request(
         id,
-        place,
+        classIndex,
         random.nextInt(host.settings().tenants().size()),
         0,
         random.nextInt(100_000),
@@ -182,6 +182,6 @@
         before,
         random.nextDouble(),
         hasCallerDeadline ? host.now() + 200_000 + random.nextInt(4_000_000) : 0,
-        place != 0);
+        classIndex != 0);
   }
 }
