--- a/src/main/java/mothwing/settings/Addresses.java
+++ b/src/main/java/mothwing/settings/Addresses.java
@@ -2,14 +2,14 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses as operators write them. */
+/** The textual form of addresses, host:port. */
 public final class Addresses {
   private Addresses() {}
 
   /**
-   * An address as operators write it.
+   * Formats an address.
    *
-   * @param address an address that is resolved
+   * @param address a resolved address
    * @return host and port
    */
   public static String text(InetSocketAddress address) {
@@ -17,12 +17,12 @@
   }
 
   /**
-   * Reads an address, without asking any name service.
+   * Parses an address, whose host must be numeric: no name service is queried.
    *
    * @param text host and port
-   * @param name the field's name, for complaints
+   * @param name the field's name, for the error
    * @return the address
-   * @throws BadInput where it is none
+   * @throws InvalidInputException where it is malformed
    */
   public static InetSocketAddress read(String text, String name) throws InvalidInputException {
     int colon = text.lastIndexOf(':');
@@ -31,8 +31,8 @@
       if (!host.isEmpty() && host.matches("[0-9a-fA-F.:]+")) {
         return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
       }
-    } catch (IllegalArgumentException notOne) {
-      // falls through to the complaint
+    } catch (IllegalArgumentException malformed) {
+      // reported below
     }
     throw new InvalidInputException("field " + name + ": not an address with a port");
   }
--- a/src/main/java/mothwing/settings/InvalidInputException.java
+++ b/src/main/java/mothwing/settings/InvalidInputException.java
@@ -2,12 +2,12 @@
 
 import java.io.IOException;
 
-/** JSON that cannot be understood; the message names the field. */
+/** Input that is malformed or incomplete; the message names the field. */
 public final class InvalidInputException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes a complaint.
+   * Makes an exception.
    *
    * @param message what is wrong, naming the field
    */
--- a/src/main/java/mothwing/settings/Secret.java
+++ b/src/main/java/mothwing/settings/Secret.java
@@ -6,10 +6,10 @@
 import java.nio.file.Files;
 import java.util.Base64;
 
-/** Reads the secrets of keys. */
+/** Reads the secrets of TSIG keys from their files. */
 public final class Secret {
-  private static final int MOST_BYTES = 4096;
-  private static final int LEAST_SECRET = 16; // bytes: shorter ones can be guessed
+  private static final int MAX_FILE_BYTES = 4096;
+  private static final int MIN_SECRET_BYTES = 16; // shorter secrets can be guessed
 
   private Secret() {}
 
@@ -22,27 +22,27 @@
    *     message names the key and the file, never their content
    */
   public static byte[] read(Site.Key key) throws IOException {
-    String where = "key " + key.name() + ": " + key.secretFile().getFileName();
+    String source = "key " + key.name() + ": " + key.secretFile().getFileName();
     byte[] text;
     try (InputStream in = Files.newInputStream(key.secretFile())) {
-      text = in.readNBytes(MOST_BYTES + 1);
+      text = in.readNBytes(MAX_FILE_BYTES + 1);
     }
     try {
       byte[] secret =
           Base64.getDecoder().decode(new String(text, StandardCharsets.ISO_8859_1).strip());
-      if (text.length > MOST_BYTES || secret.length < LEAST_SECRET) {
+      if (text.length > MAX_FILE_BYTES || secret.length < MIN_SECRET_BYTES) {
         throw new InvalidInputException(
-            where
+            source
                 + " has a secret of "
                 + secret.length
                 + " bytes, expected "
-                + LEAST_SECRET
+                + MIN_SECRET_BYTES
                 + " to "
-                + MOST_BYTES / 2);
+                + MAX_FILE_BYTES / 2);
       }
       return secret;
-    } catch (IllegalArgumentException not) {
-      throw new InvalidInputException(where + " is not base64");
+    } catch (IllegalArgumentException notBase64) {
+      throw new InvalidInputException(source + " is not base64");
     }
   }
 }
--- a/src/main/java/mothwing/settings/Site.java
+++ b/src/main/java/mothwing/settings/Site.java
@@ -6,23 +6,24 @@
 import java.util.Set;
 
 /**
- * Our own settings, as the script of an installation gives them; all paths are below the script's
- * folder.
+ * The settings of one installation, as its script gives them. Immutable; all paths are below the
+ * script's folder.
  *
- * @param ajp where AJP is spoken, or null for nowhere
- * @param dns how DNS is served, or null for not at all
- * @param fleet which servers are one fleet, or null where each stands for itself
+ * @param ajp the address that accepts AJP, or null for none
+ * @param dns the DNS server, or null for none
+ * @param fleet the fleet that this server joins, or null for none
  */
 public record Site(InetSocketAddress ajp, Dns dns, Fleet fleet) {
   /**
-   * The fleet that a shop server belongs to.
+   * The fleet that a server joins.
    *
-   * @param name the fleet's name: servers of another name are not listened to
-   * @param listen where others reach this server, over UDP and TCP at one port, and what it sends
-   *     comes from
-   * @param advertise where others are to write to: the same, but where something stands between
-   * @param seeds where to ask who is there; its own address among them does no harm
-   * @param zone where it stands: what a single fault may take away at once
+   * @param name the fleet's name; messages of servers of another fleet are ignored
+   * @param listen the address that other members reach, over UDP and TCP at one port, and the
+   *     source of what this server sends
+   * @param advertise the address that other members send to, which differs behind address
+   *     translation
+   * @param seeds members to contact first; may include its own address
+   * @param zone its fault domain: servers that a single fault may take down together
    */
   public record Fleet(
       String name,
@@ -30,12 +31,12 @@
       InetSocketAddress advertise,
       List<InetSocketAddress> seeds,
       String zone) {
-    /** What a fleet, a zone or a member may be called, in words. */
+    /** The rule for the names of fleets, fault domains and members, in words. */
     public static final String NAMED = "1 to 31 letters, digits, '.', '_' or '-'";
 
     /**
-     * Whether a fleet, a zone or a member may be called so: names travel in each datagram, so they
-     * are short.
+     * Whether a text may be the name of a fleet, fault domain or member. Names are short, as each
+     * datagram holds some.
      *
      * @param text a name
      * @return true if so
@@ -46,10 +47,10 @@
   }
 
   /**
-   * How DNS is served.
+   * The DNS server.
    *
-   * @param listen where, over UDP and TCP
-   * @param state the folder of what must survive a restart
+   * @param listen its address, over UDP and TCP
+   * @param state the folder of its durable state
    * @param limits its bounds
    * @param keys the keys that sign updates
    * @param zones the zones
@@ -58,21 +59,21 @@
       InetSocketAddress listen, Path state, DnsLimits limits, List<Key> keys, List<Zone> zones) {}
 
   /**
-   * The bounds of the DNS front.
+   * The limits of the DNS server.
    *
-   * @param udpBytes most bytes of an answer over UDP (RFC 6891 section 6.2.5), 512 to 4,096
-   * @param unprovenBytes the same for whoever shows no good cookie (RFC 7873), to 4,096; 0 for no
-   *     more than it sent
-   * @param connections most TCP connections
-   * @param idleMs milliseconds after which an idle or dripping TCP connection is closed
-   * @param pipelined most queries open on one TCP connection (RFC 7766 section 6.2.1.1)
-   * @param responsesPerSecond most answers a second to one prefix over UDP, 0 for no such limit
-   * @param prefixes most prefixes that are watched
-   * @param cached most answers in the cache
-   * @param records most records of one zone
+   * @param udpBytes maximum bytes of a response over UDP (RFC 6891 section 6.2.5), 512 to 4,096
+   * @param unprovenBytes the same for a client without a valid cookie (RFC 7873), to 4,096; 0 for
+   *     the size of its query
+   * @param connections maximum TCP connections
+   * @param idleMs milliseconds after which an idle or slowly sending TCP connection is closed
+   * @param pipelined maximum pending queries of one TCP connection (RFC 7766 section 6.2.1.1)
+   * @param responsesPerSecond maximum responses a second to one prefix over UDP, 0 for no limit
+   * @param prefixes maximum prefixes whose rate is tracked
+   * @param cached maximum responses in the cache
+   * @param records maximum records of one zone
    * @param journalBytes bytes of a journal past which it is compacted
-   * @param repeats most accepted updates that are remembered for their repeats
-   * @param control whether the overload controller decides
+   * @param repeats maximum accepted updates that are remembered to answer their retries
+   * @param control whether the overload controller admits queries
    */
   public record DnsLimits(
       int udpBytes,
@@ -87,7 +88,7 @@
       long journalBytes,
       int repeats,
       boolean control) {
-    /** What holds where the script says nothing. */
+    /** The defaults. */
     public static final DnsLimits USUAL =
         new DnsLimits(
             1232, 512, 512, 10_000, 32, 0, 16_384, 8192, 2_000_000, 64L << 20, 65_536, true);
@@ -107,12 +108,12 @@
    *
    * @param name its origin
    * @param file its zone file
-   * @param rights who may update what
+   * @param rights the rights to update it
    */
   public record Zone(String name, Path file, List<Right> rights) {}
 
   /**
-   * What the holder of a key may update.
+   * A right to update records, granted to a key.
    *
    * @param key the key's name
    * @param names a name, or * and a suffix for all names below it
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -19,10 +19,13 @@
 import mothwing.script.Sources;
 import mothwing.settings.Site.DnsLimits;
 
-/** Reads our own settings from a script (docs/settings.md), by functions that the script calls. */
+/**
+ * Reads the settings of an installation from a script (docs/settings.md), whose functions add to
+ * them. One instance reads one script.
+ */
 public final class SiteScript {
-  private static final int MOST_SEEDS = 16;
-  private static final int MOST_PORTION = 1 << 24;
+  private static final int MAX_SEEDS = 16;
+  private static final int MAX_ENTRIES = 1 << 24;
   private static final Set<String> ALGORITHMS =
       Set.of("hmac-sha1", "hmac-sha224", "hmac-sha256", "hmac-sha384", "hmac-sha512");
 
@@ -42,10 +45,9 @@
   /**
    * Reads settings.
    *
-   * @param file the script; what it names lies below its folder
+   * @param file the script; all files that it names are below its folder
    * @return the settings
-   * @throws IOException where it cannot be read or says what makes no sense; the message names the
-   *     place
+   * @throws IOException where it cannot be read or is invalid; the message names the place
    */
   public static Site read(Path file) throws IOException {
     Path folder = file.toAbsolutePath().getParent();
@@ -58,18 +60,19 @@
     builtins.put("zone", script::zone);
     builtins.put("allow", SiteScript::allow);
     Script.run(file.getFileName().toString(), Sources.below(folder), Limits.USUAL, builtins);
-    return script.whole();
+    return script.site();
   }
 
-  private Site whole() throws ScriptError {
+  /** The settings, once the script has run. */
+  private Site site() throws ScriptError {
     if (dns == null && !zones.isEmpty()) {
       throw zoneCalls.get(zones.get(0)).wrong("there are zones but no dns(listen = ...)");
     }
-    Set<String> known = new HashSet<>();
-    keys.forEach(one -> known.add(one.name()));
+    Set<String> keyNames = new HashSet<>();
+    keys.forEach(key -> keyNames.add(key.name()));
     for (Site.Zone zone : zones) {
       for (Site.Right right : zone.rights()) {
-        if (!known.contains(right.key())) {
+        if (!keyNames.contains(right.key())) {
           throw zoneCalls.get(zone).wrong("there is no key " + right.key());
         }
       }
@@ -94,8 +97,8 @@
       throws ScriptError {
     try {
       return Addresses.read(text, name);
-    } catch (InvalidInputException bad) {
-      throw call.wrong(bad.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
+    } catch (InvalidInputException invalid) {
+      throw call.wrong(invalid.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
     }
   }
 
@@ -112,18 +115,20 @@
     if (fleet != null) {
       throw call.wrong("is called twice");
     }
-    String name = word(call, "name", call.text("name"));
+    String name = memberName(call, "name", call.text("name"));
     InetSocketAddress listen = single(call, "listen", address(call, "listen"));
-    String told = call.text("advertise", "");
+    String advertised = call.text("advertise", "");
     InetSocketAddress advertise =
-        told.isEmpty() ? listen : single(call, "advertise", address(call, "advertise", told));
+        advertised.isEmpty()
+            ? listen
+            : single(call, "advertise", address(call, "advertise", advertised));
     List<InetSocketAddress> seeds = new ArrayList<>();
-    for (String one : call.list("seeds", String.class, "an address")) {
-      seeds.add(single(call, "seeds", address(call, "seeds", one)));
+    for (String seed : call.list("seeds", String.class, "an address")) {
+      seeds.add(single(call, "seeds", address(call, "seeds", seed)));
     }
-    if (seeds.size() > MOST_SEEDS) {
+    if (seeds.size() > MAX_SEEDS) {
       throw call.wrong(
-          "argument seeds has " + seeds.size() + " addresses, expected at most " + MOST_SEEDS);
+          "argument seeds has " + seeds.size() + " addresses, expected at most " + MAX_SEEDS);
     }
     fleet =
         new Site.Fleet(
@@ -131,19 +136,19 @@
             listen,
             advertise,
             List.copyOf(seeds),
-            word(call, "zone", call.text("zone", "one")));
+            memberName(call, "zone", call.text("zone", "one")));
     call.done(0);
     return null;
   }
 
-  private static String word(Arguments call, String name, String text) throws ScriptError {
+  private static String memberName(Arguments call, String name, String text) throws ScriptError {
     if (!Site.Fleet.mayBeCalled(text)) {
       throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAMED);
     }
     return text;
   }
 
-  /** What others write to must be one address with a port. */
+  /** Requires an address to which other members can send. */
   private static InetSocketAddress single(Arguments call, String name, InetSocketAddress address)
       throws ScriptError {
     if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
@@ -157,22 +162,22 @@
     if (dns != null) {
       throw call.wrong("is called twice");
     }
-    DnsLimits usual = DnsLimits.USUAL;
+    DnsLimits defaults = DnsLimits.USUAL;
     InetSocketAddress listen = address(call, "listen");
     Path state = below(call, call.text("state", "state"));
     DnsLimits limits =
         new DnsLimits(
-            (int) call.whole("udp_bytes", usual.udpBytes(), 512, 4096),
-            (int) call.whole("unproven_bytes", usual.unprovenBytes(), 0, 4096),
-            (int) call.whole("connections", usual.connections(), 1, 65_536),
-            (int) call.whole("idle_ms", usual.idleMs(), 100, 600_000),
-            (int) call.whole("pipelined", usual.pipelined(), 1, 1024),
-            (int) call.whole("responses_per_second", usual.responsesPerSecond(), 0, MOST_PORTION),
-            (int) call.whole("prefixes", usual.prefixes(), 16, MOST_PORTION),
-            (int) call.whole("cached", usual.cached(), 0, MOST_PORTION),
-            (int) call.whole("records", usual.records(), 1, MOST_PORTION),
-            call.whole("journal_bytes", usual.journalBytes(), 4096, 1L << 40),
-            (int) call.whole("repeats", usual.repeats(), 16, MOST_PORTION),
+            (int) call.whole("udp_bytes", defaults.udpBytes(), 512, 4096),
+            (int) call.whole("unproven_bytes", defaults.unprovenBytes(), 0, 4096),
+            (int) call.whole("connections", defaults.connections(), 1, 65_536),
+            (int) call.whole("idle_ms", defaults.idleMs(), 100, 600_000),
+            (int) call.whole("pipelined", defaults.pipelined(), 1, 1024),
+            (int) call.whole("responses_per_second", defaults.responsesPerSecond(), 0, MAX_ENTRIES),
+            (int) call.whole("prefixes", defaults.prefixes(), 16, MAX_ENTRIES),
+            (int) call.whole("cached", defaults.cached(), 0, MAX_ENTRIES),
+            (int) call.whole("records", defaults.records(), 1, MAX_ENTRIES),
+            call.whole("journal_bytes", defaults.journalBytes(), 4096, 1L << 40),
+            (int) call.whole("repeats", defaults.repeats(), 16, MAX_ENTRIES),
             !call.text("control", "on").equals("off"));
     dns = new Site.Dns(listen, state, limits, List.of(), List.of());
     dnsCall = call;
@@ -198,13 +203,13 @@
         throw new IOException(name + " is not a file");
       }
       return path;
-    } catch (IOException bad) {
-      throw call.wrong("argument " + argument + ": " + bad.getMessage());
+    } catch (IOException unreadable) {
+      throw call.wrong("argument " + argument + ": " + unreadable.getMessage());
     }
   }
 
   /**
-   * A domain name in lower case without the last dot; what it may be is checked where it is used.
+   * A domain name in lower case without the trailing dot; its labels are checked by the DNS server.
    */
   private static String domain(Arguments call, String name) throws ScriptError {
     String text = call.text(name).toLowerCase(Locale.ROOT);
@@ -225,7 +230,7 @@
               + ", expected one of "
               + ALGORITHMS.stream().sorted().toList());
     }
-    if (keys.stream().anyMatch(one -> one.name().equals(name))) {
+    if (keys.stream().anyMatch(other -> other.name().equals(name))) {
       throw call.wrong("key " + name + " is given twice");
     }
     Site.Key key = new Site.Key(name, algorithm, file(call, "secret_file"));
@@ -236,7 +241,7 @@
 
   private Object zone(Arguments call) throws ScriptError {
     String name = domain(call, "name");
-    if (zones.stream().anyMatch(one -> one.name().equals(name))) {
+    if (zones.stream().anyMatch(other -> other.name().equals(name))) {
       throw call.wrong("zone " + name + " is given twice");
     }
     Site.Zone zone =
@@ -258,8 +263,8 @@
     String key = domain(call, "key");
     String names = domain(call, "names");
     Set<String> types = new LinkedHashSet<>();
-    for (String one : call.list("types", String.class, "a type of records")) {
-      types.add(one.toUpperCase(Locale.ROOT));
+    for (String type : call.list("types", String.class, "a type of records")) {
+      types.add(type.toUpperCase(Locale.ROOT));
     }
     if (types.isEmpty()) {
       throw call.wrong("argument types is empty, expected types of records such as \"A\"");
