--- a/src/main/java/mothwing/cli/Counts.java
+++ b/src/main/java/mothwing/cli/Counts.java
@@ -9,17 +9,17 @@
 import mothwing.fastcgi.FastCgiClient;
 import mothwing.settings.Addresses;
 
-/** Asks a running shop server for its counters. */
+/** Prints the counters of a running shop server. */
 final class Counts {
-  private static final int PATIENCE_MS = 3000;
+  private static final int TIMEOUT_MILLIS = 3000;
 
   private Counts() {}
 
   static int run(String server, PrintStream out) throws IOException {
     InetSocketAddress address = Addresses.read(server, "server");
     try (Socket socket = new Socket()) {
-      socket.setSoTimeout(PATIENCE_MS);
-      socket.connect(address, PATIENCE_MS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
       socket.getOutputStream().write(FastCgiClient.request("/counts"));
       String answer =
           new String(
--- a/src/main/java/mothwing/cli/Dns.java
+++ b/src/main/java/mothwing/cli/Dns.java
@@ -3,6 +3,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Path;
+import java.util.Optional;
 import mothwing.server.AsyncLogWriter;
 import mothwing.server.DnsService;
 
@@ -13,12 +14,10 @@
   static int run(Path settings, PrintStream out) throws IOException, InterruptedException {
     AsyncLogWriter log = new AsyncLogWriter(out);
     DnsService service = new DnsService(settings, log);
-    String sighupProblem = Hangup.handle(service::reload);
-    if (sighupProblem != null) {
-      log.write("sighup-unavailable what=\"" + sighupProblem + "\"");
-    }
+    Optional<String> sighupProblem = Hangup.handle(service::reload);
+    sighupProblem.ifPresent(problem -> log.write("sighup-unavailable what=\"" + problem + "\""));
     service.start();
-    Foreground.leaveOnSignal(service, log);
+    Foreground.drainOnSignal(service, log);
     service.await();
     return 0;
   }
--- a/src/main/java/mothwing/cli/Foreground.java
+++ b/src/main/java/mothwing/cli/Foreground.java
@@ -3,20 +3,20 @@
 import mothwing.server.AsyncLogWriter;
 import mothwing.server.Service;
 
-/** Keeps a service in the foreground until it is told to leave. */
+/** Runs a service in the foreground until a signal ends it. */
 final class Foreground {
   private Foreground() {}
 
-  /** Takes the signal to end as the notice to leave from now on. */
-  static void leaveOnSignal(Service service, AsyncLogWriter log) {
-    Runtime.getRuntime().addShutdownHook(new Thread(() -> leave(service, log), "leave"));
+  /** Drains the service on SIGTERM or SIGINT from now on. */
+  static void drainOnSignal(Service service, AsyncLogWriter log) {
+    Runtime.getRuntime().addShutdownHook(new Thread(() -> drain(service, log), "drain"));
   }
 
   /**
    * The runtime waits for this, and then ends with status 0, or with its own where the service has
    * failed.
    */
-  private static void leave(Service service, AsyncLogWriter log) {
+  private static void drain(Service service, AsyncLogWriter log) {
     try {
       if (service.failed()) {
         log.close();
@@ -26,7 +26,7 @@
       service.await();
       log.write(service.counts());
       log.close();
-    } catch (InterruptedException broken) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
     Runtime.getRuntime().halt(0);
--- a/src/main/java/mothwing/cli/Manage.java
+++ b/src/main/java/mothwing/cli/Manage.java
@@ -8,25 +8,25 @@
 import java.util.Locale;
 import mothwing.settings.Addresses;
 
-/** Makes one call at the operators' door of a running shop server. */
+/** Sends one admin command to a running shop server. */
 final class Manage {
-  private static final int PATIENCE_MS = 3000;
+  private static final int TIMEOUT_MILLIS = 3000;
 
   private Manage() {}
 
-  /** Prints the reply. The status is 0, or 1 where the reply is a no. */
+  /** Prints the reply. The exit status is 0, or 1 where the reply is an error. */
   static int run(String server, String call, PrintStream out) throws IOException {
     String reply = call(server, call);
     out.print(reply);
     return reply.startsWith("NO") ? 1 : 0;
   }
 
-  /** Makes a call, and gives the reply. */
+  /** Sends a command and returns the reply. */
   static String call(String server, String call) throws IOException {
     InetSocketAddress address = Addresses.read(server, "server");
     try (Socket socket = new Socket()) {
-      socket.setSoTimeout(PATIENCE_MS);
-      socket.connect(address, PATIENCE_MS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      socket.connect(address, TIMEOUT_MILLIS);
       socket
           .getOutputStream()
           .write((call.toUpperCase(Locale.ROOT) + "\n").getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -5,6 +5,7 @@
 import java.io.IOException;
 import java.io.PrintStream;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import mothwing.server.AsyncLogWriter;
 import mothwing.server.Config;
@@ -21,20 +22,20 @@
     // Netty would look for the logging library of the DNS part first, and load it.
     InternalLoggerFactory.setDefaultFactory(JdkLoggerFactory.INSTANCE);
     CompletableFuture<ConfigReloader> started = new CompletableFuture<>();
-    String sighupProblem =
+    Optional<String> sighupProblem =
         Hangup.handle(
-            () -> started.thenAccept(ConfigReloader::reload)); // early: the default ends it
+            () ->
+                started.thenAccept(
+                    ConfigReloader::reload)); // early, as an unhandled SIGHUP ends the process
     Config config = Config.read(path);
     AsyncLogWriter log = new AsyncLogWriter(out);
-    if (sighupProblem != null) {
-      log.write("sighup-unavailable what=\"" + sighupProblem + "\"");
-    }
+    sighupProblem.ifPresent(problem -> log.write("sighup-unavailable what=\"" + problem + "\""));
     Site site = siteFile == null ? new Site(null, null, null) : Config.readSite(Path.of(siteFile));
     Server server = new Server(config, site.ajp(), log);
     if (site.fleet() != null) {
       server.join(site.fleet());
     }
-    Foreground.leaveOnSignal(server, log);
+    Foreground.drainOnSignal(server, log);
     server.start();
     started.complete(new ConfigReloader(path, config, server));
     server.await();
--- a/src/main/java/mothwing/net/CloseReason.java
+++ b/src/main/java/mothwing/net/CloseReason.java
@@ -10,35 +10,35 @@
   PEER_RESET,
   /** It was idle for longer than connections may be now. */
   IDLE,
-  /** This process is leaving. */
+  /** This process shuts down gracefully. */
   DRAIN,
-  /** What came is not the protocol. */
+  /** The input breaks the protocol. */
   MALFORMED,
-  /** What came is larger than the protocol or this program allows. */
+  /** The input is larger than the protocol or this program allows. */
   OVERSIZED,
   /** More requests were opened on it than may be open at once. */
   TOO_MANY_OPEN,
-  /** The other side asked for it to be closed after the answer. */
+  /** The protocol or the other side asks for a close after the answer. */
   ASKED,
-  /** The party is reached at another address now, or by a newer connection. */
+  /** The peer is reached at another address now, or by a newer connection. */
   MOVED,
-  /** An answer did not come in time. */
+  /** A response did not come in time. */
   NO_ANSWER,
-  /** Something that was sent on it before is missing, and comes again on a new one. */
+  /** A message was lost; a new connection resynchronizes. */
   MISSED,
-  /** The rest of a request did not come in time. */
+  /** The rest of a request did not come in time: a read timeout. */
   HALF_SENT,
-  /** Nothing whole was asked on it in time after it was opened. */
+  /** No complete request came in time after it was opened: an unidentified client. */
   SILENT,
-  /** What was sent to it was not read in time. */
+  /** The other side did not read in time what was sent: a write timeout. */
   NOT_READ,
-  /** Its place was needed for a new connection, and nothing was open on it. */
+  /** It was closed at the connection limit for a new one, without an open request. */
   EVICTED,
-  /** A fault of this program; the line before it has the details. */
+  /** A defect of this program; the log line before it has the details. */
   FAULT;
 
   /**
-   * The code as it stands in the log.
+   * The code for the log and for counters.
    *
    * @return lower-case words joined by dashes
    */
--- a/src/main/java/mothwing/net/ProtocolException.java
+++ b/src/main/java/mothwing/net/ProtocolException.java
@@ -1,13 +1,13 @@
 package mothwing.net;
 
-/** Bytes that break the protocol of their connection: it is closed with the reason. */
+/** Input breaks the protocol of its connection, which is closed with the reason. */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final CloseReason reason;
 
   /**
-   * Makes one.
+   * Makes the error.
    *
    * @param reason the code for the log
    * @param message what is wrong
--- a/src/main/java/mothwing/net/RetryingSocketChannel.java
+++ b/src/main/java/mothwing/net/RetryingSocketChannel.java
@@ -6,17 +6,17 @@
 import java.nio.channels.SocketChannel;
 
 /**
- * A stream socket whose reads outlive a signal. The runtime hands EINTR of a read that does not
- * block on as a count under -1, which Netty takes for the end of the stream, and closes the
- * connection with all that is open on it.
+ * A stream socket that retries interrupted reads. The Java runtime reports EINTR of a non-blocking
+ * read as a count under -1, which Netty takes for the end of the stream: it would close the
+ * connection with everything open on it.
  */
 public final class RetryingSocketChannel extends NioSocketChannel {
-  /** The runtime's count for the end of a stream; lower ones say that a call did not come about. */
+  /** The runtime's count for the end of a stream; lower ones are errors of the call. */
   private static final int END_OF_STREAM = -1;
 
   /**
-   * Reads in a row that may be interrupted; after that the selector says again that there is
-   * something to read.
+   * Reads in a row that may be interrupted; after that the selector reports again that the socket
+   * is readable.
    */
   private static final int MAX_ATTEMPTS = 8;
 
@@ -27,11 +27,11 @@
     int read() throws Exception;
   }
 
-  /** Makes one that is to be connected. */
+  /** Makes a socket that is to be connected. */
   public RetryingSocketChannel() {}
 
   /**
-   * Makes one of a connection that was accepted.
+   * Makes the socket of a connection that was accepted.
    *
    * @param parent where it was accepted
    * @param accepted the connection
@@ -46,14 +46,14 @@
   }
 
   /**
-   * Reads until a read comes about.
+   * Reads until a read is not interrupted.
    *
    * @param read one read
    * @return its count, -1 at the end of the stream, or 0 where each was interrupted
    * @throws Exception where a read fails
    */
   static int untilRead(Read read) throws Exception {
-    for (int tries = 0; tries < MAX_ATTEMPTS; tries++) {
+    for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       int count = read.read();
       if (count >= END_OF_STREAM) {
         return count;
--- a/src/main/java/mothwing/net/SocketTable.java
+++ b/src/main/java/mothwing/net/SocketTable.java
@@ -11,9 +11,9 @@
 import java.util.Locale;
 
 /**
- * What the kernel's list of TCP sockets says of one listening address, whichever processes they
- * belong to. The format is that of Linux (proc_net_tcp): words of an address are in the order of
- * the machine's bytes, here little-endian.
+ * The kernel's TCP socket table for one listening address, over all processes. The format is that
+ * of Linux (proc_net_tcp): the words of an address are in the machine's byte order, here
+ * little-endian.
  *
  * @param listeners sockets that listen there
  * @param connections connections accepted there, or waiting to be
@@ -29,29 +29,29 @@
   private static final String MAPPED = "0000000000000000FFFF0000";
 
   /**
-   * Reads the lists.
+   * Reads the socket tables.
    *
    * @param address a listening address
-   * @param lists the files; one that is not there is passed over
-   * @return what they say
+   * @param lists the files; one that does not exist is skipped
+   * @return the sockets at the address
    * @throws IOException where none can be read
    */
   static SocketTable at(InetSocketAddress address, List<Path> lists) throws IOException {
-    SocketTable all = null;
+    SocketTable total = null;
     for (Path list : lists) {
       if (Files.isReadable(list)) {
-        SocketTable some = of(address, Files.readAllLines(list, StandardCharsets.ISO_8859_1));
-        all =
-            all == null
-                ? some
+        SocketTable sockets = of(address, Files.readAllLines(list, StandardCharsets.ISO_8859_1));
+        total =
+            total == null
+                ? sockets
                 : new SocketTable(
-                    all.listeners + some.listeners, all.connections + some.connections);
+                    total.listeners + sockets.listeners, total.connections + sockets.connections);
       }
     }
-    if (all == null) {
+    if (total == null) {
       throw new IOException("none of " + lists + " can be read");
     }
-    return all;
+    return total;
   }
 
   private static SocketTable of(InetSocketAddress address, List<String> lines) {
@@ -82,10 +82,10 @@
 
   private static String words(InetAddress address) {
     byte[] bytes = address.getAddress();
-    byte[] turned = new byte[bytes.length];
+    byte[] reversed = new byte[bytes.length];
     for (int i = 0; i < bytes.length; i++) {
-      turned[i] = bytes[i / WORD * WORD + WORD - 1 - i % WORD];
+      reversed[i] = bytes[i / WORD * WORD + WORD - 1 - i % WORD];
     }
-    return HexFormat.of().withUpperCase().formatHex(turned);
+    return HexFormat.of().withUpperCase().formatHex(reversed);
   }
 }
--- a/src/main/java/mothwing/net/TcpConnector.java
+++ b/src/main/java/mothwing/net/TcpConnector.java
@@ -20,7 +20,7 @@
   private final InetSocketAddress address;
 
   /**
-   * Makes a dialer.
+   * Makes a connector.
    *
    * @param loop the thread of it all
    * @param allocator gives buffers
@@ -51,13 +51,13 @@
         .addListener(
             done -> {
               if (!done.isSuccess()) {
-                loop.execute(failed); // a socket that cannot be made fails on another thread
+                loop.execute(failed); // a failure to create a socket is reported on another thread
               }
             });
   }
 
   /**
-   * Puts the state of the connection in its place once it is open, so that attempts leave no trace.
+   * Replaces itself with the connection once that is open, so that failed attempts leave no trace.
    */
   private static final class OpeningHandler extends ChannelInboundHandlerAdapter {
     private final Supplier<? extends Connection> maker;
--- a/src/main/java/mothwing/server/AsyncLogWriter.java
+++ b/src/main/java/mothwing/server/AsyncLogWriter.java
@@ -8,23 +8,22 @@
 import mothwing.broker.EventLog;
 
 /**
- * Writes the log on a thread of its own, each line with its time: whoever reads it slowly does not
- * hold up the event loop. Lines beyond a bound are dropped, and their number is written in their
- * place.
+ * Writes the log on a thread of its own, each line with its time, so that a slow reader of the log
+ * does not block the event loop. Lines over a bound are dropped and their number is logged.
  */
 public final class AsyncLogWriter implements EventLog {
   private static final int MAX_QUEUED_LINES = 4096;
   private static final String END = "";
 
-  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final PrintStream out;
   private final Thread writer = new Thread(this::write, "log");
 
   /**
-   * Makes a log.
+   * Makes a log writer and starts its thread.
    *
-   * @param out where its lines go
+   * @param out where the lines go
    */
   public AsyncLogWriter(PrintStream out) {
     this.out = out;
@@ -34,14 +33,14 @@
 
   @Override
   public void write(String line) {
-    if (!waiting.offer(System.currentTimeMillis() + " " + line)) {
+    if (!queue.offer(System.currentTimeMillis() + " " + line)) {
       dropped.incrementAndGet();
     }
   }
 
   private void write() {
     try {
-      for (String line = waiting.take(); !line.equals(END); line = waiting.take()) {
+      for (String line = queue.take(); !line.equals(END); line = queue.take()) {
         out.println(line);
         long lost = dropped.getAndSet(0);
         if (lost > 0) {
@@ -55,12 +54,12 @@
   }
 
   /**
-   * Writes what is waiting, for at most a moment.
+   * Writes the queued lines, for at most two seconds.
    *
-   * @throws InterruptedException where the wait is broken off
+   * @throws InterruptedException where the wait is interrupted
    */
   public void close() throws InterruptedException {
-    if (waiting.offer(END, 1, TimeUnit.SECONDS)) {
+    if (queue.offer(END, 1, TimeUnit.SECONDS)) {
       writer.join(TimeUnit.SECONDS.toMillis(1));
     }
   }
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -19,18 +19,18 @@
 import mothwing.settings.SiteScript;
 
 /**
- * What a shop server is told.
+ * The configuration of a shop server.
  *
- * @param name its name
- * @param listen where gateways connect
+ * @param name the name of the server
+ * @param listen where clients connect
  * @param pool where the worker pool listens
- * @param announce where the announce service listens
- * @param ledger where the tier below is called, or null for nowhere
- * @param management where operators call, or null for nowhere
- * @param stopMs milliseconds from the notice to leave to the stop
- * @param sockets most descriptors
+ * @param announce where the discovery service listens
+ * @param ledger where the dependency listens, or null for none
+ * @param management where operators connect, or null for nowhere
+ * @param stopMs milliseconds from the request to drain to the stop
+ * @param sockets most file descriptors
  * @param settings the settings of the site
- * @param source all that it was read from
+ * @param source the fields that it was read from
  */
 public record Config(
     String name,
@@ -53,22 +53,23 @@
    * @throws IOException where it cannot be understood; the message names the field
    */
   public static Config read(Reader json) throws IOException {
-    JsonFields all = object(json);
-    Settings settings = SettingsCodec.read(seed(all.text("seed")), all.requiredInner("settings"));
+    JsonFields fields = object(json);
+    Settings settings =
+        SettingsCodec.read(seed(fields.text("seed")), fields.requiredInner("settings"));
     if (settings.classes().isEmpty()) {
       throw new InvalidInputException("field settings.Classes: required");
     }
     return new Config(
-        all.text("name"),
-        address(all, "listen"),
-        address(all, "pool"),
-        address(all, "announce"),
-        ledger(all.text("ledger", "")),
-        management(all.text("management", "")),
-        all.positive("stop_ms"),
-        (int) all.requiredInner("limits").positive("sockets"),
+        fields.text("name"),
+        address(fields, "listen"),
+        address(fields, "pool"),
+        address(fields, "announce"),
+        ledger(fields.text("ledger", "")),
+        management(fields.text("management", "")),
+        fields.positive("stop_ms"),
+        (int) fields.requiredInner("limits").positive("sockets"),
         settings,
-        all);
+        fields);
   }
 
   /**
@@ -88,55 +89,55 @@
   }
 
   /**
-   * Reads the file that is to follow this configuration. A file that names less than this one was
-   * cut, or is not meant.
+   * Reads the file of the configuration that is to replace this one. A file without a key that this
+   * one has was truncated, or is a mistake.
    *
    * @param path its path
    * @return the configuration
    * @throws IOException where it cannot be read or understood, or lacks a key
    */
   Config readSuccessor(String path) throws IOException {
-    Config now = read(path);
-    source.requireKeysIn(now.source);
-    return now;
+    Config next = read(path);
+    source.requireKeysIn(next.source);
+    return next;
   }
 
   /**
-   * This configuration with what a running server can take of a new one.
+   * This configuration with those fields of a new one that a running server can apply.
    *
-   * @param now the new one
-   * @return the one in force
+   * @param next the new one
+   * @return the one to be in force
    */
-  Config withReloaded(Config now) {
+  Config withReloaded(Config next) {
     return new Config(
         name,
         listen,
-        now.pool,
-        now.announce,
-        now.ledger,
+        next.pool,
+        next.announce,
+        next.ledger,
         management,
-        now.stopMs,
+        next.stopMs,
         sockets,
-        now.settings,
-        now.source);
+        next.settings,
+        next.source);
   }
 
-  /** The fields in which a new configuration asks for what only a new start can give. */
-  String restartRequiredFor(Config now) {
-    List<String> all = new ArrayList<>();
-    if (!name.equals(now.name)) {
-      all.add("name");
+  /** The names of the fields in which a new configuration differs that need a restart. */
+  String restartRequiredFor(Config next) {
+    List<String> fields = new ArrayList<>();
+    if (!name.equals(next.name)) {
+      fields.add("name");
     }
-    if (!listen.equals(now.listen)) {
-      all.add("listen");
+    if (!listen.equals(next.listen)) {
+      fields.add("listen");
     }
-    if (!Objects.equals(management, now.management)) {
-      all.add("management");
+    if (!Objects.equals(management, next.management)) {
+      fields.add("management");
     }
-    if (sockets != now.sockets) {
-      all.add("limits");
+    if (sockets != next.sockets) {
+      fields.add("limits");
     }
-    return String.join(",", all);
+    return String.join(",", fields);
   }
 
   /**
@@ -158,11 +159,11 @@
 
   private static JsonFields object(Reader json) throws IOException {
     try (JsonReader reader = new JsonReader(json)) {
-      JsonFields all = JsonFields.read(reader);
+      JsonFields fields = JsonFields.read(reader);
       if (reader.peek() != JsonToken.END_DOCUMENT) {
         throw new InvalidInputException("something follows the JSON object");
       }
-      return all;
+      return fields;
     } catch (IllegalStateException notObject) {
       throw new InvalidInputException("not a JSON object");
     }
@@ -171,24 +172,26 @@
   private static long seed(String text) throws InvalidInputException {
     try {
       return Long.parseUnsignedLong(text, HEXADECIMAL);
-    } catch (NumberFormatException notOne) {
+    } catch (NumberFormatException notNumber) {
       throw new InvalidInputException("field seed: not a hexadecimal number");
     }
   }
 
-  /** Where operators call: what the configuration says, else what the environment does. */
-  private static InetSocketAddress management(String told) throws InvalidInputException {
+  /** Where operators connect: as configured, else as the environment says. */
+  private static InetSocketAddress management(String configured) throws InvalidInputException {
     String address =
-        told.isEmpty() ? Objects.requireNonNullElse(System.getenv("EDGE_MANAGEMENT"), "") : told;
+        configured.isEmpty()
+            ? Objects.requireNonNullElse(System.getenv("EDGE_MANAGEMENT"), "")
+            : configured;
     return address.isEmpty() ? null : Addresses.read(address, "management");
   }
 
-  private static InetSocketAddress ledger(String told) throws InvalidInputException {
-    return told.isEmpty() ? null : Addresses.read(told, "ledger");
+  private static InetSocketAddress ledger(String configured) throws InvalidInputException {
+    return configured.isEmpty() ? null : Addresses.read(configured, "ledger");
   }
 
-  private static InetSocketAddress address(JsonFields all, String name)
+  private static InetSocketAddress address(JsonFields fields, String name)
       throws InvalidInputException {
-    return Addresses.read(all.text(name), name);
+    return Addresses.read(fields.text(name), name);
   }
 }
--- a/src/main/java/mothwing/server/ConfigReloader.java
+++ b/src/main/java/mothwing/server/ConfigReloader.java
@@ -6,9 +6,9 @@
 import mothwing.settings.InvalidInputException;
 
 /**
- * Reads the configuration again and gives it to the running server. The file is read on a thread of
- * its own, one reading after the other: the event loop never waits for a disk, and the last reading
- * is the one that holds.
+ * Reads the configuration again and applies it to the running server. The file is read on a thread
+ * of its own, one read after the other, so that the event loop never waits for a disk and the last
+ * read wins.
  */
 public final class ConfigReloader {
   private final String path;
@@ -23,11 +23,11 @@
           });
 
   /**
-   * Makes one.
+   * Makes a reloader.
    *
    * @param path the path of the configuration
    * @param first the configuration in force
-   * @param server takes what was read
+   * @param server takes the new configuration
    */
   public ConfigReloader(String path, Config first, Server server) {
     this.path = path;
@@ -36,19 +36,21 @@
   }
 
   /**
-   * Reads it once more: may come from any thread, and more than once. What cannot be read changes
-   * nothing.
+   * Reloads the configuration. May be called from any thread, and more than once. A configuration
+   * that cannot be read changes nothing.
    */
   public void reload() {
     reader.execute(
         () -> {
           try {
-            Config now = current.readSuccessor(path);
-            server.reload(now);
-            current = now;
-          } catch (IOException | RuntimeException bad) {
+            Config next = current.readSuccessor(path);
+            server.reload(next);
+            current = next;
+          } catch (IOException | RuntimeException failure) {
             server.reloadFailed(
-                bad instanceof InvalidInputException ? bad.getMessage() : bad.toString());
+                failure instanceof InvalidInputException
+                    ? failure.getMessage()
+                    : failure.toString());
           }
         });
   }
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -19,7 +19,7 @@
 import mothwing.settings.Site;
 import mothwing.settings.SiteScript;
 
-/** The DNS server as a process: its loop, its two helper threads, reload, drain and exit. */
+/** The DNS server as a process: its loop, its two worker threads, reload and graceful shutdown. */
 public final class DnsService implements Service {
   private static final long STOP_AFTER_MILLIS = 5000;
   private static final int SHUTDOWN_POLL_MILLIS = 20;
@@ -85,16 +85,16 @@
   }
 
   /**
-   * Reads the settings, keys and zone files again: may come from any thread. What cannot be read
-   * changes nothing.
+   * Reads the settings, keys and zone files again. May be called from any thread. What cannot be
+   * read changes nothing.
    */
   public void reload() {
     reader.execute(
         () -> {
           try {
             front.reload(dns(settings));
-          } catch (IOException | RuntimeException bad) {
-            log.write("reload-failed what=\"" + bad.getMessage() + "\"");
+          } catch (IOException | RuntimeException failure) {
+            log.write("reload-failed what=\"" + failure.getMessage() + "\"");
           }
         });
   }
@@ -122,8 +122,8 @@
   }
 
   private void finishShutdown() {
-    boolean last = System.nanoTime() >= stopAt;
-    if (front.drained(last) || last) {
+    boolean timedOut = System.nanoTime() >= stopAt;
+    if (front.drained(timedOut) || timedOut) {
       log.write("shutdown-complete");
       front.close(ended::countDown);
     } else {
@@ -140,12 +140,12 @@
   public String counts() {
     try {
       return "counts " + loop.submit(front::counts).get(1, TimeUnit.SECONDS);
-    } catch (InterruptedException | ExecutionException | TimeoutException late) {
+    } catch (InterruptedException | ExecutionException | TimeoutException unavailable) {
       return "counts unknown";
     }
   }
 
-  /** Ends its threads, whatever is on its way. */
+  /** Ends its threads without waiting for work in progress. */
   public void close() {
     writer.shutdownNow();
     reader.shutdownNow();
--- a/src/main/java/mothwing/server/EventLoopScheduler.java
+++ b/src/main/java/mothwing/server/EventLoopScheduler.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.TimeUnit;
 import mothwing.broker.Scheduler;
 
-/** The clocks of the system, and timers on the event loop. */
+/** The system clocks, and timers that fire on the event loop. */
 final class EventLoopScheduler implements Scheduler {
-  private static final long NANOS = 1000;
+  private static final long NANOS_PER_MICRO = 1000;
 
   private final EventLoop loop;
   private final long start = System.nanoTime();
@@ -17,7 +17,7 @@
 
   @Override
   public long now() {
-    return (System.nanoTime() - start) / NANOS;
+    return (System.nanoTime() - start) / NANOS_PER_MICRO;
   }
 
   @Override
@@ -27,11 +27,11 @@
 
   @Override
   public void schedule(long at, Runnable work) {
-    long wait = at - now();
-    if (wait <= 0) {
+    long delay = at - now();
+    if (delay <= 0) {
       loop.execute(work);
     } else {
-      loop.schedule(work, wait, TimeUnit.MICROSECONDS);
+      loop.schedule(work, delay, TimeUnit.MICROSECONDS);
     }
   }
 }
--- a/src/main/java/mothwing/server/FileDescriptorBudget.java
+++ b/src/main/java/mothwing/server/FileDescriptorBudget.java
@@ -6,33 +6,36 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** How many descriptors this process may hold, and how many of them no client gets. */
+/** How many file descriptors this process may hold, and how many are reserved from clients. */
 final class FileDescriptorBudget {
   private static final Path LIMITS = Path.of("/proc/self/limits");
   private static final String OPEN_FILES = "Max open files";
   private static final int MAX_RESERVED = 64;
-  private static final int MIN_RESERVED =
-      24; // links, dials and listeners, and those that wait for the other side's close
+
+  /** For other connections, connects in progress, listeners, and lingering connections. */
+  private static final int MIN_RESERVED = 24;
+
   private static final int USUALLY_OPEN = 16;
-  private static final Path OPEN = Path.of("/proc/self/fd");
+  private static final Path OPEN_DESCRIPTORS = Path.of("/proc/self/fd");
 
   private FileDescriptorBudget() {}
 
   /**
-   * The lower of what the configuration says and what the kernel does.
+   * The lower one of the configured limit and the kernel's.
    *
-   * @param told the number in the configuration
-   * @return descriptors, above 0
+   * @param configured the number in the configuration
+   * @return file descriptors, above 0
    */
-  static int limitFor(int told) {
+  static int limitFor(int configured) {
     try {
-      return Math.min(told, limit(Files.readAllLines(LIMITS, StandardCharsets.ISO_8859_1), told));
+      return Math.min(
+          configured, limit(Files.readAllLines(LIMITS, StandardCharsets.ISO_8859_1), configured));
     } catch (IOException notLinux) {
-      return told;
+      return configured;
     }
   }
 
-  /** The soft limit in the kernel's table, or another number where it says none. */
+  /** The soft limit in the kernel's table, or another number where it states none. */
   static int limit(List<String> table, int otherwise) {
     for (String line : table) {
       if (line.startsWith(OPEN_FILES)) {
@@ -44,22 +47,22 @@
   }
 
   /**
-   * Descriptors that are kept for the links to the pool, the ledger and the announce service, for
-   * connections whose other side has yet to close, and for the runtime: however many clients come,
-   * reports and runs go on.
+   * File descriptors that are reserved for the connections to pool, dependency and discovery
+   * service, for lingering connections and for the runtime: load reports and runs go on however
+   * many clients connect.
    *
-   * @param most descriptors in all
-   * @param held how many this process holds before it listens
-   * @return their number: a quarter, {@value #MOST_SPARE} at most, but no less than those held and
+   * @param limit file descriptors in all
+   * @param open how many this process holds before it listens
+   * @return their number: a quarter, {@value #MOST_SPARE} at most, but no less than those open and
    *     {@value #LEAST_SPARE} more
    */
-  static int reserved(int most, int held) {
-    return Math.max(held + MIN_RESERVED, Math.min(MAX_RESERVED, most / 4));
+  static int reserved(int limit, int open) {
+    return Math.max(open + MIN_RESERVED, Math.min(MAX_RESERVED, limit / 4));
   }
 
-  /** How many this process holds now, or an ordinary number where the kernel does not say. */
+  /** How many this process holds now, or a usual number where the kernel does not say. */
   static int openNow() {
-    String[] all = OPEN.toFile().list();
-    return all == null ? USUALLY_OPEN : all.length;
+    String[] descriptors = OPEN_DESCRIPTORS.toFile().list();
+    return descriptors == null ? USUALLY_OPEN : descriptors.length;
   }
 }
--- a/src/main/java/mothwing/server/Service.java
+++ b/src/main/java/mothwing/server/Service.java
@@ -1,28 +1,28 @@
 package mothwing.server;
 
-/** What runs in the foreground until it is told to leave. */
+/** A process that runs in the foreground until it is drained. */
 public interface Service {
-  /** The notice to leave: may come from any thread, and more than once. */
+  /** Begins a graceful shutdown. May be called from any thread, and more than once. */
   void drain();
 
   /**
-   * Waits until it has left after a notice.
+   * Waits until its shutdown is complete.
    *
-   * @throws InterruptedException where the wait is broken off
+   * @throws InterruptedException where the wait is interrupted
    */
   void await() throws InterruptedException;
 
   /**
-   * Whether it could not do what it was started for.
+   * Whether it has failed.
    *
-   * @return true where the process is to end with a status that says so
+   * @return true where the process is to end with an error status
    */
   default boolean failed() {
     return false;
   }
 
   /**
-   * The counts so far.
+   * The counters so far.
    *
    * @return one line
    */
--- /dev/null
+++ b/src/test/java/mothwing/server/ClientFrontsTest.java
@@ -0,0 +1,33 @@
+package mothwing.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import io.netty.buffer.UnpooledByteBufAllocator;
+import io.netty.channel.embedded.EmbeddedChannel;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+
+/** A stop of the listeners, and the binds that it waits for. */
+class ClientFrontsTest {
+  private final AtomicInteger stops = new AtomicInteger();
+  private final ClientFronts fronts =
+      new ClientFronts(
+          new EmbeddedChannel().eventLoop(), UnpooledByteBufAllocator.DEFAULT, line -> {});
+
+  @Test
+  void aStopDuringTheStartWaitsForItsEnd() {
+    fronts.stop(stops::incrementAndGet);
+    assertEquals(0, stops.get());
+    fronts.bindFinished();
+    assertEquals(1, stops.get());
+  }
+
+  @Test
+  void aStopAfterTheStartIsImmediate() {
+    fronts.bindFinished();
+    fronts.stop(stops::incrementAndGet);
+    assertEquals(1, stops.get());
+    assertTrue(fronts.isListening(), "there is no front that does not listen");
+  }
+}
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -87,6 +87,24 @@
     log.awaitHeld();
   }
 
+  /** Holds the event loop at no particular step. */
+  private void holdLoop() throws InterruptedException {
+    holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
+  }
+
+  /** Sends bytes while the event loop is held, until they lie unread in the server's socket. */
+  private static void sendUnread(Crossing gateway, byte[] bytes) throws IOException {
+    gateway.send(bytes);
+    gateway.awaitUnread(bytes.length);
+  }
+
+  /** Lets the server find bytes in its socket in one turn of the loop. */
+  private void sendAtOnce(Crossing gateway, byte[] bytes) throws Exception {
+    holdLoop();
+    sendUnread(gateway, bytes);
+    log.release();
+  }
+
   @AfterEach
   void stop() throws IOException {
     server.close();
@@ -109,10 +127,7 @@
     all.writeBytes(new byte[] {9}); // no version of the protocol
     all.writeBytes(new byte[50_000]);
     try (Crossing one = connect()) {
-      holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
-      one.send(all.toByteArray());
-      one.awaitUnread(all.size());
-      log.release();
+      sendAtOnce(one, all.toByteArray());
       assertEquals(STATUS_SERVED, one.answer().status());
       assertTrue(one.endsInOrder(), "it was reset");
     }
@@ -162,11 +177,9 @@
         Crossing half = resting()) {
       byte[] request = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(2));
       holdAt("drain ", server::drain);
-      whole.send(request);
-      whole.awaitUnread(request.length);
+      sendUnread(whole, request);
       byte[] other = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
-      half.send(Arrays.copyOf(other, 30));
-      half.awaitUnread(30);
+      sendUnread(half, Arrays.copyOf(other, 30));
       log.release();
       assertNotNull(whole.answer(), "closed without an answer");
       assertTrue(whole.endsInOrder());
@@ -230,13 +243,12 @@
   void whoWaitsToBeAcceptedAsTheNoticeComesIsAnswered() throws Exception {
     start(1, 256);
     InetSocketAddress at = server.listening().get(0);
-    holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
+    holdLoop();
     server.drain();
     try (Crossing one = new Crossing(at);
         Crossing silent = new Crossing(at)) {
       byte[] request = Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1));
-      one.send(request);
-      one.awaitUnread(request.length);
+      sendUnread(one, request);
       log.release();
       assertNotNull(one.answer(), "closed without an answer");
       assertTrue(one.endsInOrder() && silent.endsInOrder());
@@ -255,10 +267,9 @@
     try (Crossing one = resting();
         Crossing other = resting()) {
       byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
-      holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
+      holdLoop();
       server.reload(config(SettingsVariants.idle(BrokerFixture.settings(60, 2), 1), 256));
-      one.send(request);
-      one.awaitUnread(request.length);
+      sendUnread(one, request);
       log.release();
       Answer answer = one.answer();
       assertNotNull(answer, "closed without an answer");
@@ -276,10 +287,9 @@
     start(1, 33);
     try (Crossing one = resting()) {
       byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
-      holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
+      holdLoop();
       try (Crossing newcomer = connect()) {
-        one.send(request);
-        one.awaitUnread(request.length);
+        sendUnread(one, request);
         log.release();
         Answer answer = one.answer();
         assertNotNull(answer, "closed without an answer");
@@ -376,7 +386,7 @@
     try (Crossing one = connect()) {
       one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
-      holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
+      holdLoop();
       pool.release(); // the answer of the first is ready in the same turn as its abort
       ByteArrayOutputStream all = new ByteArrayOutputStream();
       all.writeBytes(Gateway.FastCgi.abort(1));
@@ -401,7 +411,7 @@
       one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       other.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       pool.awaitSpawns(2);
-      holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
+      holdLoop();
       pool.release();
       one.reset();
       log.release();
