--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -136,7 +136,7 @@
    * @param exchange the request
    */
   public void cancelled(Exchange exchange) {
-    if (!exchange.gone()) {
+    if (!exchange.cancel()) {
       return;
     }
     BrokerContext context = parts.context;
--- a/src/main/java/mothwing/broker/ControllerActions.java
+++ b/src/main/java/mothwing/broker/ControllerActions.java
@@ -39,7 +39,7 @@
     if (exchange == null) {
       return;
     }
-    if (exchange.hasRun() && !exchange.isIdempotent()) {
+    if (exchange.hasRunForGood()) {
       parts.answers.fail(exchange, FailureReason.RAN_BEFORE); // a rejection states: nothing ran
     } else {
       long retryAfterMicros = parts.shutdownState.retryAfter(stayAway);
@@ -72,7 +72,7 @@
   public void rememberKey(String id, long span) {
     Exchange exchange = open.get(id);
     if (exchange != null) {
-      parts.keys.keep(exchange, parts.context.scheduler().now() + span);
+      parts.keys.remember(exchange, parts.context.scheduler().now() + span);
     }
   }
 
--- a/src/main/java/mothwing/broker/DeadlineWatch.java
+++ b/src/main/java/mothwing/broker/DeadlineWatch.java
@@ -44,7 +44,7 @@
     List<Exchange> overdue = new ArrayList<>();
     for (Exchange exchange : context.open().view()) {
       almostDue |= exchange.isPending() && now >= exchange.deadline() - INTERVAL_MICROS;
-      if (exchange.calling() && now >= exchange.callUntil()) {
+      if (exchange.call().isInProgress() && now >= exchange.call().until()) {
         timedOutCalls.add(exchange);
       }
       if (exchange.isPending() && now >= exchange.deadline() + answerSlack) {
--- a/src/main/java/mothwing/broker/DependencyCalls.java
+++ b/src/main/java/mothwing/broker/DependencyCalls.java
@@ -60,7 +60,7 @@
     }
     counters.add(CounterNames.CALLS_AWAITED);
     abandon(exchange);
-    exchange.atCall(content);
+    exchange.callAwaited(content);
     events.enqueue((to, at) -> to.callAwaited(at, id));
   }
 
@@ -69,14 +69,14 @@
     Exchange exchange = open.get(id);
     if (exchange == null
         || !exchange.isPending()
-        || exchange.asked() == null
-        || exchange.calling()) {
+        || exchange.call().content() == null
+        || exchange.call().isInProgress()) {
       return;
     }
     long limit = Math.max(MICROS_PER_MILLI, until - scheduler.now());
-    exchange.calls(scheduler.now() + limit + TIMEOUT_SLACK_MICROS);
+    exchange.call().start(scheduler.now() + limit + TIMEOUT_SLACK_MICROS);
     counters.add(CounterNames.CALLS_STARTED);
-    if (!client.startCall(id, limit / MICROS_PER_MILLI, exchange.asked())) {
+    if (!client.startCall(id, limit / MICROS_PER_MILLI, exchange.call().content())) {
       ended(id, RunOutcome.UNREACHABLE, null);
     }
   }
@@ -84,7 +84,7 @@
   /** Resumes a run without the call that it awaits. */
   void skip(String id) {
     Exchange exchange = open.get(id);
-    if (exchange != null && exchange.asked() != null && !exchange.calling()) {
+    if (exchange != null && exchange.call().content() != null && !exchange.call().isInProgress()) {
       counters.add(CounterNames.CALLS_SKIPPED);
       resume(exchange, null);
     }
@@ -93,7 +93,7 @@
   /** A call is over; the result is there where it succeeded. */
   void ended(String id, RunOutcome outcome, byte[] result) {
     Exchange exchange = open.get(id);
-    if (exchange == null || !exchange.callOver()) {
+    if (exchange == null || !exchange.call().end()) {
       counters.add(CounterNames.CALL_ENDED_UNEXPECTED);
       return;
     }
@@ -113,7 +113,7 @@
 
   /** Abandons the call of a request, if there is one. */
   void abandon(Exchange exchange) {
-    if (exchange.callOver()) {
+    if (exchange.call().end()) {
       counters.add(CounterNames.CALL_ABANDONED);
       client.abandonCall(exchange.request().id());
     }
@@ -127,7 +127,7 @@
    */
   void resume(Exchange exchange, byte[] result) {
     boolean connected = pool.isReady();
-    exchange.supplied(result, sentPolls.getAsLong(), connected);
+    exchange.callAnswered(result, sentPolls.getAsLong(), connected);
     if (connected && result != null) {
       pool.resumeWithResult(exchange.request().id(), result);
     } else if (connected) {
--- a/src/main/java/mothwing/broker/Exchange.java
+++ b/src/main/java/mothwing/broker/Exchange.java
@@ -4,368 +4,274 @@
 
 /**
  * One request between the front that read it and the pool that runs it: the only place where the
- * two sides meet. Its answer is given at most once, and never after its caller left.
+ * two sides meet. Its answer is given at most once, and never after its caller has cancelled it.
+ *
+ * <table>
+ * <caption>State after an event; in a final state no event changes the state, and no answer is
+ * sent</caption>
+ * <tr><th>state</th><th>REPORTED</th><th>RUN_STARTED, RUN_RESUMED</th><th>RUN_PAUSED</th>
+ * <th>RUN_ABORTED</th><th>ANSWERED: the answer is sent</th><th>CANCELLED</th></tr>
+ * <tr><td>READ</td><td>HELD</td><td>RUNNING</td><td>PAUSED</td><td>HELD</td><td>ANSWERED</td>
+ * <td>CANCELLED</td></tr>
+ * <tr><td>HELD</td><td>HELD</td><td>RUNNING</td><td>PAUSED</td><td>HELD</td><td>ANSWERED</td>
+ * <td>CANCELLED</td></tr>
+ * <tr><td>RUNNING</td><td>RUNNING</td><td>RUNNING</td><td>PAUSED</td><td>HELD</td>
+ * <td>ANSWERED</td><td>CANCELLED</td></tr>
+ * <tr><td>PAUSED</td><td>PAUSED</td><td>RUNNING</td><td>PAUSED</td><td>HELD</td><td>ANSWERED</td>
+ * <td>CANCELLED</td></tr>
+ * <tr><td>ANSWERED (final)</td><td colspan="6">ANSWERED</td></tr>
+ * <tr><td>CANCELLED (final)</td><td colspan="6">CANCELLED</td></tr>
+ * </table>
+ *
+ * <p>The run may outlive the answer: what the pool has is kept apart, in {@link RunRecord} and
+ * {@link AwaitedCall}.
  */
 public final class Exchange {
-  /** Where a request stands with its caller and with the pool. */
+  /** The state of a request. */
   public enum State {
-    /** Read; the controller has not been told yet. */
+    /** Read; the controller does not know it yet. */
     READ,
     /** Known to the controller, not running. */
     HELD,
     /** Handed to the pool. */
     RUNNING,
-    /** Stopped by us, and kept by the pool. */
+    /** Stopped at the controller's request; the pool keeps the run. */
     PAUSED,
-    /** Its final answer is given. */
+    /** Its final answer was sent. */
     ANSWERED,
     /** Its caller left before an answer. */
-    GONE
-  }
+    CANCELLED;
 
-  private final InboundRequest request;
-  private final ResponseSink caller;
-  private final boolean isIdempotent;
-  private final long readAt;
-  private final long arrivedAt;
-  private final long deadline;
-  private final int classIndex;
-  private final int tenantIndex;
-  private final long window;
-  private IdempotencyKeys.Entry entry;
-  private State state = State.READ;
-  private boolean hasRun;
-  private boolean isInPool;
-  private boolean handedOver;
-  private boolean stopping;
-  private boolean begun;
-  private boolean doubted;
-  private long pollsBefore;
-  private byte[] asked;
-  private byte[] result;
-  private boolean calling;
-  private boolean supplied;
-  private boolean unsent;
-  private long callUntil;
-  private long stopAgainAt;
-  private long probeAt;
-
-  Exchange(
-      InboundRequest arrival,
-      ResponseSink caller,
-      boolean repeatable,
-      long readAt,
-      long arrivedAt,
-      long dueAt,
-      int classPlace,
-      int tenantPlace,
-      long window) {
-    this.request = arrival;
-    this.caller = caller;
-    this.isIdempotent = repeatable;
-    this.readAt = readAt;
-    this.arrivedAt = arrivedAt;
-    this.deadline = dueAt;
-    this.classIndex = classPlace;
-    this.tenantIndex = tenantPlace;
-    this.window = window;
-  }
+    private boolean isFinal() {
+      return this == ANSWERED || this == CANCELLED;
+    }
 
-  /**
-   * What was read.
-   *
-   * @return the request
-   */
-  public InboundRequest request() {
-    return request;
+    /** The state after an event: the table above. */
+    State after(Event event) {
+      if (isFinal()) {
+        return this;
+      }
+      return switch (event) {
+        case REPORTED -> this == READ ? HELD : this;
+        case RUN_STARTED, RUN_RESUMED -> RUNNING;
+        case RUN_PAUSED -> PAUSED;
+        case RUN_ABORTED -> HELD;
+        case ANSWERED -> ANSWERED;
+        case CANCELLED -> CANCELLED;
+      };
+    }
   }
 
-  /**
-   * Where it stands.
-   *
-   * @return its state
-   */
-  public State state() {
-    return state;
+  /** What changes the state of a request. */
+  enum Event {
+    /** The controller is told of it. */
+    REPORTED,
+    /** It is handed to the pool. */
+    RUN_STARTED,
+    /** Its paused run goes on. */
+    RUN_RESUMED,
+    /** The pool has stopped its run and keeps it. */
+    RUN_PAUSED,
+    /** The pool has stopped its run and thrown its work away. */
+    RUN_ABORTED,
+    /** It is completed, rejected or failed. */
+    ANSWERED,
+    /** Its caller leaves. */
+    CANCELLED
   }
 
   /**
-   * Whether a caller still waits for its answer.
+   * The times of a request, in microseconds of the monotonic clock.
    *
-   * @return true if so
+   * @param readAt when its last byte was read, so that it was sent at that time at the latest
+   * @param arrivedAt when it reached the machine, as far as its gateway is to be believed
+   * @param deadline when its answer is due
    */
-  public boolean isPending() {
-    return state != State.ANSWERED && state != State.GONE;
-  }
+  record Times(long readAt, long arrivedAt, long deadline) {}
 
   /**
-   * Whether the pool has a run of it.
+   * How a request is handled by its class and tenant.
    *
-   * @return true from its start until its end
+   * @param isIdempotent whether it may be run more than once
+   * @param classIndex the index of its class in the settings, or -1 for an unknown class
+   * @param tenantIndex the index of its tenant in the settings, or -1 for none
+   * @param idempotencyWindow microseconds from its arrival in which its repeats are recognised; 0
+   *     where it has no idempotency key that counts
    */
-  public boolean isInPool() {
-    return isInPool;
-  }
+  record Handling(boolean isIdempotent, int classIndex, int tenantIndex, long idempotencyWindow) {}
 
-  boolean hasRun() {
-    return hasRun;
-  }
-
-  boolean isIdempotent() {
-    return isIdempotent;
-  }
-
-  /**
-   * When its last byte was read: it was written at that time at the latest, whatever its gateway
-   * says.
-   */
-  long readAt() {
-    return readAt;
-  }
-
-  /**
-   * Microseconds from its arrival in which a repeat of it may come; 0 where none is known as such.
-   */
-  long window() {
-    return window;
-  }
-
-  /** Its entry among the idempotency keys, or null. */
-  IdempotencyKeys.Entry entry() {
-    return entry;
-  }
-
-  void entry(IdempotencyKeys.Entry made) {
-    entry = made;
-  }
-
-  /** Whether it has an idempotency key that counts. */
-  boolean hasIdempotencyKey() {
-    return window > 0;
-  }
-
-  long arrivedAt() {
-    return arrivedAt;
-  }
-
-  long deadline() {
-    return deadline;
-  }
-
-  /** The place of its class in the settings, or -1 where its name is unknown. */
-  int classIndex() {
-    return classIndex;
-  }
-
-  /** The place of its tenant in the settings, or -1 where there is none. */
-  int tenantIndex() {
-    return tenantIndex;
-  }
+  private final InboundRequest request;
+  private final ResponseSink caller;
+  private final Times times;
+  private final Handling handling;
+  private final RunRecord run = new RunRecord();
+  private final AwaitedCall call = new AwaitedCall();
+  private IdempotencyKeys.Entry idempotencyEntry;
+  private State state = State.READ;
 
-  /** Whether its start was ever put on a link: if not, the pool cannot have run it. */
-  boolean handedOver() {
-    return handedOver;
+  Exchange(InboundRequest request, ResponseSink caller, Times times, Handling handling) {
+    this.request = request;
+    this.caller = caller;
+    this.times = times;
+    this.handling = handling;
   }
 
-  boolean stopping() {
-    return stopping;
+  /** What was read. */
+  public InboundRequest request() {
+    return request;
   }
 
-  long pollsBefore() {
-    return pollsBefore;
+  State state() {
+    return state;
   }
 
-  void held() {
-    if (state == State.READ) {
-      state = State.HELD;
-    }
+  /** Whether its caller still waits for its answer. */
+  boolean isPending() {
+    return !state.isFinal();
   }
 
-  /**
-   * Marks it as running, and as handed to the pool, after so many polls, where there was a link.
-   * Says whether it was put on a link for the first time.
-   */
-  boolean started(long polls, boolean onLink) {
-    boolean first = onLink && !handedOver;
-    state = State.RUNNING;
-    hasRun = true;
-    isInPool = true;
-    handedOver |= onLink;
-    pollsBefore = polls;
-    return first;
+  /** Whether the pool has a run of it. */
+  boolean isInPool() {
+    return run.isInPool();
   }
 
-  /** Marks it as going on after a pause, and as told so to the pool after so many polls. */
-  void resumed(long polls) {
-    state = State.RUNNING;
-    stopping = false;
-    pollsBefore = polls;
+  /** What is known of its run. */
+  RunRecord run() {
+    return run;
   }
 
-  /** Whether the pool is known to have begun its run. */
-  boolean begun() {
-    return begun;
+  /** The call that its run awaits. */
+  AwaitedCall call() {
+    return call;
   }
 
-  /**
-   * Whether its last command may have been lost with a link, so that the pool's next word decides.
-   */
-  boolean doubted() {
-    return doubted;
+  boolean isIdempotent() {
+    return handling.isIdempotent();
   }
 
-  void doubt(boolean now) {
-    doubted = now;
+  /** Whether it may have had its effect and must not be run again. */
+  boolean hasRunForGood() {
+    return run.hasStarted() && !isIdempotent();
   }
 
-  /** Its run is to be stopped; said again from a time on where nothing came of it. */
-  void stop(long again) {
-    stopping = true;
-    stopAgainAt = again;
+  long readAt() {
+    return times.readAt();
   }
 
-  long stopAgainAt() {
-    return stopAgainAt;
+  long arrivedAt() {
+    return times.arrivedAt();
   }
 
-  void stopAgainAt(long at) {
-    stopAgainAt = at;
+  long deadline() {
+    return times.deadline();
   }
 
-  /** From when on the pool may be asked again whether there is a run of it. */
-  long probeAt() {
-    return probeAt;
+  int classIndex() {
+    return handling.classIndex();
   }
 
-  void probeAt(long at) {
-    probeAt = at;
+  int tenantIndex() {
+    return handling.tenantIndex();
   }
 
-  /** Its run stands at a call, which asks for this. */
-  void atCall(byte[] what) {
-    handedOver = true; // the pool runs it
-    noCall();
-    doubted = false; // and has not lost its start
-    asked = what;
+  long idempotencyWindow() {
+    return handling.idempotencyWindow();
   }
 
-  /** What its run asks for, or null where it does not stand at a call. */
-  byte[] asked() {
-    return asked;
+  /** Whether it has an idempotency key that counts. */
+  boolean hasIdempotencyKey() {
+    return handling.idempotencyWindow() > 0;
   }
 
-  /** The call is made, and is over for us at a time. */
-  void calls(long until) {
-    calling = true;
-    callUntil = until;
+  /** Its entry among the idempotency keys, or null. */
+  IdempotencyKeys.Entry idempotencyEntry() {
+    return idempotencyEntry;
   }
 
-  /** Whether a call is out. */
-  boolean calling() {
-    return calling;
+  void setIdempotencyEntry(IdempotencyKeys.Entry entry) {
+    idempotencyEntry = entry;
   }
 
-  long callUntil() {
-    return callUntil;
+  private void apply(Event event) {
+    state = state.after(event);
   }
 
-  /** The call is out no longer. Says whether it was. */
-  boolean callOver() {
-    boolean was = calling;
-    calling = false;
-    return was;
+  void reported() {
+    apply(Event.REPORTED);
   }
 
   /**
-   * The run goes on with this, or without it for null; so it was told to the pool after so many
-   * polls, or not yet.
+   * It was handed to the pool.
+   *
+   * @param polls how many polls the pool has been sent
+   * @param connected whether the start was put on a connection
+   * @return whether that was so for the first time
    */
-  void supplied(byte[] what, long polls, boolean onLink) {
-    asked = null;
-    result = onLink ? null : what;
-    unsent = !onLink;
-    supplied = onLink;
-    pollsBefore = polls;
+  boolean runStarted(long polls, boolean connected) {
+    apply(Event.RUN_STARTED);
+    return run.start(polls, connected);
   }
 
-  /** Whether the call is over and no link has carried that yet. */
-  boolean unsent() {
-    return unsent;
+  /** Its paused run goes on, after so many polls. */
+  void runResumed(long polls) {
+    apply(Event.RUN_RESUMED);
+    run.resume(polls);
   }
 
-  /** What is to be sent then; null where the run is to go on without it. */
-  byte[] result() {
-    return result;
+  /** The pool has stopped its run, and keeps it or has thrown its work away. */
+  void runStopped(boolean paused) {
+    call.clear();
+    run.stopped(paused, isPending());
+    apply(paused ? Event.RUN_PAUSED : Event.RUN_ABORTED);
   }
 
-  /** Whether the last word to the pool was that a call is over, after which it has not spoken. */
-  boolean supplied() {
-    return supplied;
+  /** The pool has nothing of it any longer. */
+  void runEnded() {
+    call.clear();
+    run.end();
   }
 
-  private void noCall() {
-    asked = null;
-    result = null;
-    calling = false;
-    supplied = false;
-    unsent = false;
+  /** Its run awaits a dependency call. */
+  void callAwaited(byte[] content) {
+    run.confirm();
+    call.await(content);
   }
 
-  /** The pool stopped its run and keeps it (or, where a stop throws the work away, does not). */
-  void stopped(boolean kept) {
-    noCall();
-    stopping = false;
-    begun = kept;
-    doubted = false;
-    isInPool = kept && isPending();
-    if (isPending()) {
-      state = kept ? State.PAUSED : State.HELD;
-    }
+  /** Its run is resumed with the result of the call, or null, after so many polls. */
+  void callAnswered(byte[] result, long polls, boolean connected) {
+    call.answer(result, connected);
+    run.commandSent(polls);
   }
 
-  /** The pool holds nothing of it any longer. */
-  void left() {
-    noCall();
-    isInPool = false;
-    stopping = false;
-    doubted = false;
+  /** The caller leaves. Returns whether its answer was pending. */
+  boolean cancel() {
+    boolean wasPending = isPending();
+    apply(Event.CANCELLED);
+    return wasPending;
   }
 
-  /** The caller left. Says whether an answer was still owed. */
-  boolean gone() {
-    boolean was = isPending();
-    state = was ? State.GONE : state;
-    return was;
+  /** Sends the result of its run. Returns false where its answer was not pending. */
+  boolean complete(byte[] result) {
+    return answer(() -> caller.sendResult(result));
   }
 
-  private boolean answer() {
-    boolean was = isPending();
-    state = was ? State.ANSWERED : state;
-    return was;
+  /** Sends a rejection. Returns false where its answer was not pending. */
+  boolean reject(boolean dontRetry, long retryAfterMillis) {
+    return answer(() -> caller.sendRejection(dontRetry, retryAfterMillis));
   }
 
-  boolean serve(byte[] result) {
-    if (answer()) {
-      caller.sendResult(result);
-      return true;
-    }
-    return false;
-  }
-
-  boolean refuse(boolean last, long holdOffMs) {
-    if (answer()) {
-      caller.sendRejection(last, holdOffMs);
-      return true;
-    }
-    return false;
+  /** Sends a failure. Returns false where its answer was not pending. */
+  boolean fail(FailureReason reason) {
+    return answer(() -> caller.sendFailure(reason.code()));
   }
 
-  boolean fail(String code) {
-    if (answer()) {
-      caller.sendFailure(code);
-      return true;
+  private boolean answer(Runnable send) {
+    boolean wasPending = isPending();
+    apply(Event.ANSWERED);
+    if (wasPending) {
+      send.run();
     }
-    return false;
+    return wasPending;
   }
 
   @Override
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -7,188 +7,182 @@
 import mothwing.control.RunOutcome;
 
 /**
- * Which try of a guarded request stands for its idempotency key, and how its run ended. Keys are
- * those of a tenant and a class: nobody is given the result of another's request. An entry whose
- * run may have begun outlives its window by a moment, as a repeat counts by when it came and may be
- * read later; one whose try ended without a run is not there any more. Bounded in number and bytes;
- * over that nothing new may be kept, and nothing new is run.
+ * Which request is the original of each idempotency key, and how its run ended. An entry whose run
+ * may have begun outlives its window for a while, since a repeat counts by its arrival and may be
+ * read later; an entry whose request ended without a run is dropped. Bounded in number and bytes:
+ * without room no key is remembered, and no request with a new key is run.
  */
 final class IdempotencyKeys {
-  /** Most entries. */
-  static final int MOST = 4096;
+  /** Entries at the same time. */
+  static final int MAX_ENTRIES = 4096;
 
-  /** Most bytes of all results, those still to come counted as the largest that a pool gives. */
-  static final int MOST_BYTES = 6 << 20;
+  /** Bytes of all results; one still to come counts as the largest that a pool gives. */
+  static final int MAX_RESULT_BYTES = 6 << 20;
 
-  private static final int LARGEST = 4 << 10; // a result, by the protocol
+  /** The largest result that the protocol of the pool allows. */
+  private static final int LARGEST_RESULT_BYTES = 4 << 10;
 
-  /** Microseconds past its window in which a repeat may still be read. */
-  static final long READ_LATE = 10_000_000;
+  /** How long past its window a repeat may still be read. */
+  static final long READ_DELAY_MICROS = 10_000_000;
 
-  /** A try and its run. */
+  /** The original request of a key, and its run. */
   static final class Entry {
-    private final String key;
-    private final String id;
-    private final byte[] digest;
-    private Exchange holder; // null once its run is over
+    private final IdempotencyKey key;
+    private final String originalId;
+    private final byte[] bodyDigest;
+    private Exchange original; // null once its run is over, so that it can be collected
     private long until;
-    private boolean begun;
-    private RunOutcome end;
-    private byte[] result;
-    private int bytes = LARGEST;
+    private boolean runBegun;
+    private byte[] result; // null unless the run succeeded and its result found room
+    private int reservedBytes = LARGEST_RESULT_BYTES;
 
-    private Entry(String key, Exchange holder, byte[] digest) {
+    private Entry(IdempotencyKey key, Exchange original) {
       this.key = key;
-      this.holder = holder;
-      id = holder.request().id();
-      this.digest = digest;
+      this.original = original;
+      originalId = original.request().id();
+      bodyDigest = digestOfBody(original);
     }
 
-    /** The try that stands for its key. */
-    String id() {
-      return id;
+    /** The id of the original request. */
+    String originalId() {
+      return originalId;
     }
 
-    /** Whether its run was begun, or may have been. */
-    boolean begun() {
-      return begun;
+    /** Whether the run was begun, or may have been. */
+    boolean isRunBegun() {
+      return runBegun;
     }
 
-    /** Whether an end is still to come: it is open, or its run goes on. */
-    boolean pending() {
-      return holder != null && (holder.isPending() || holder.isInPool());
+    /** Whether an end is still to come: the original is pending, or its run goes on. */
+    boolean isPending() {
+      return original != null && (original.isPending() || original.isInPool());
     }
 
-    /** What a good run made, or null: it did not end well, or its result found no room. */
+    /** The result of the run; null where it failed, or its result found no room. */
     byte[] result() {
-      return end == RunOutcome.SUCCEEDED ? result : null;
+      return result;
     }
 
-    /** Whether a repeat asks for the same. */
-    boolean sameBody(Exchange repeat) {
-      return MessageDigest.isEqual(digest, digest(repeat));
+    /** Whether a repeat asks for the same as the original. */
+    boolean hasSameBody(Exchange repeat) {
+      return MessageDigest.isEqual(bodyDigest, digestOfBody(repeat));
     }
 
-    /** Whether it still stands for its key: the try is open, or its run was begun. */
-    private boolean stands() {
-      return begun || pending();
+    private boolean isValid() {
+      return runBegun || isPending();
     }
   }
 
-  private final Map<String, Entry> all = new LinkedHashMap<>();
-  private int bytes;
+  private final Map<IdempotencyKey, Entry> entries = new LinkedHashMap<>();
+  private int reservedBytes;
 
-  /** The key of a try with all that it belongs to. */
-  static String key(Exchange one) {
-    return one.request().tenant()
-        + '\n'
-        + one.request().className()
-        + '\n'
-        + one.request().idempotencyKey();
-  }
-
-  private static byte[] digest(Exchange one) {
+  private static byte[] digestOfBody(Exchange exchange) {
     try {
-      return MessageDigest.getInstance("SHA-256").digest(one.request().body());
-    } catch (NoSuchAlgorithmException none) {
-      throw new IllegalStateException(none); // every Java runtime has it
+      return MessageDigest.getInstance("SHA-256").digest(exchange.request().body());
+    } catch (NoSuchAlgorithmException impossible) {
+      throw new IllegalStateException(impossible); // every Java runtime has it
     }
   }
 
-  /**
-   * The entry that a try repeats: its window was open when this one reached the machine; or null.
-   */
-  Entry repeated(Exchange one) {
-    Entry entry = one.hasIdempotencyKey() ? all.get(key(one)) : null;
-    return entry != null && entry != one.entry() && entry.stands() && one.arrivedAt() < entry.until
-        ? entry
-        : null;
+  /** The entry that a request repeats, as it arrived within the window; or null. */
+  Entry findOriginal(Exchange exchange) {
+    if (!exchange.hasIdempotencyKey()) {
+      return null;
+    }
+    Entry entry = entries.get(IdempotencyKey.of(exchange));
+    boolean repeats =
+        entry != null
+            && entry != exchange.idempotencyEntry()
+            && entry.isValid()
+            && exchange.arrivedAt() < entry.until;
+    return repeats ? entry : null;
   }
 
-  /** Whether another try of the same request was run, so that this one must not be. */
-  boolean ranBefore(Exchange one) {
-    Entry entry = repeated(one);
-    return entry != null && entry.begun;
+  /** Whether the request that this one repeats was run, so that this one must not be. */
+  boolean originalRan(Exchange exchange) {
+    Entry entry = findOriginal(exchange);
+    return entry != null && entry.runBegun;
   }
 
-  /** Whether a try has an entry, or there is room for one. */
-  boolean room(Exchange one) {
-    return !one.hasIdempotencyKey()
-        || all.containsKey(key(one))
-        || all.size() < MOST && bytes + LARGEST <= MOST_BYTES;
+  /** Whether a request has no key or an entry of its key, or there is room for one. */
+  boolean hasRoom(Exchange exchange) {
+    return !exchange.hasIdempotencyKey()
+        || entries.containsKey(IdempotencyKey.of(exchange))
+        || (entries.size() < MAX_ENTRIES
+            && reservedBytes + LARGEST_RESULT_BYTES <= MAX_RESULT_BYTES);
   }
 
-  /** Lets a try stand for its key until a time at the least. */
-  void keep(Exchange one, long until) {
-    if (!one.hasIdempotencyKey()) {
+  /** Makes a request the original of its key, until a time at least; a run of another stays. */
+  void remember(Exchange exchange, long until) {
+    if (!exchange.hasIdempotencyKey()) {
       return;
     }
-    if (one.entry() == null) {
-      Entry before = all.get(key(one));
-      if (before != null && before.begun && one.arrivedAt() < before.until) {
-        return; // the run stands, whatever is asked
+    if (exchange.idempotencyEntry() == null) {
+      IdempotencyKey key = IdempotencyKey.of(exchange);
+      Entry previous = entries.get(key);
+      if (previous != null && previous.runBegun && exchange.arrivedAt() < previous.until) {
+        return;
       }
-      drop(before);
-      Entry entry = new Entry(key(one), one, digest(one));
-      one.entry(entry);
-      all.put(entry.key, entry);
-      bytes += entry.bytes;
+      drop(previous);
+      Entry entry = new Entry(key, exchange);
+      exchange.setIdempotencyEntry(entry);
+      entries.put(key, entry);
+      reservedBytes += entry.reservedBytes;
     }
-    one.entry().until = Math.max(one.entry().until, until);
+    Entry entry = exchange.idempotencyEntry();
+    entry.until = Math.max(entry.until, until);
   }
 
-  /** A try need not stand for its key: it was not run. */
-  void forget(Exchange one) {
-    if (one.entry() != null && !one.entry().begun) {
-      drop(one.entry());
+  /** Drops the entry of a request that was not run. */
+  void forget(Exchange exchange) {
+    Entry entry = exchange.idempotencyEntry();
+    if (entry != null && !entry.runBegun) {
+      drop(entry);
     }
   }
 
-  /** A try is handed to the pool. */
-  void begins(Exchange one) {
-    keep(one, one.arrivedAt() + one.window());
-    if (one.entry() != null) {
-      one.entry().begun = true;
+  /** A request is handed to the pool. */
+  void runStarted(Exchange exchange) {
+    remember(exchange, exchange.arrivedAt() + exchange.idempotencyWindow());
+    if (exchange.idempotencyEntry() != null) {
+      exchange.idempotencyEntry().runBegun = true;
     }
   }
 
-  /** The run of a try is over. A result that finds no room is not kept: its repeats fail. */
-  void ended(Exchange one, RunOutcome outcome, byte[] result) {
-    Entry entry = one.entry();
+  /** The run of a request has ended. Without room for its result its repeats will fail. */
+  void runEnded(Exchange exchange, RunOutcome outcome, byte[] result) {
+    Entry entry = exchange.idempotencyEntry();
     if (entry == null) {
       return;
     }
-    entry.end = outcome;
-    entry.holder = null;
-    entry.result =
-        outcome == RunOutcome.SUCCEEDED && bytes - entry.bytes + result.length <= MOST_BYTES
-            ? result
-            : null;
-    int size = entry.result == null ? 0 : result.length;
-    bytes += all.get(entry.key) == entry ? size - entry.bytes : 0;
-    entry.bytes = size;
+    entry.original = null;
+    boolean keepsResult =
+        outcome == RunOutcome.SUCCEEDED
+            && reservedBytes - entry.reservedBytes + result.length <= MAX_RESULT_BYTES;
+    entry.result = keepsResult ? result : null;
+    int resultBytes = keepsResult ? result.length : 0;
+    if (entries.get(entry.key) == entry) {
+      reservedBytes += resultBytes - entry.reservedBytes;
+    }
+    entry.reservedBytes = resultBytes;
   }
 
   private void drop(Entry entry) {
-    if (entry != null && all.get(entry.key) == entry) {
-      all.remove(entry.key);
-      bytes -= entry.bytes;
+    if (entry != null && entries.get(entry.key) == entry) {
+      entries.remove(entry.key);
+      reservedBytes -= entry.reservedBytes;
     }
   }
 
-  /** Forgets what no repeat can ask for any longer. */
+  /** Drops what no repeat can ask for any longer. */
   void expire(long now) {
-    all.values()
-        .removeIf(
-            entry -> {
-              boolean over = !entry.stands() || now > entry.until + READ_LATE && !entry.pending();
-              bytes -= over ? entry.bytes : 0;
-              return over;
-            });
+    entries.values().removeIf(entry -> expire(entry, now));
   }
 
-  /** How many entries there are. */
-  int size() {
-    return all.size();
+  private boolean expire(Entry entry, long now) {
+    boolean outOfTime = now > entry.until + READ_DELAY_MICROS && !entry.isPending();
+    boolean expired = !entry.isValid() || outOfTime;
+    reservedBytes -= expired ? entry.reservedBytes : 0;
+    return expired;
   }
 }
--- a/src/main/java/mothwing/broker/Replays.java
+++ b/src/main/java/mothwing/broker/Replays.java
@@ -36,7 +36,7 @@
     if (repeat == null || !repeat.isPending()) {
       return;
     }
-    IdempotencyKeys.Entry original = keys.repeated(repeat);
+    IdempotencyKeys.Entry original = keys.findOriginal(repeat);
     if (original != null) {
       originalsByRepeatId.put(id, original);
       answerEnded();
@@ -50,7 +50,7 @@
       String id = entry.getKey();
       Exchange repeat = open.get(id);
       boolean waits = repeat != null && repeat.isPending();
-      if (waits && entry.getValue().pending()) {
+      if (waits && entry.getValue().isPending()) {
         continue;
       }
       originalsByRepeatId.remove(id);
@@ -65,7 +65,7 @@
     boolean good = original.result() != null;
     if (good) {
       answers.complete(repeat, original.result());
-    } else if (original.begun()) {
+    } else if (original.isRunBegun()) {
       answers.fail(repeat, FailureReason.REPLAYED_FAILURE);
     } else {
       answers.reject(repeat, RejectionReason.REPLAYED_NOTHING, false, 0);
--- a/src/main/java/mothwing/broker/RequestAnswers.java
+++ b/src/main/java/mothwing/broker/RequestAnswers.java
@@ -22,7 +22,7 @@
   }
 
   void complete(Exchange exchange, byte[] result) {
-    if (exchange.serve(result)) {
+    if (exchange.complete(result)) {
       counters.add(CounterNames.COMPLETED);
       count(exchange, RequestStatistics.End.COMPLETED);
     }
@@ -37,7 +37,7 @@
    * @param retryAfterMillis how long to stay away, or 0 for no advice
    */
   void reject(Exchange exchange, RejectionReason reason, boolean dontRetry, long retryAfterMillis) {
-    if (exchange.refuse(dontRetry, retryAfterMillis)) {
+    if (exchange.reject(dontRetry, retryAfterMillis)) {
       counters.add(CounterNames.REJECTED_PREFIX + reason.code());
       reasons.write(EventNames.REJECTED, exchange, reason.code());
       count(exchange, RequestStatistics.End.REJECTED);
@@ -46,7 +46,7 @@
 
   /** Fails a request that may have taken effect; a call of its run is abandoned. */
   void fail(Exchange exchange, FailureReason reason) {
-    if (exchange.fail(reason.code())) {
+    if (exchange.fail(reason)) {
       calls.abandon(exchange);
       counters.add(CounterNames.FAILED_PREFIX + reason.code());
       reasons.write(EventNames.FAILED, exchange, reason.code());
--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -84,7 +84,7 @@
       reject(exchange, RejectionReason.NOT_READY);
     } else if (context.open().size() >= MAX_OPEN_REQUESTS) {
       reject(exchange, RejectionReason.TABLE_FULL);
-    } else if (!keys.room(exchange)) {
+    } else if (!keys.hasRoom(exchange)) {
       reject(exchange, RejectionReason.KEYS_FULL);
     } else {
       context.open().add(exchange);
@@ -95,27 +95,29 @@
 
   private Exchange exchangeOfUnknownClass(InboundRequest request, ResponseSink caller) {
     long now = context.scheduler().now();
-    int tenantIndex = context.settings().tenantIndex(request.tenant());
-    int classIndex = context.settings().classIndex(request.className());
-    return new Exchange(request, caller, false, now, now, now, classIndex, tenantIndex, 0);
+    Exchange.Times times = new Exchange.Times(now, now, now);
+    return new Exchange(request, caller, times, handling(request, false, 0));
   }
 
   private Exchange exchange(
       InboundRequest request, ResponseSink caller, RequestClass requestClass) {
     long now = context.scheduler().now();
     long arrivedAt = now - unreadMicros(request, requestClass);
+    long deadline = arrivedAt + waitMicros(request, requestClass);
+    boolean idempotent = requestClass.idempotency() == Idempotency.SAFE;
     boolean keyed =
         requestClass.idempotency() == Idempotency.GUARDED && request.idempotencyKey() != null;
     return new Exchange(
         request,
         caller,
-        requestClass.idempotency() == Idempotency.SAFE,
-        now,
-        arrivedAt,
-        arrivedAt + waitMicros(request, requestClass),
-        context.settings().classIndex(request.className()),
-        context.settings().tenantIndex(request.tenant()),
-        keyed ? requestClass.idempotencyWindow() : 0);
+        new Exchange.Times(now, arrivedAt, deadline),
+        handling(request, idempotent, keyed ? requestClass.idempotencyWindow() : 0));
+  }
+
+  private Exchange.Handling handling(InboundRequest request, boolean idempotent, long window) {
+    int classIndex = context.settings().classIndex(request.className());
+    int tenantIndex = context.settings().tenantIndex(request.tenant());
+    return new Exchange.Handling(idempotent, classIndex, tenantIndex, window);
   }
 
   /**
@@ -155,8 +157,8 @@
    * read before it in the same batch have been decided by now.
    */
   private void deliver(Exchange exchange, Controller to, long at) {
-    IdempotencyKeys.Entry original = keys.repeated(exchange);
-    if (original != null && !original.sameBody(exchange)) {
+    IdempotencyKeys.Entry original = keys.findOriginal(exchange);
+    if (original != null && !original.hasSameBody(exchange)) {
       answers.fail(exchange, FailureReason.KEY_OF_ANOTHER);
       context.open().removeUnlessInPool(exchange);
       return;
@@ -164,8 +166,8 @@
     if (original != null) {
       context.counters().add(CounterNames.REPEATS);
     }
-    exchange.held();
-    to.requestRead(at, report(exchange, original == null ? null : original.id(), at));
+    exchange.reported();
+    to.requestRead(at, report(exchange, original == null ? null : original.originalId(), at));
   }
 
   private static Request report(Exchange exchange, String originalId, long at) {
--- a/src/main/java/mothwing/broker/RunAdmission.java
+++ b/src/main/java/mothwing/broker/RunAdmission.java
@@ -28,7 +28,7 @@
 
   /** Whether a request may be run; otherwise it has been answered. */
   boolean admit(Exchange exchange) {
-    if (keys.ranBefore(exchange)) {
+    if (keys.originalRan(exchange)) {
       answers.fail(exchange, FailureReason.RAN_BEFORE); // it has to be answered from that run
       return false;
     }
@@ -43,10 +43,10 @@
   private boolean claim(Exchange exchange) {
     long span =
         exchange.arrivedAt()
-            + exchange.window()
-            + IdempotencyKeys.READ_LATE
+            + exchange.idempotencyWindow()
+            + IdempotencyKeys.READ_DELAY_MICROS
             - context.scheduler().now();
-    RunClaims.Claim claim = claims.claim(IdempotencyKeys.key(exchange), span);
+    RunClaims.Claim claim = claims.claim(IdempotencyKey.of(exchange).claimText(), span);
     switch (claim) {
       case HELD -> answers.fail(exchange, FailureReason.RAN_BESIDE);
       case UNKNOWN -> answers.fail(exchange, FailureReason.CLAIM_UNKNOWN);
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -55,7 +55,7 @@
     }
     if (exchange.state() == Exchange.State.PAUSED) {
       resume(exchange);
-    } else if (exchange.hasRun() && !exchange.isIdempotent()) {
+    } else if (exchange.hasRunForGood()) {
       answers.fail(exchange, FailureReason.RAN_BEFORE); // the aborted run may have had its effect
       context.open().removeUnlessInPool(exchange);
     } else if (admission.admit(exchange)) {
@@ -67,14 +67,14 @@
   }
 
   private void resume(Exchange exchange) {
-    exchange.resumed(sentPolls.getAsLong());
+    exchange.runResumed(sentPolls.getAsLong());
     context.pool().resumeRun(exchange.request().id());
   }
 
   private void dispatch(Exchange exchange) {
-    keys.begins(exchange);
+    keys.runStarted(exchange);
     boolean sent = context.pool().startRun(exchange);
-    if (exchange.started(sentPolls.getAsLong(), sent)) {
+    if (exchange.runStarted(sentPolls.getAsLong(), sent)) {
       statistics.recordDispatch(exchange.request().className());
     }
   }
@@ -88,8 +88,8 @@
   /** Stops a run as the stop mode of the settings says. */
   void stop(String id) {
     Exchange exchange = context.open().get(id);
-    if (exchange != null && exchange.isInPool() && !exchange.stopping()) {
-      exchange.stop(context.scheduler().now() + RunReconciler.STOP_AGAIN);
+    if (exchange != null && exchange.isInPool() && !exchange.run().isStopping()) {
+      exchange.run().stop(context.scheduler().now() + RunReconciler.STOP_AGAIN);
       context.counters().add(CounterNames.RUNS_STOPPED);
       context.pool().stopRun(id);
     }
@@ -105,17 +105,17 @@
     }
     calls.abandon(exchange);
     if (outcome == RunOutcome.STOPPED && wasStoppedToProbe(exchange)) {
-      exchange.stopped(true);
+      exchange.runStopped(true);
       resume(exchange); // the controller need not know
       return;
     }
     if (outcome == RunOutcome.STOPPED) {
-      exchange.stopped(stopMode() == StopMode.SUSPEND);
+      exchange.runStopped(stopMode() == StopMode.SUSPEND);
     } else {
-      exchange.left();
+      exchange.runEnded();
     }
     if (!exchange.isInPool()) {
-      keys.ended(exchange, outcome, result);
+      keys.runEnded(exchange, outcome, result);
     }
     answer(exchange, outcome, result);
     if (!exchange.isInPool() && !exchange.isPending()) {
@@ -127,7 +127,7 @@
 
   /** Whether a run was stopped only to find out whether the pool has it. */
   private boolean wasStoppedToProbe(Exchange exchange) {
-    return exchange.isPending() && !exchange.stopping() && stopMode() == StopMode.SUSPEND;
+    return exchange.isPending() && !exchange.run().isStopping() && stopMode() == StopMode.SUSPEND;
   }
 
   private void answer(Exchange exchange, RunOutcome outcome, byte[] result) {
@@ -152,7 +152,7 @@
 
   @Override
   public void deliverCallResult(Exchange run) {
-    calls.resume(run, run.result());
+    calls.resume(run, run.call().unsentResult());
   }
 
   @Override
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -155,15 +155,15 @@
    * waited for.
    */
   private boolean reconcile(Exchange run) {
-    boolean mayBeLost = run.pollsBefore() >= answeredPolls;
-    if (run.isInPool() && run.stopping()) {
+    boolean mayBeLost = run.run().pollsBeforeCommand() >= answeredPolls;
+    if (run.isInPool() && run.run().isStopping()) {
       return doubt(run);
-    } else if (run.unsent()) {
+    } else if (run.call().isAnswerUnsent()) {
       actions.deliverCallResult(run);
-    } else if (run.asked() != null) {
+    } else if (run.call().content() != null) {
       counters.add(
           CounterNames.CALLS_AWAITED_AT_RECONNECT); // nothing was said since it told of the call
-    } else if (run.supplied() && mayBeLost) {
+    } else if (run.call().isAnswerSent() && mayBeLost) {
       if (run.isIdempotent() && halting.get() == StopMode.ABORT) {
         actions.halt(
             run); // the result is not said again: the run may stand at its next call by now
@@ -177,10 +177,10 @@
   }
 
   private boolean reconcileRunning(Exchange run) {
-    if (run.begun()) {
-      run.resumed(polls);
+    if (run.run().isBegun()) {
+      run.runResumed(polls);
       workers.resumeRun(run.request().id());
-    } else if (run.isIdempotent() || !run.handedOver()) {
+    } else if (run.isIdempotent() || !run.run().isSent()) {
       actions.startAgain(run);
     } else if (halting.get() == StopMode.SUSPEND) {
       return doubt(run);
@@ -189,7 +189,7 @@
   }
 
   private boolean doubt(Exchange run) {
-    run.doubt(true);
+    run.run().setInDoubt(true);
     if (halting.get() != StopMode.NONE) {
       workers.stopRun(run.request().id());
     }
@@ -234,10 +234,10 @@
   /** The pool has read all that was asked in doubt, and said nothing of what is still in doubt. */
   private void resolve() {
     for (Exchange run : open.snapshot()) {
-      if (!run.doubted()) {
+      if (!run.run().isInDoubt()) {
         continue;
       }
-      run.doubt(false);
+      run.run().setInDoubt(false);
       if (run.isPending()) {
         actions.startAgain(run);
       } else {
@@ -283,8 +283,8 @@
     }
     lostRuns = 0;
     for (Exchange run : open.snapshot()) {
-      if (run.isInPool() && run.stopping() && now >= run.stopAgainAt()) {
-        run.stopAgainAt(now + STOP_AGAIN);
+      if (run.isInPool() && run.run().isStopping() && now >= run.run().repeatStopAt()) {
+        run.run().setRepeatStopAt(now + STOP_AGAIN);
         workers.stopRun(run.request().id());
       }
       if (!run.isPending() && now >= run.deadline() + END_LOST) {
@@ -305,8 +305,8 @@
       return;
     }
     lostRuns++;
-    if (now >= run.deadline() + END_LOST + PROBE_AGAIN && now >= run.probeAt()) {
-      run.probeAt(now + PROBE_AGAIN);
+    if (now >= run.deadline() + END_LOST + PROBE_AGAIN && now >= run.run().probeAt()) {
+      run.run().setProbeAt(now + PROBE_AGAIN);
       probe(run);
     }
   }
