--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -262,12 +262,12 @@
 
   /** The missed notices have been read: runs in doubt are reconciled. */
   public void resynchronized() {
-    parts.reconciler.caughtUp(parts.context.scheduler().now());
+    parts.reconciler.resynchronized(parts.context.scheduler().now());
   }
 
   /** The connection to the pool is lost. */
   public void poolDisconnected() {
-    parts.reconciler.unlinked();
+    parts.reconciler.poolDisconnected();
     parts.gauges.poolDisconnected();
     parts.checks.poolDisconnected();
   }
--- a/src/main/java/mothwing/broker/BrokerParts.java
+++ b/src/main/java/mothwing/broker/BrokerParts.java
@@ -51,6 +51,6 @@
   }
 
   private long sentPolls() {
-    return reconciler.polls();
+    return reconciler.sentPolls();
   }
 }
--- a/src/main/java/mothwing/broker/GaugeSampler.java
+++ b/src/main/java/mothwing/broker/GaugeSampler.java
@@ -86,7 +86,7 @@
       sampledAt = scheduler.now();
     }
     int runnable = names.indexOf(RUNNABLE);
-    reconciler.answered(echo, complete && runnable >= 0 ? gauges[runnable] : NOT_KNOWN);
+    reconciler.pollAnswered(echo, complete && runnable >= 0 ? gauges[runnable] : NOT_KNOWN);
     deliver(echo, complete ? GaugeSample.of(gauges) : absentSample());
   }
 
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -89,7 +89,7 @@
   void stop(String id) {
     Exchange exchange = context.open().get(id);
     if (exchange != null && exchange.isInPool() && !exchange.run().isStopping()) {
-      exchange.run().stop(context.scheduler().now() + RunReconciler.STOP_AGAIN);
+      exchange.run().stop(context.scheduler().now() + RunReconciler.REPEAT_STOP_MICROS);
       context.counters().add(CounterNames.RUNS_STOPPED);
       context.pool().stopRun(id);
     }
@@ -144,7 +144,7 @@
   }
 
   @Override
-  public void startAgain(Exchange run) {
+  public void retryStart(Exchange run) {
     context.counters().add(CounterNames.RUNS_RETRIED);
     context.reasons().write(EventNames.RUN_RETRIED, run, "reconnected");
     dispatch(run);
@@ -156,7 +156,7 @@
   }
 
   @Override
-  public void halt(Exchange run) {
+  public void abort(Exchange run) {
     stop(run.request().id());
   }
 
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -5,136 +5,128 @@
 import mothwing.control.StopMode;
 
 /**
- * Finds out what became of runs whose last command, or whose end, may have been lost with a link to
- * the worker pool.
+ * Reconciles the runs that are in doubt: those whose last command, or whose end, may have been lost
+ * with a connection to the worker pool.
  *
- * <p>Invariant: a run is over only once the pool has said so. The absence of a word proves nothing:
- * cores that hang stop no run and say nothing of it, while the pool itself goes on answering. Until
- * the pool's word a run keeps its place in the controller's book, however many links come and go.
- *
- * <p>What the pool is asked:
+ * <p>Invariant: a run has ended only once the pool has reported so. The absence of a report proves
+ * nothing, since a pool whose cores hang goes on answering polls. Until that report a run counts as
+ * running for the controller, however many connections come and go.
  *
  * <table>
- * <caption>in doubt, by what is known of the run</caption>
- * <tr><th>run</th><th>asked</th><th>the pool's word that decides</th></tr>
- * <tr><td>to be stopped</td><td>the stop again; if no word came before the answer to a poll behind it, also the start: it does
- * nothing to what runs, and finds a request that is over {@code stale}</td><td>aborted, done, crashed, stale</td></tr>
- * <tr><td>paused and told to go on</td><td>to go on, again</td><td>its end</td></tr>
- * <tr><td>started, may be repeated, or never put on a link</td><td>the start again</td><td>its end</td></tr>
- * <tr><td>started, must run once</td><td>a stop: aborted shows that it runs, and it goes on; no word, the start again</td>
+ * <caption>What the pool is asked, by what is known of the run</caption>
+ * <tr><th>run</th><th>question</th><th>report that decides</th></tr>
+ * <tr><td>being stopped</td><td>the stop again; without a report before the answer to a later poll
+ * also the start, which does nothing to a run, and finds a request that has ended
+ * {@code stale}</td><td>aborted, done, crashed, stale</td></tr>
+ * <tr><td>paused and resumed</td><td>the resume again</td><td>its end</td></tr>
+ * <tr><td>started; idempotent, or never put on a connection</td><td>the start again</td>
  * <td>its end</td></tr>
+ * <tr><td>started; at most once</td><td>a stop: a report that it was stopped shows that it ran, and
+ * it is resumed; without a report, the start again</td><td>its end</td></tr>
  * </table>
  *
- * <p>Thread: the event loop's. It holds no request of its own.
+ * <p>Thread: the event loop. It holds no request of its own.
  */
 final class RunReconciler {
-  /** What the broker does for it. */
+  /** What is done about a run in doubt. */
   interface Actions {
-    /** Hands a run to the pool again. */
-    void startAgain(Exchange run);
+    /** Sends the start of a run again. */
+    void retryStart(Exchange run);
 
-    /** Sends a call's result, or its absence, that no link has carried yet. */
+    /** Resumes a run with the answer to its call that no connection has carried yet. */
     void deliverCallResult(Exchange run);
 
-    /** Stops a run for good. */
-    void halt(Exchange run);
+    /** Aborts a run. */
+    void abort(Exchange run);
 
-    /** Gives a run up that the pool shows no trace of. */
+    /** Gives up a lost run. */
     void giveUp(Exchange run);
   }
 
-  /** The echo of the poll behind all that was asked in doubt. */
-  private static final String BEHIND_DOUBTS = "resolve";
+  /** The echo of the poll that follows the questions about runs in doubt. */
+  private static final String DOUBT_POLL = "resolve";
 
-  /** The echo of a poll that looks whether anything is on the cores. */
-  private static final String IDLE_LOOK = "idle";
+  /** The echo of a poll for whether anything is runnable. */
+  private static final String IDLE_POLL = "idle";
 
-  /** The echoes of {@link #nextPoll}, as a pool may say anything. */
+  /** The echoes of {@link #nextPoll}; a pool may send any other. */
   private static final Pattern NUMBERED = Pattern.compile("t[0-9]{1,18}");
 
-  private static final long MILLI = 1000;
+  private static final long MICROS_PER_MILLI = 1000;
 
-  /**
-   * Microseconds after which a question without an answer is asked again: ten round trips of a busy
-   * machine.
-   */
-  private static final long ASK_AGAIN = 300 * MILLI;
+  /** When a poll without an answer is repeated: ten round trips of a busy machine. */
+  private static final long REPEAT_POLL_MICROS = 300 * MICROS_PER_MILLI;
 
-  /**
-   * Microseconds after which a stop without effect is said again: cores that hung may work again.
-   */
-  static final long STOP_AGAIN = 500 * MILLI;
+  /** When a stop without effect is repeated, as cores that hung may work again. */
+  static final long REPEAT_STOP_MICROS = 500 * MICROS_PER_MILLI;
 
-  /** Microseconds past its due time after which a stopped run's end counts as lost. */
-  private static final long END_LOST = 10_000 * MILLI;
+  /** How long past its deadline the end of a run counts as lost. */
+  private static final long END_LOST_MICROS = 10_000 * MICROS_PER_MILLI;
 
-  /** Microseconds between looks at the cores for runs whose end is lost. */
-  private static final long LOOK = 100 * MILLI;
+  /** The interval of polls for whether anything is runnable, while the end of a run is lost. */
+  private static final long IDLE_POLL_INTERVAL_MICROS = 100 * MICROS_PER_MILLI;
 
-  /**
-   * Answers in a row by which nothing is on the cores that prove it: a run may wait for a disk at
-   * one of them.
-   */
-  private static final int IDLE_LOOKS = 3;
+  /** Idle answers in a row that prove that nothing runs; a run may wait for a disk at one. */
+  private static final int REQUIRED_IDLE_ANSWERS = 3;
 
-  /** Microseconds between further questions about a run whose end is lost. */
-  private static final long PROBE_AGAIN = 1000 * MILLI;
+  /** The interval of probes for a run whose end is lost. */
+  private static final long PROBE_INTERVAL_MICROS = 1000 * MICROS_PER_MILLI;
 
   private final OpenRequests open;
-  private final WorkerPool workers;
+  private final WorkerPool pool;
   private final Counters counters;
   private final EventLog log;
-  private final Supplier<StopMode> halting;
+  private final Supplier<StopMode> stopMode;
   private final Actions actions;
-  private long polls;
-  private long answeredPolls;
-  private boolean asking;
-  private long askedAt;
-  private long askedBehind; // polls that were sent before the question
-  private long lookedAt;
-  private int idleLooks;
-  private int lostRuns;
+  private long sentPolls;
+  private long lastAnsweredPoll;
+  private boolean awaitsDoubtAnswer;
+  private long questionsSentAt;
+  private long pollsBeforeQuestions; // polls sent before the questions
+  private long idlePolledAt;
+  private int idleAnswers;
+  private int runsWithLostEnd;
 
   /**
    * Makes one.
    *
-   * @param open all open exchanges, the broker's own table
-   * @param workers the pool
-   * @param counters counts what is asked
+   * @param open the open requests
+   * @param pool has the runs
+   * @param counters counts questions
    * @param log takes a line for each change
-   * @param halting what the pool does to stopped runs, now
-   * @param actions carried out by the broker
+   * @param stopMode what the pool does with stopped runs, by the settings in force
+   * @param actions what is done about a run in doubt
    */
   RunReconciler(
       OpenRequests open,
-      WorkerPool workers,
+      WorkerPool pool,
       Counters counters,
       EventLog log,
-      Supplier<StopMode> halting,
+      Supplier<StopMode> stopMode,
       Actions actions) {
     this.open = open;
-    this.workers = workers;
+    this.pool = pool;
     this.counters = counters;
     this.log = log;
-    this.halting = halting;
+    this.stopMode = stopMode;
     this.actions = actions;
   }
 
-  /** How many polls have been sent: commands are in doubt until a later one is answered. */
-  long polls() {
-    return polls;
+  /** How many polls were sent; a command is in doubt until a later poll is answered. */
+  long sentPolls() {
+    return sentPolls;
   }
 
   /** The echo of a further poll. */
   String nextPoll() {
-    return "t" + ++polls;
+    return "t" + ++sentPolls;
   }
 
   /**
-   * All missed notices have been read on a new link. What was said since the last poll that was
-   * answered may have been lost with the one before.
+   * All missed notices have been read on a new connection. Commands sent since the last poll that
+   * was answered may have been lost with the previous one.
    */
-  void caughtUp(long now) {
+  void resynchronized(long now) {
     int inDoubt = 0;
     for (Exchange run : open.view()) {
       inDoubt += reconcile(run) ? 1 : 0;
@@ -146,78 +138,76 @@
             + " in_doubt="
             + inDoubt);
     if (inDoubt > 0) {
-      ask(now);
+      sendDoubtPoll(now);
     }
   }
 
   /**
-   * Says again to the pool what it may not have heard of a run. Says whether its word has to be
-   * waited for.
+   * Repeats the command about a run that the pool may not have received. Returns whether the run is
+   * in doubt until the pool reports.
    */
   private boolean reconcile(Exchange run) {
-    boolean mayBeLost = run.run().pollsBeforeCommand() >= answeredPolls;
+    boolean mayBeLost = run.run().pollsBeforeCommand() >= lastAnsweredPoll;
     if (run.isInPool() && run.run().isStopping()) {
-      return doubt(run);
+      return markInDoubt(run);
     } else if (run.call().isAnswerUnsent()) {
       actions.deliverCallResult(run);
     } else if (run.call().content() != null) {
-      counters.add(
-          CounterNames.CALLS_AWAITED_AT_RECONNECT); // nothing was said since it told of the call
+      counters.add(CounterNames.CALLS_AWAITED_AT_RECONNECT); // no command was sent since
     } else if (run.call().isAnswerSent() && mayBeLost) {
-      if (run.isIdempotent() && halting.get() == StopMode.ABORT) {
-        actions.halt(
-            run); // the result is not said again: the run may stand at its next call by now
+      if (run.isIdempotent() && stopMode.get() == StopMode.ABORT) {
+        actions.abort(run); // the result is not repeated, as the run may await its next call by now
       }
     } else if (run.isInPool() && run.state() == Exchange.State.RUNNING && mayBeLost) {
       return reconcileRunning(run);
     } else if (run.isInPool() && !run.isPending() && mayBeLost) {
-      return doubt(run); // runs cannot be stopped here, and its start may have been lost
+      return markInDoubt(run); // not stopped, as runs cannot be; its start may be lost
     }
     return false;
   }
 
   private boolean reconcileRunning(Exchange run) {
     if (run.run().isBegun()) {
-      run.runResumed(polls);
-      workers.resumeRun(run.request().id());
+      run.runResumed(sentPolls);
+      pool.resumeRun(run.request().id());
     } else if (run.isIdempotent() || !run.run().isSent()) {
-      actions.startAgain(run);
-    } else if (halting.get() == StopMode.SUSPEND) {
-      return doubt(run);
-    } // else a stop would throw its work away: it waits for its end, or its due time
+      actions.retryStart(run);
+    } else if (stopMode.get() == StopMode.SUSPEND) {
+      return markInDoubt(run);
+    } // else a stop would abort it: it waits for its end or its deadline
     return false;
   }
 
-  private boolean doubt(Exchange run) {
+  private boolean markInDoubt(Exchange run) {
     run.run().setInDoubt(true);
-    if (halting.get() != StopMode.NONE) {
-      workers.stopRun(run.request().id());
+    if (stopMode.get() != StopMode.NONE) {
+      pool.stopRun(run.request().id());
     }
     return true;
   }
 
-  private void ask(long now) {
-    asking = true;
-    askedAt = now;
-    askedBehind = polls;
-    workers.requestGauges(BEHIND_DOUBTS);
+  private void sendDoubtPoll(long now) {
+    awaitsDoubtAnswer = true;
+    questionsSentAt = now;
+    pollsBeforeQuestions = sentPolls;
+    pool.requestGauges(DOUBT_POLL);
   }
 
   /**
-   * The pool has answered a poll: it has read all that was said before it.
+   * The pool has answered a poll, so it has read all commands sent before.
    *
-   * @param echo the word that was sent along
-   * @param runnable what wants a core, or -1 where no gauge tells
+   * @param echo the echo of the poll
+   * @param runnable the number of runnable threads, or -1 where it is unknown
    */
-  void answered(String echo, double runnable) {
-    if (echo.equals(IDLE_LOOK)) {
-      idleLooks = runnable == 0 ? idleLooks + 1 : 0;
+  void pollAnswered(String echo, double runnable) {
+    if (echo.equals(IDLE_POLL)) {
+      idleAnswers = runnable == 0 ? idleAnswers + 1 : 0;
       return;
     }
     long number = number(echo);
-    answeredPolls = Math.max(answeredPolls, number);
-    if (asking && (echo.equals(BEHIND_DOUBTS) || number > askedBehind)) {
-      asking = false;
+    lastAnsweredPoll = Math.max(lastAnsweredPoll, number);
+    if (awaitsDoubtAnswer && (echo.equals(DOUBT_POLL) || number > pollsBeforeQuestions)) {
+      awaitsDoubtAnswer = false;
       resolve();
     }
   }
@@ -228,10 +218,10 @@
       return -1;
     }
     long number = Long.parseLong(echo, 1, echo.length(), 10);
-    return number <= polls ? number : -1;
+    return number <= sentPolls ? number : -1;
   }
 
-  /** The pool has read all that was asked in doubt, and said nothing of what is still in doubt. */
+  /** The pool has read all questions, and did not report the runs that are still in doubt. */
   private void resolve() {
     for (Exchange run : open.snapshot()) {
       if (!run.run().isInDoubt()) {
@@ -239,7 +229,7 @@
       }
       run.run().setInDoubt(false);
       if (run.isPending()) {
-        actions.startAgain(run);
+        actions.retryStart(run);
       } else {
         probe(run);
       }
@@ -247,66 +237,69 @@
   }
 
   /**
-   * Asks by a start whether there is a run of a request that is over: the pool finds it stale, or
-   * does nothing to what runs.
+   * Asks by a start whether the pool has a run of a request that has ended: it reports the request
+   * as stale, or does nothing to the run.
    */
   private void probe(Exchange run) {
     counters.add(CounterNames.RUNS_PROBED);
     log.write(EventNames.RUN_IN_DOUBT + " id=" + run);
     boolean runsOnceAtMost =
         run.isIdempotent()
-            || halting.get() != StopMode.ABORT; // an abort that is on its way threw work away
+            || stopMode.get() != StopMode.ABORT; // an abort under way may have thrown its work away
     if (runsOnceAtMost) {
-      workers.startRun(run);
+      pool.startRun(run);
     }
-    if (halting.get() != StopMode.NONE) {
-      workers.stopRun(run.request().id());
+    if (stopMode.get() != StopMode.NONE) {
+      pool.stopRun(run.request().id());
     }
   }
 
-  /**
-   * The link has broken: what was asked on it is asked again behind the next one's missed notices.
-   */
-  void unlinked() {
-    asking = false;
-    idleLooks = 0;
+  /** The connection is lost; the questions are sent again after the next resynchronization. */
+  void poolDisconnected() {
+    awaitsDoubtAnswer = false;
+    idleAnswers = 0;
   }
 
-  /** Looks for questions without an answer, stops without effect and runs whose end is lost. */
+  /** Repeats polls without an answer and stops without effect, and looks for lost runs. */
   void watch(long now) {
-    if (!workers.isReady()) {
+    if (!pool.isReady()) {
       return;
     }
-    if (asking && now - askedAt >= ASK_AGAIN) {
-      askedAt = now;
-      workers.requestGauges(BEHIND_DOUBTS);
+    if (awaitsDoubtAnswer && now - questionsSentAt >= REPEAT_POLL_MICROS) {
+      questionsSentAt = now;
+      pool.requestGauges(DOUBT_POLL);
     }
-    lostRuns = 0;
+    runsWithLostEnd = 0;
     for (Exchange run : open.snapshot()) {
-      if (run.isInPool() && run.run().isStopping() && now >= run.run().repeatStopAt()) {
-        run.run().setRepeatStopAt(now + STOP_AGAIN);
-        workers.stopRun(run.request().id());
-      }
-      if (!run.isPending() && now >= run.deadline() + END_LOST) {
-        lostEnd(run, now);
+      repeatStop(run, now);
+      if (!run.isPending() && now >= run.deadline() + END_LOST_MICROS) {
+        endIsLost(run, now);
       }
     }
-    if (lostRuns > 0 && now - lookedAt >= LOOK) {
-      lookedAt = now;
-      workers.requestGauges(IDLE_LOOK);
+    if (runsWithLostEnd > 0 && now - idlePolledAt >= IDLE_POLL_INTERVAL_MICROS) {
+      idlePolledAt = now;
+      pool.requestGauges(IDLE_POLL);
+    }
+  }
+
+  private void repeatStop(Exchange run, long now) {
+    if (run.isInPool() && run.run().isStopping() && now >= run.run().repeatStopAt()) {
+      run.run().setRepeatStopAt(now + REPEAT_STOP_MICROS);
+      pool.stopRun(run.request().id());
     }
   }
 
-  private void lostEnd(Exchange run, long now) {
-    if (idleLooks >= IDLE_LOOKS) {
+  private void endIsLost(Exchange run, long now) {
+    if (idleAnswers >= REQUIRED_IDLE_ANSWERS) {
       counters.add(CounterNames.LOST_RUNS);
       log.write(EventNames.LOST_RUN + " id=" + run);
       actions.giveUp(run);
       return;
     }
-    lostRuns++;
-    if (now >= run.deadline() + END_LOST + PROBE_AGAIN && now >= run.run().probeAt()) {
-      run.run().setProbeAt(now + PROBE_AGAIN);
+    runsWithLostEnd++;
+    if (now >= run.deadline() + END_LOST_MICROS + PROBE_INTERVAL_MICROS
+        && now >= run.run().probeAt()) {
+      run.run().setProbeAt(now + PROBE_INTERVAL_MICROS);
       probe(run);
     }
   }
