--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -11,7 +11,7 @@
 import mothwing.control.Tenant;
 
 /**
- * The settings in force: classes and tenants at places that do not move while an open request
+ * The settings in force: classes and tenants have indexes that do not change while an open request
  * refers to them.
  */
 final class ActiveSettings {
@@ -23,23 +23,23 @@
   /**
    * Makes the first settings.
    *
-   * @param told the settings
+   * @param next the settings
    */
-  ActiveSettings(Settings told) {
-    apply(told, Set.of());
+  ActiveSettings(Settings next) {
+    apply(next, Set.of());
   }
 
   /** Takes new settings; what is open goes on under the class that it was read under. */
-  void apply(Settings told, Collection<Exchange> open) {
+  void apply(Settings next, Collection<Exchange> open) {
     BitSet classesUsed = new BitSet();
     BitSet tenantsUsed = new BitSet();
-    for (Exchange one : open) {
-      classesUsed.set(one.classIndex()); // what is open has one
-      tenantsUsed.set(one.tenantIndex() + 1); // 0 stands for none
+    for (Exchange exchange : open) {
+      classesUsed.set(exchange.classIndex()); // what is open has one
+      tenantsUsed.set(exchange.tenantIndex() + 1); // 0 stands for none
     }
-    classes.update(told.classes(), classesUsed::get);
-    tenants.update(told.tenants(), place -> tenantsUsed.get(place + 1));
-    settings = placed(told);
+    classes.update(next.classes(), classesUsed::get);
+    tenants.update(next.tenants(), place -> tenantsUsed.get(place + 1));
+    settings = placed(next);
   }
 
   /** The pool says whether the machine has just started. */
@@ -48,32 +48,32 @@
     settings = placed(settings);
   }
 
-  private Settings placed(Settings told) {
-    Machine one = told.machine();
+  private Settings placed(Settings next) {
+    Machine stated = next.machine();
     Machine machine =
         new Machine(
-            one.cores(),
-            one.memoryKb(),
-            one.runMemoryFactor(),
+            stated.cores(),
+            stated.memoryKb(),
+            stated.runMemoryFactor(),
             0,
             setColdStart,
-            one.gaugeNames(),
-            one.stopMode());
+            stated.gaugeNames(),
+            stated.stopMode());
     return new Settings(
-        told.seed(),
-        told.batchInterval(),
+        next.seed(),
+        next.batchInterval(),
         classes.entries(),
         tenants.entries(),
-        told.replicas(),
-        told.callers(),
-        told.weightByWork(),
-        told.overQuotaWeightRatio(),
-        told.cacheLifetime(),
-        told.goal(),
-        told.rules(),
-        told.dependency(),
+        next.replicas(),
+        next.callers(),
+        next.weightByWork(),
+        next.overQuotaWeightRatio(),
+        next.cacheLifetime(),
+        next.goal(),
+        next.rules(),
+        next.dependency(),
         machine,
-        told.signals());
+        next.signals());
   }
 
   /** The settings as the controller knows them: by place. */
@@ -87,13 +87,13 @@
   }
 
   /** The class of a name that is known now, or null. */
-  RequestClass findClass(String kind) {
-    Integer place = classes.indexOf(kind);
+  RequestClass findClass(String className) {
+    Integer place = classes.indexOf(className);
     return place == null ? null : settings.classes().get(place);
   }
 
-  int classIndex(String kind) {
-    Integer place = classes.indexOf(kind);
+  int classIndex(String className) {
+    Integer place = classes.indexOf(className);
     return place == null ? -1 : place;
   }
 
--- a/src/main/java/mothwing/broker/RateLimitedEventLog.java
+++ b/src/main/java/mothwing/broker/RateLimitedEventLog.java
@@ -1,17 +1,16 @@
 package mothwing.broker;
 
 /**
- * Writes down why a request was refused, failed or handed over again, with its id; a bounded number
- * of lines a second. What finds no room is counted, and the count is written with the next second's
- * first line, so that a gap is seen as one.
+ * Logs why a request was rejected, failed or run again, with its id, at a bounded rate. Lines
+ * beyond the bound are counted, and their number is logged before the first line of a later second.
  *
  * <p>Thread: the event loop's.
  */
 final class RateLimitedEventLog {
-  /** Most lines a second: at 20 microseconds a line a thousandth of a core. */
-  static final int MOST_A_SECOND = 50;
+  /** Bounds the cost of logging to a thousandth of a core, at 20 microseconds a line. */
+  static final int MAX_LINES_PER_SECOND = 50;
 
-  private static final long SECOND = 1_000_000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   private final EventLog log;
   private final Scheduler timers;
@@ -31,14 +30,14 @@
   }
 
   /**
-   * Writes a line about a request, if there is room for one in this second.
+   * Writes a line about a request, unless this second has had its number of lines.
    *
    * @param event what happened to it
    * @param request the request
    * @param reason why, a code of the counters
    */
   void write(String event, Exchange request, String reason) {
-    long now = Math.floorDiv(timers.now(), SECOND);
+    long now = Math.floorDiv(timers.now(), MICROS_PER_SECOND);
     if (now != second) {
       second = now;
       lines = 0;
@@ -47,7 +46,7 @@
         suppressed = 0;
       }
     }
-    if (lines < MOST_A_SECOND) {
+    if (lines < MAX_LINES_PER_SECOND) {
       lines++;
       log.write(
           event
--- a/src/main/java/mothwing/broker/RequestStatistics.java
+++ b/src/main/java/mothwing/broker/RequestStatistics.java
@@ -6,13 +6,13 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What operators are told of requests, by class since the process began. It is counted where an
- * exchange comes to its one end, and where a run is first handed to the pool. A class that the
- * settings no longer name keeps its counts.
+ * What operators see of requests, by class since the process began. It is counted where an exchange
+ * comes to its one end, and where a run is first handed to the pool. A class that the settings no
+ * longer name keeps its counts.
  */
 public final class RequestStatistics {
-  /** Most classes counted apart; those beyond are counted under {@link #OTHERS}. */
-  static final int MOST_CLASSES = 256;
+  /** Classes that are counted apart; those beyond are counted under {@link #OTHERS}. */
+  static final int MAX_CLASSES = 256;
 
   /** Stands for all classes beyond the bound. */
   static final String OTHERS = "others";
@@ -31,25 +31,25 @@
 
   private final Map<String, Row> rows = new LinkedHashMap<>();
 
-  private Row row(String kind) {
-    Row row = rows.get(kind);
+  private Row row(String className) {
+    Row row = rows.get(className);
     if (row != null) {
       return row;
     }
-    return rows.computeIfAbsent(rows.size() < MOST_CLASSES ? kind : OTHERS, name -> new Row());
+    return rows.computeIfAbsent(rows.size() < MAX_CLASSES ? className : OTHERS, name -> new Row());
   }
 
   /** A class is known from now on, with counts of 0 where it is new. */
-  void register(String kind) {
-    row(kind);
+  void register(String className) {
+    row(className);
   }
 
-  void recordEnd(String kind, End end) {
-    row(kind).ends[end.ordinal()]++;
+  void recordEnd(String className, End end) {
+    row(className).ends[end.ordinal()]++;
   }
 
-  void recordDispatch(String kind) {
-    row(kind).runs++;
+  void recordDispatch(String className) {
+    row(className).runs++;
   }
 
   /** All counts by name and class, in the order in which the classes came. */
@@ -64,7 +64,7 @@
 
   private Map<String, Long> byClass(ToLongFunction<Row> count) {
     Map<String, Long> counts = new LinkedHashMap<>();
-    rows.forEach((kind, row) -> counts.put(kind, count.applyAsLong(row)));
+    rows.forEach((className, row) -> counts.put(className, count.applyAsLong(row)));
     return counts;
   }
 }
--- a/src/main/java/mothwing/broker/ShutdownState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -1,28 +1,28 @@
 package mothwing.broker;
 
 /**
- * Whether this process stays, sends its gateways away, hands over to another at the same address,
- * or leaves; and what that means for arrivals, checks and advice. Times are microseconds of the
- * monotonic clock.
+ * Whether this process serves, is out of rotation, hands over to another at the same address, or
+ * shuts down; and what that means for admission, health checks and retry advice. Times are
+ * microseconds of the monotonic clock.
  */
 final class ShutdownState {
-  /** How it goes. */
+  /** The kind of shutdown. */
   enum Mode {
-    /** It stays. */
+    /** None was requested. */
     NONE,
-    /** Another process takes clients at its address: nothing may be said that keeps them away. */
+    /** Another process takes clients at the same address; nothing may keep them away. */
     HANDING_OVER,
-    /** The server goes. */
+    /** The server ends. */
     LEAVING
   }
 
-  private Mode way = Mode.NONE;
+  private Mode mode = Mode.NONE;
   private boolean outOfRotation;
   private long noticeAt;
   private long stopAt;
   private long grace;
 
-  /** Sends gateways away, or ends that. Says false after the notice, when nothing changes. */
+  /** Takes the server out of rotation or puts it back; false once a shutdown was requested. */
   boolean outOfRotation(boolean now) {
     if (isDraining()) {
       return false;
@@ -36,12 +36,12 @@
   }
 
   /**
-   * The notice to leave came; what arrives in the grace after it may still run. Only the first one
-   * counts.
+   * A shutdown is requested; what is read in the grace period after it may still run. Only the
+   * first request counts.
    */
   void begin(long at, long stop, long spanOfGrace, boolean handover) {
     if (!isDraining()) {
-      way = handover ? Mode.HANDING_OVER : Mode.LEAVING;
+      mode = handover ? Mode.HANDING_OVER : Mode.LEAVING;
       noticeAt = at;
       stopAt = stop;
       grace = spanOfGrace;
@@ -49,11 +49,11 @@
   }
 
   boolean isDraining() {
-    return way != Mode.NONE;
+    return mode != Mode.NONE;
   }
 
   boolean isHandingOver() {
-    return way == Mode.HANDING_OVER;
+    return mode == Mode.HANDING_OVER;
   }
 
   long stopAt() {
@@ -61,29 +61,28 @@
   }
 
   /**
-   * When the controller is to turn away what comes: at once, or, handing over, after half of the
-   * time that is left.
+   * When the controller is to reject new requests: at once, or in a handover after half of the time
+   * that is left.
    */
   long admissionClosesAt() {
     return isHandingOver() ? noticeAt + Math.min(grace, (stopAt - noticeAt) / 2) : noticeAt;
   }
 
   /**
-   * Whether what was read whole then may still be run: what a gateway says of its arrival proves
-   * nothing.
+   * Whether a request may still be run, by when it was read completely; the arrival that a gateway
+   * states proves nothing.
    */
   boolean mayStillRun(long readAt) {
     return !isDraining() || readAt <= noticeAt + grace;
   }
 
-  /** The best that a check may say, where the controller says so much. */
+  /** Whether health checks may succeed, given whether the controller lets them. */
   boolean isHealthy(boolean controller) {
     return !outOfRotation && (controller || isHandingOver());
   }
 
   /**
-   * The span to stay away that a refusal may advise: those who hand over do not speak for the next
-   * one.
+   * The retry advice of a rejection: none in a handover, as it would hold for the next process too.
    */
   long retryAfter(long span) {
     return isHandingOver() ? 0 : span;
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -695,13 +695,13 @@
   @Test
   void reasonsAreWrittenWithTheRequestUpToABoundASecond() {
     int over = 10;
-    for (int i = 0; i < RateLimitedEventLog.MOST_A_SECOND + over; i++) {
+    for (int i = 0; i < RateLimitedEventLog.MAX_LINES_PER_SECOND + over; i++) {
       ask(i, "no-such-class");
     }
     stand.pass(SECOND);
     ask(1000, "no-such-class");
     List<String> written = stand.lines.stream().filter(line -> line.startsWith("failed ")).toList();
-    assertEquals(RateLimitedEventLog.MOST_A_SECOND + 1, written.size());
+    assertEquals(RateLimitedEventLog.MAX_LINES_PER_SECOND + 1, written.size());
     assertEquals(
         "failed id=" + BrokerFixture.id(0) + " class=no-such-class reason=unknown-class",
         written.get(0));
