--- a/src/main/java/mothwing/overload/CostEstimator.java
+++ b/src/main/java/mothwing/overload/CostEstimator.java
@@ -67,7 +67,9 @@
     List<RequestClass> settings = context.settings().classes();
     double span = seconds * ControllerContext.SECOND_MICROS;
     for (int i = 0; i < classes.size(); i++) {
-      classes.get(i).fade(ratioOfAll, settings.get(i).latencyObjective(), span, context.now());
+      classes
+          .get(i)
+          .fade(ratioOfAll, (double) settings.get(i).latencyObjective(), span, context.now());
     }
   }
 
