--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -25,7 +25,6 @@
   private static final String SNAPSHOT = "snapshot-";
   private static final String TEMPORARY = "aside.tmp";
   private static final int SNAPSHOT_FRAME_BYTES = 1 << 20;
-  private static final long END_OF_SNAPSHOT = -1; // the sequence number of its last frame
 
   /** Receives what was stored, in order: at most one snapshot, then the records after it. */
   public interface Replay {
@@ -90,7 +89,7 @@
     if (!snapshots.isEmpty()) {
       String newest = snapshots.get(snapshots.size() - 1);
       nextSequence = sequence(newest, SNAPSHOT) + 1;
-      readSnapshot(newest, replay);
+      SnapshotReader.read(disk, newest, nextSequence - 1, replay);
     }
     // needed are the log files with records that the snapshot does not cover
     int from = logs.size() - 1;
@@ -111,47 +110,6 @@
     }
   }
 
-  private void readSnapshot(String snapshot, Replay replay) throws IOException {
-    try (Disk.Opened opened = disk.open(snapshot)) {
-      OptionalLong covers = RecordFraming.firstSequence(opened, snapshot);
-      if (covers.isEmpty() || covers.getAsLong() != sequence(snapshot, SNAPSHOT)) {
-        throw new CorruptRecordException(snapshot, 0, "the snapshot is cut short");
-      }
-      long offset = RecordFraming.HEADER_BYTES;
-      long frames = 0;
-      while (offset < opened.size()) {
-        RecordFraming.Frame frame = snapshotFrame(opened, snapshot, offset, frames);
-        if (frame.firstSequence() == END_OF_SNAPSHOT) {
-          return;
-        }
-        for (byte[] piece : frame.records()) {
-          replay.snapshot(piece);
-        }
-        frames++;
-        offset = frame.end();
-      }
-      throw new CorruptRecordException(snapshot, offset, "the snapshot is cut short");
-    }
-  }
-
-  /** Reads a frame of a snapshot; the last one holds the number of those before it. */
-  private static RecordFraming.Frame snapshotFrame(
-      Disk.Opened opened, String snapshot, long offset, long number) throws IOException {
-    Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
-    if (read.isEmpty()
-        || (read.get().firstSequence() != number
-            && read.get().firstSequence() != END_OF_SNAPSHOT)) {
-      throw new CorruptRecordException(snapshot, offset, "a damaged piece of the snapshot");
-    }
-    RecordFraming.Frame frame = read.get();
-    if (frame.firstSequence() == END_OF_SNAPSHOT
-        && (frame.records().size() != 1
-            || ByteBuffer.wrap(frame.records().get(0)).getLong() != number)) {
-      throw new CorruptRecordException(snapshot, offset, "pieces of the snapshot are missing");
-    }
-    return frame;
-  }
-
   private void readLog(String log, boolean last, Replay replay) throws IOException {
     Disk.Opened opened = disk.open(log);
     boolean kept = false;
@@ -372,7 +330,7 @@
           return true;
         }
         byte[] count = ByteBuffer.allocate(Long.BYTES).putLong(frames).array();
-        temporary.append(RecordFraming.frame(END_OF_SNAPSHOT, List.of(count)));
+        temporary.append(RecordFraming.frame(SnapshotReader.LAST_FRAME, List.of(count)));
         temporary.force();
       } catch (IOException failed) {
         abandon();
--- /dev/null
+++ b/src/main/java/mothwing/store/SnapshotReader.java
@@ -0,0 +1,64 @@
+package mothwing.store;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.util.Optional;
+import java.util.OptionalLong;
+
+/** Reads the snapshots of a journal: numbered frames of pieces, then a frame with their number. */
+final class SnapshotReader {
+  /** The sequence number of the last frame of a snapshot. */
+  static final long LAST_FRAME = -1;
+
+  private SnapshotReader() {}
+
+  /**
+   * Reads a snapshot.
+   *
+   * @param disk where it is
+   * @param snapshot its file
+   * @param sequence the number of the last record that it covers
+   * @param replay receives its pieces
+   * @throws CorruptRecordException where it is damaged or incomplete
+   */
+  static void read(Disk disk, String snapshot, long sequence, Journal.Replay replay)
+      throws IOException {
+    try (Disk.Opened opened = disk.open(snapshot)) {
+      OptionalLong covers = RecordFraming.firstSequence(opened, snapshot);
+      if (covers.isEmpty() || covers.getAsLong() != sequence) {
+        throw new CorruptRecordException(snapshot, 0, "the snapshot is cut short");
+      }
+      long offset = RecordFraming.HEADER_BYTES;
+      long frames = 0;
+      while (offset < opened.size()) {
+        RecordFraming.Frame frame = readFrame(opened, snapshot, offset, frames);
+        if (frame.firstSequence() == LAST_FRAME) {
+          return;
+        }
+        for (byte[] piece : frame.records()) {
+          replay.snapshot(piece);
+        }
+        frames++;
+        offset = frame.end();
+      }
+      throw new CorruptRecordException(snapshot, offset, "the snapshot is cut short");
+    }
+  }
+
+  /** Reads a frame of a snapshot; the last one holds the number of those before it. */
+  private static RecordFraming.Frame readFrame(
+      Disk.Opened opened, String snapshot, long offset, long number) throws IOException {
+    Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
+    if (read.isEmpty()
+        || (read.get().firstSequence() != number && read.get().firstSequence() != LAST_FRAME)) {
+      throw new CorruptRecordException(snapshot, offset, "a damaged piece of the snapshot");
+    }
+    RecordFraming.Frame frame = read.get();
+    if (frame.firstSequence() == LAST_FRAME
+        && (frame.records().size() != 1
+            || ByteBuffer.wrap(frame.records().get(0)).getLong() != number)) {
+      throw new CorruptRecordException(snapshot, offset, "pieces of the snapshot are missing");
+    }
+    return frame;
+  }
+}
