--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -22,22 +22,24 @@
 import mothwing.testing.SettingsVariants;
 import org.junit.jupiter.api.Test;
 
-/** Drives the module with scripted events; the host asserts the four rules on every sequence. */
+/**
+ * Drives the controller with scripted events; the host asserts on every one what must always hold.
+ */
 class OverloadControllerTest {
   private static final int READ = 0;
   private static final int SAVE = 1;
   private static final int COMMIT = 2;
   private static final long SECOND = 1_000_000;
   private static final long START = 77 * SECOND;
-  private static final double ENTRY = 100;
+  private static final double KEY_KB = 100;
 
   private static Settings settings(
-      StopMode halting, double memory, boolean cold, double callShare) {
-    return settings(halting, memory, cold, callShare, 4);
+      StopMode stopMode, double memory, boolean coldStart, double callQuota) {
+    return settings(stopMode, memory, coldStart, callQuota, 4);
   }
 
   private static Settings settings(
-      StopMode halting, double memory, boolean cold, double callShare, int callers) {
+      StopMode stopMode, double memory, boolean coldStart, double callQuota, int callers) {
     return new Settings(
         1,
         5_000,
@@ -54,13 +56,13 @@
         0,
         new Goal(0.5, 0.2, 0.2, 0.1),
         new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
-        new Dependency(callShare, 5 * SECOND, 200_000),
-        new Machine(2, memory, 8, ENTRY, cold, List.of("cpu_busy", "runnable"), halting),
+        new Dependency(callQuota, 5 * SECOND, 200_000),
+        new Machine(2, memory, 8, KEY_KB, coldStart, List.of("cpu_busy", "runnable"), stopMode),
         new Signals(FreeValue.SHARE, SECOND, true, SECOND, true, 30 * SECOND));
   }
 
-  private static Settings withClasses(Settings base, List<RequestClass> kinds) {
-    return SettingsVariants.parts(base, kinds, base.tenants());
+  private static Settings withClasses(Settings base, List<RequestClass> classes) {
+    return SettingsVariants.parts(base, classes, base.tenants());
   }
 
   private static RecordingHost host() {
@@ -68,23 +70,23 @@
   }
 
   private static Request request(
-      RecordingHost host, String id, int place, String forerunner, long patience) {
+      RecordingHost host, String id, int classIndex, String originalId, long callerTimeout) {
     return new Request(
         id,
-        place,
+        classIndex,
         0,
         100_000,
         1_000,
         null,
         10,
-        forerunner,
+        originalId,
         0.5,
-        patience == 0 ? 0 : host.now() + patience,
-        place != READ);
+        callerTimeout == 0 ? 0 : host.now() + callerTimeout,
+        classIndex != READ);
   }
 
-  private static Request request(RecordingHost host, String id, int place) {
-    return request(host, id, place, null, 3 * SECOND);
+  private static Request request(RecordingHost host, String id, int classIndex) {
+    return request(host, id, classIndex, null, 3 * SECOND);
   }
 
   /** Occupies both cores. */
@@ -105,7 +107,7 @@
   }
 
   @Test
-  void runsWhatIsWorthMoreFirst() {
+  void runsTheHighestPriorityFirst() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "cheap", READ), request(host, "dear", COMMIT));
@@ -126,7 +128,7 @@
   }
 
   @Test
-  void takesTheDeadlineOfTheClassWhereNoPatienceIsTold() {
+  void usesTheDeadlineOfTheClassWithoutACallerDeadline() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ, null, 0));
@@ -135,14 +137,14 @@
   }
 
   @Test
-  void answersAtOnceWhatIsPastDueWhenRead() {
+  void rejectsAtOnceARequestThatIsReadAfterItsDueTime() {
     RecordingHost host = host();
     host.read(request(host, "late", READ, null, -SECOND));
     assertTrue(host.did("refuse late"));
   }
 
   @Test
-  void stopsRunningWorkInTheReplyThatFailsIt() {
+  void stopsARunInTheReplyThatFailsItsRequest() {
     RecordingHost host = host();
     fillCores(host);
     host.passUntil(START + 3 * SECOND);
@@ -152,7 +154,7 @@
   }
 
   @Test
-  void neverHaltsWhereThatIsNotAllowed() {
+  void stopsNoRunWhereRunsCannotBeStopped() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, false, 5), START);
     host.gauges(1.0, 3.0);
     fillCores(host);
@@ -163,7 +165,7 @@
   }
 
   @Test
-  void remembersGuardedWorkBeforeItStarts() {
+  void remembersAnIdempotencyKeyBeforeTheRunStarts() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
     int remembered = host.actions.indexOf("remember turn");
@@ -171,12 +173,12 @@
   }
 
   @Test
-  void aRepeatFollowsItsForerunner() {
+  void aRepeatWaitsForTheResultOfItsOriginal() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "turn", COMMIT));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
-    assertTrue(host.did("replay again"), "also while the forerunner is held");
+    assertTrue(host.did("replay again"), "also while the originalId is held");
     host.finish("busy1", RunOutcome.SUCCEEDED);
     host.finish("turn", RunOutcome.SUCCEEDED);
     host.read(request(host, "third", COMMIT, "turn", 3 * SECOND));
@@ -184,7 +186,7 @@
   }
 
   @Test
-  void aRepeatOfWhatRanIsFailedRatherThanTurnedAway() {
+  void aRepeatOfARequestThatRanIsFailedNotRejected() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
     host.finish("turn", RunOutcome.SUCCEEDED);
@@ -193,7 +195,7 @@
   }
 
   @Test
-  void forgetsTheKeyOfWhatItTurnsAwayUnrun() {
+  void forgetsTheKeyOfARejectedRequest() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
@@ -203,8 +205,8 @@
   }
 
   @Test
-  void turnsGuardedWorkAwayWhenTheTableHasNoRoom() {
-    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * ENTRY, false, 5), START);
+  void rejectsIdempotencyKeysBeyondTheMemory() {
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * KEY_KB, false, 5), START);
     for (int i = 0; i < 10; i++) {
       host.read(request(host, "turn" + i, COMMIT));
       if (!host.answered("turn" + i)) {
@@ -226,7 +228,7 @@
   }
 
   @Test
-  void repeatsACallOnlyWhereItIsProvenNotToHaveRun() {
+  void retriesACallOnlyAfterProofThatItHadNoEffect() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.atCall("turn");
@@ -240,7 +242,7 @@
   }
 
   @Test
-  void keepsCallsWithinItsPartOfTheDependency() {
+  void keepsCallsWithinItsQuotaOfTheDependency() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "one", READ), request(host, "two", READ));
     host.atCall("one");
@@ -253,7 +255,7 @@
   }
 
   @Test
-  void aDrainAnswersAllAndRunsNothingPastItsGrace() {
+  void aShutdownAnswersEverythingAndRunsNothingAfterItsGracePeriod() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ));
@@ -269,19 +271,19 @@
   }
 
   @Test
-  void aCallerThatLeftIsOwedNothing() {
+  void aCancelledRequestGetsNoAnswer() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ));
-    host.gone("held");
-    host.gone("busy1");
+    host.cancel("held");
+    host.cancel("busy1");
     assertTrue(host.did("halt busy1"));
     host.passUntil(START + 6 * SECOND);
     assertFalse(host.did("fail held") || host.did("refuse held") || host.did("fail busy1"));
   }
 
   @Test
-  void overloadTightensTheLadderAndRefusesOnRead() {
+  void overloadTightensTheLadderAndRejectsOnRead() {
     RecordingHost host = host();
     host.gauges(1.0, 7.0);
     int refusedOnRead = 0;
@@ -323,11 +325,11 @@
     assertTrue(host.count("start") - before <= 1);
     host.passUntil(host.now() + SECOND);
     host.read(request(host, "probe", SAVE));
-    assertTrue(host.did("start probe"), "it tries a little");
+    assertTrue(host.did("start probe"), "a few attempts are made");
   }
 
   @Test
-  void whatBetterWorkLeavesNoTimeForIsRefusedOnRead() {
+  void rejectsOnReadWhatCannotMeetItsDeadlineBehindHigherPriorities() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
@@ -335,19 +337,21 @@
       host.read(request(host, "dear" + i, COMMIT));
     }
     host.read(request(host, "cheap", SAVE));
-    assertTrue(host.did("refuse cheap last"), "and its caller is asked not to try elsewhere");
+    assertTrue(host.did("refuse cheap last"), "and its caller should not retry elsewhere");
     assertFalse(host.answered("dear0"));
   }
 
   @Test
-  void aColdServerCrowdsItsCoresLess() {
+  void slowStartLowersTheConcurrency() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, true, 5), START);
     for (int i = 0; i < 12; i++) {
       host.read(request(host, "r" + i, COMMIT));
     }
     host.passUntil(START + SECOND / 2);
     assertEquals(
-        2, host.count("start"), "idle gauges do not lift a cold server's limit past its crowd");
+        2,
+        host.count("start"),
+        "idle cores do not raise the limit above the ceiling of slow start");
     RecordingHost warm = host();
     for (int i = 0; i < 12; i++) {
       warm.read(request(warm, "r" + i, COMMIT));
@@ -357,22 +361,19 @@
   }
 
   @Test
-  void theFreeValueFollowsTheShareRefused() {
+  void theFreeValueFollowsTheRejectedShare() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     for (int i = 0; i < 100; i++) {
       host.read(request(host, "r" + i, SAVE));
       host.passUntil(host.now() + 10_000);
     }
-    assertTrue(host.actions.stream().anyMatch(one -> one.startsWith("say 0.")));
+    assertTrue(host.actions.stream().anyMatch(action -> action.startsWith("say 0.")));
   }
 
-  /**
-   * Guards against a server short of processor time that takes its own lateness for the cost of the
-   * work.
-   */
+  /** A server short of processor time must not take its own lateness for the cost of the work. */
   @Test
-  void whoHearsOfAnEndLateTakesThePoolsWordForWhatTheRunTook() {
+  void usesTheMeasuredDurationOfARunWhoseEndWasReportedLate() {
     for (long told : new long[] {SECOND / 10, 0}) {
       RecordingHost host = host();
       host.gauges(0.5, 1);
@@ -398,14 +399,12 @@
     return host;
   }
 
-  /**
-   * Guards against cores full of answers that come after their aim, which are worth a fifth, in
-   * place of some in time.
-   */
+  /** On busy cores a late answer must not take the place of one within its latency objective. */
   @Test
-  void lateWorthIsSoughtOnlyWhileCoresIdle() {
+  void runsForLateAnswersOnlyOnIdleCores() {
     assertTrue(
-        readsBehindEachOther(1).count("refuse") >= 20, "2 s of work on two cores, an aim of 1 s");
+        readsBehindEachOther(1).count("refuse") >= 20,
+        "2 s of work on two cores, an objective of 1 s");
     assertEquals(0, readsBehindEachOther(0.3).count("refuse"));
   }
 
@@ -428,7 +427,7 @@
   }
 
   @Test
-  void trimsIdleConnectionsWhereCallersComeTooSeldomToUseThemAgain() {
+  void closesIdleConnectionsWhereCallersReuseThemTooSeldom() {
     RecordingHost many =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 1_000), START);
     many.passUntil(START + SECOND);
@@ -440,7 +439,7 @@
   }
 
   @Test
-  void takesChancesOnIdleCoresOnly() {
+  void attemptsUnlikelyRunsOnlyOnIdleCores() {
     for (double busy : new double[] {0, 1}) {
       RecordingHost host = host();
       host.gauges(busy, 0);
@@ -458,16 +457,14 @@
               0.5,
               host.now() + 3 * SECOND,
               true));
-      assertEquals(busy == 0, host.did("start large"), "guessed past its aim, cores busy " + busy);
+      assertEquals(
+          busy == 0, host.did("start large"), "expected to miss its objective, cores busy " + busy);
     }
   }
 
-  /**
-   * Guards against calls that were slow once and then refused for good: what makes none hears of
-   * none.
-   */
+  /** A class that is rejected makes no calls: the learned call time must fade without them. */
   @Test
-  void afterSlowCallsThoseThatCallAreTriedAgain() {
+  void admitsCallingClassesAgainAfterSlowCalls() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0), START);
     for (int i = 0; i < 12; i++) {
       String id = "slow" + i;
@@ -508,7 +505,7 @@
   }
 
   @Test
-  void aStuckServerLetsItsCallersGoOn() {
+  void aStuckServerLetsItsCallersRetryElsewhere() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "early", SAVE, null, 100_000));
@@ -522,7 +519,7 @@
   }
 
   @Test
-  void aServerThatTurnsSlowRefusesWithinSecondsWhatItCannotServeInTime() {
+  void aSlowdownIsSeenWithinSeconds() {
     RecordingHost host = host();
     host.gauges(1, 2);
     for (int i = 0; i < 30; i++) {
@@ -541,7 +538,7 @@
       host.finish("right" + i, RunOutcome.SUCCEEDED);
     }
     host.read(request(host, "after", SAVE, null, SECOND * 7 / 10));
-    assertTrue(host.did("refuse after"), "four runs tell what work costs now");
+    assertTrue(host.did("refuse after"), "four runs show what work costs now");
   }
 
   /**
@@ -560,11 +557,9 @@
     return host;
   }
 
-  /**
-   * Guards against idle cores that refuse a class for ever, as what is refused shows nothing new.
-   */
+  /** On idle cores a rejected class must be attempted: its cost is measured no other way. */
   @Test
-  void idleCoresTryWhatWasSlow() {
+  void idleCoresAttemptWhatWasSlow() {
     RecordingHost host = afterASlowStretch();
     host.gauges(0.3, 0);
     host.passUntil(host.now() + SECOND / 10);
@@ -572,9 +567,9 @@
     assertTrue(host.did("start tried"), "nobody else has use for the core");
   }
 
-  /** Guards against the same on cores that other classes keep busy, quickly again. */
+  /** Cores that other classes keep busy must attempt a rejected class again, too. */
   @Test
-  void aClassThatIsRefusedIsJudgedByTheOthersAfterAWhile() {
+  void aRejectedClassTakesTheCostsOfOtherClassesAfterAWhile() {
     RecordingHost host = afterASlowStretch();
     String[] running = {"", ""};
     for (int i = 0; i < 50; i++) {
@@ -595,12 +590,9 @@
     assertFalse(host.did("refuse again"));
   }
 
-  /**
-   * Guards against cores given to what is worth little while what is worth much comes and must then
-   * be refused.
-   */
+  /** Low priorities must not take the cores that frequent arrivals of high priority will need. */
   @Test
-  void keepsRoomForBetterWorkThatIsToCome() {
+  void reservesCapacityForArrivalsOfHigherPriority() {
     for (boolean rush : new boolean[] {true, false}) {
       RecordingHost host = host();
       host.gauges(1, 2);
@@ -624,12 +616,9 @@
     }
   }
 
-  /**
-   * Guards against callers that are kept away from idle cores by what was refused long before, at a
-   * higher cost.
-   */
+  /** Earlier rejections must not keep callers away from idle cores. */
   @Test
-  void idleCoresAskForAllAgainAtOnce() {
+  void idleCoresWantAllTrafficAgainAtOnce() {
     for (boolean idle : new boolean[] {true, false}) {
       RecordingHost host = afterASlowStretch();
       for (int i = 0; i < 20; i++) {
@@ -638,13 +627,14 @@
       }
       host.gauges(idle ? 0.3 : 1, 0);
       host.passUntil(host.now() + SECOND);
-      List<String> says = host.actions.stream().filter(one -> one.startsWith("say ")).toList();
+      List<String> says =
+          host.actions.stream().filter(action -> action.startsWith("say ")).toList();
       assertEquals(idle, says.get(says.size() - 1).equals("say 1.0"), says::toString);
     }
   }
 
   @Test
-  void aHangingDependencyIsNeverHeldForMoreThanThisServersPart() {
+  void aHangingDependencyNeverHoldsMoreThanTheQuota() {
     double share = 0.6;
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, share), START);
     long held = 0;
@@ -658,7 +648,7 @@
       if (host.count("call") > calls) {
         calls = host.count("call");
         long began = host.now();
-        host.passUntil(Math.min(host.lastTimeOut(), START + 5 * SECOND));
+        host.passUntil(Math.min(host.lastCallTimeout(), START + 5 * SECOND));
         host.callEnded(id, RunOutcome.TIMED_OUT);
         held += host.now() - began + 200_000;
       }
@@ -669,7 +659,7 @@
   }
 
   @Test
-  void aSlowDependencyGetsTheCallsWorthMostAndTheRestIsRefusedOnRead() {
+  void aSlowDependencyGetsTheCallsOfTheHighestPriority() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.25), START);
     host.read(request(host, "slow", READ));
     host.atCall("slow");
@@ -696,7 +686,7 @@
   }
 
   @Test
-  void triesThatAreRefusedDoNotUseUpATenantsShare() {
+  void rejectedRequestsDoNotUseUpATenantsQuota() {
     RecordingHost host = host();
     fillCores(host);
     for (int i = 0; i < 400; i++) {
@@ -712,12 +702,12 @@
   }
 
   @Test
-  void workThatMayWaitLongDoesNotTightenTheLadder() {
+  void longDeadlinesDoNotTightenTheLadder() {
     for (boolean patient : new boolean[] {true, false}) {
       Settings base = settings(StopMode.ABORT, 4_000, false, 5);
-      List<RequestClass> kinds = new ArrayList<>(base.classes());
-      RequestClass read = kinds.get(READ);
-      kinds.set(
+      List<RequestClass> classes = new ArrayList<>(base.classes());
+      RequestClass read = classes.get(READ);
+      classes.set(
           READ,
           new RequestClass(
               "read",
@@ -729,7 +719,7 @@
               0,
               true,
               0));
-      RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
+      RecordingHost host = new RecordingHost(withClasses(base, classes), START);
       host.gauges(1, 3);
       for (int i = 0; i < 30; i++) {
         host.read(
@@ -766,7 +756,7 @@
   }
 
   @Test
-  void runsThatReturnFromCallsNeverCrowdTheCores() {
+  void runsThatReturnFromCallsStayWithinTheConcurrency() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 200_000, false, 0.5), START);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "read" + i, READ));
@@ -794,11 +784,11 @@
   }
 
   @Test
-  void aCallWhoseCallerLeftStaysInTheDependencysHands() {
+  void aCallOfACancelledRequestStillCounts() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "left", READ));
     host.atCall("left");
-    host.gone("left");
+    host.cancel("left");
     host.finish("left", RunOutcome.STOPPED);
     host.read(request(host, "next", READ));
     host.atCall("next");
@@ -807,9 +797,9 @@
     assertTrue(host.did("call next"));
   }
 
-  /** Guards against a link that breaks being taken for the end of the call that was out on it. */
+  /** The dependency may still work on a call whose connection was lost. */
   @Test
-  void aCallThatWasCutOffStaysInTheDependencysHands() {
+  void aCallOnALostConnectionStillCounts() {
     for (RunOutcome end : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
       RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
       host.read(request(host, "one", READ));
@@ -824,9 +814,9 @@
   }
 
   @Test
-  void whatIsGivenUpIsAnsweredAtOnceNotNearItsDeadline() {
+  void anAbandonedRequestIsAnsweredAtOnce() {
     Settings base = settings(StopMode.ABORT, 20_000, false, 0.5);
-    List<RequestClass> kinds =
+    List<RequestClass> classes =
         base.classes().stream()
             .map(
                 kind ->
@@ -841,7 +831,7 @@
                         kind.callsDependency(),
                         0))
             .toList();
-    RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
+    RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
@@ -857,9 +847,9 @@
   }
 
   @Test
-  void aCallIsLeftOutWhereThePoorerAnswerIsWorthMoreThanNone() {
+  void leavesACallOutWhereADegradedAnswerEarnsMore() {
     Settings base = settings(StopMode.NONE, 20_000, false, 0.5);
-    List<RequestClass> kinds =
+    List<RequestClass> classes =
         base.classes().stream()
             .map(
                 kind ->
@@ -874,7 +864,7 @@
                         kind.callsDependency(),
                         kind.idempotency() == Idempotency.GUARDED ? 0 : 0.5))
             .toList();
-    RecordingHost host = new RecordingHost(withClasses(base, kinds), START);
+    RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.atCall("turn");
@@ -888,7 +878,7 @@
   }
 
   @Test
-  void inAStormOfTriesATableMayFillAgain() {
+  void keepsIdleConnectionsInARetryStorm() {
     RecordingHost host =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10_000), START);
     host.gauges(1, 8);
@@ -916,9 +906,9 @@
   }
 
   @Test
-  void aDrainAnswersWhatIsDueOnlyAfterTheKill() {
-    for (StopMode halting : StopMode.values()) {
-      RecordingHost host = new RecordingHost(settings(halting, 20_000, false, 5), START);
+  void aShutdownAnswersWhatIsDueAfterTheKill() {
+    for (StopMode stopMode : StopMode.values()) {
+      RecordingHost host = new RecordingHost(settings(stopMode, 20_000, false, 5), START);
       host.gauges(1, 3);
       fillCores(host);
       host.read(request(host, "held", READ, null, 0), request(host, "turn", COMMIT, null, 0));
@@ -935,12 +925,9 @@
         id, SAVE, tenant, 100_000, 1_000, null, 10, null, 0.5, host.now() + 3 * SECOND, true);
   }
 
-  /**
-   * Guards against a tenant that comes by new settings and starts with what the one at its place
-   * before had used up.
-   */
+  /** A tenant of new settings must not start with the debt of another at its index. */
   @Test
-  void aTenantThatTakesThePlaceOfAnotherDoesNotInheritItsDebt() {
+  void aNewTenantAtTheSameIndexDoesNotInheritADebt() {
     for (boolean same : new boolean[] {true, false}) {
       RecordingHost host = host();
       for (int i = 0; i < 400; i++) {
@@ -948,7 +935,7 @@
         host.finish("spent" + i, RunOutcome.SUCCEEDED);
       }
       Settings base = host.settings();
-      host.retune(
+      host.changeSettings(
           SettingsVariants.parts(
               base,
               base.classes(),
@@ -961,22 +948,19 @@
     }
   }
 
-  /**
-   * Guards against a value that callers read as something else once the settings give it another
-   * meaning.
-   */
+  /** Callers must not read an old value in a new meaning. */
   @Test
-  void theFreeValueIsSaidAgainOnceItMeansSomethingElse() {
+  void publishesTheFreeValueAgainInANewMeaning() {
     RecordingHost host = host();
     for (FreeValue meaning :
         List.of(
             FreeValue.SHARE, FreeValue.LEVEL, FreeValue.WINDOW, FreeValue.SHARE, FreeValue.NONE)) {
-      host.retune(SettingsVariants.meaning(host.settings(), meaning));
+      host.changeSettings(SettingsVariants.meaning(host.settings(), meaning));
       int before = host.actions.size();
       host.passUntil(host.now() + SECOND / 5);
       List<String> says =
           host.actions.subList(before, host.actions.size()).stream()
-              .filter(one -> one.startsWith("say "))
+              .filter(action -> action.startsWith("say "))
               .toList();
       assertEquals(
           meaning == FreeValue.SHARE
@@ -987,12 +971,9 @@
     }
   }
 
-  /**
-   * Guards against a class that comes by new settings and has room kept for what came of the one at
-   * its place before.
-   */
+  /** Capacity must not be reserved for a new class by the arrivals of another at its index. */
   @Test
-  void aClassThatTakesThePlaceOfAnotherDoesNotInheritWhatCameOfIt() {
+  void aNewClassAtTheSameIndexDoesNotInheritArrivals() {
     for (boolean same : new boolean[] {true, false}) {
       RecordingHost host = host();
       host.gauges(0.9, 2);
@@ -1003,12 +984,12 @@
       for (int i = 0; i < 30; i++) {
         host.read(request(host, "came" + i, READ));
       }
-      List<RequestClass> kinds = new ArrayList<>(host.settings().classes());
-      kinds.set(
+      List<RequestClass> classes = new ArrayList<>(host.settings().classes());
+      classes.set(
           READ,
           new RequestClass(
               same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Idempotency.SAFE, 0, true, 0));
-      host.retune(withClasses(host.settings(), kinds));
+      host.changeSettings(withClasses(host.settings(), classes));
       host.read(request(host, "next", SAVE));
       assertEquals(
           same, host.answered("next"), "room is kept for what came of this class, and of no other");
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -22,8 +22,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random sequences with fixed seeds; the host asserts the four rules after every batch of every
- * one.
+ * Random sequences of events with fixed seeds; the host asserts what must always hold after each.
  */
 class RandomFaultTest {
   private static final long SECOND = 1_000_000;
@@ -31,7 +30,7 @@
   private static final int STEPS = 400;
   private static final int SUBJECTS = 12;
 
-  private static Settings settings(Random random, StopMode halting) {
+  private static Settings settings(Random random, StopMode stopMode) {
     boolean late = random.nextBoolean();
     return new Settings(
         random.nextLong(),
@@ -68,39 +67,39 @@
             40,
             random.nextBoolean(),
             List.of("cpu_busy", "runnable"),
-            halting),
+            stopMode),
         new Signals(FreeValue.LEVEL, SECOND, true, SECOND, true, 30 * SECOND));
   }
 
   @Test
-  void noRuleBreaksUnderRandomTrouble() {
+  void guaranteesHoldUnderRandomFaults() {
     long answered = 0;
-    for (StopMode halting : StopMode.values()) {
+    for (StopMode stopMode : StopMode.values()) {
       for (int seed = 0; seed < SEQUENCES; seed++) {
-        answered += play(new Random(seed * 31L + halting.ordinal()), halting);
+        answered += play(new Random(seed * 31L + stopMode.ordinal()), stopMode);
       }
     }
     assertTrue(answered > 10_000, "requests were played to their end: " + answered);
   }
 
-  private static long play(Random random, StopMode halting) {
-    RecordingHost host = new RecordingHost(settings(random, halting), 77 * SECOND);
-    boolean told = random.nextBoolean();
+  private static long play(Random random, StopMode stopMode) {
+    RecordingHost host = new RecordingHost(settings(random, stopMode), 77 * SECOND);
+    boolean hasCallerDeadline = random.nextBoolean();
     String[] last = new String[SUBJECTS];
     long drainAt = random.nextInt(STEPS * 2);
-    int retuneAt = random.nextInt(STEPS);
+    int settingsChangeAt = random.nextInt(STEPS);
     for (int step = 0; step < STEPS; step++) {
       host.consequences();
       host.gauges(random.nextDouble(), random.nextInt(8));
       if (step == drainAt) {
         host.drain(host.now() + 4 * SECOND);
       }
-      if (step == retuneAt) {
-        host.retune(retuned(host.settings()));
+      if (step == settingsChangeAt) {
+        host.changeSettings(changed(host.settings()));
       }
       double what = random.nextDouble();
       if (what < 0.45) {
-        host.read(request(host, random, "r" + step, told, last));
+        host.read(request(host, random, "r" + step, hasCallerDeadline, last));
       } else if (what < 0.6) {
         any(random, host.onCores())
             .ifPresent(
@@ -119,23 +118,23 @@
         };
         any(random, host.callsOut()).ifPresent(id -> host.callEnded(id, ends[random.nextInt(5)]));
       } else if (what < 0.91) {
-        any(random, host.owed()).ifPresent(host::gone);
+        any(random, host.pending()).ifPresent(host::cancel);
       }
       host.passUntil(host.now() + 5_000L * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 6)));
     }
-    for (int i = 0; i < 300 && !host.owed().isEmpty(); i++) {
+    for (int i = 0; i < 300 && !host.pending().isEmpty(); i++) {
       host.consequences();
       host.passUntil(host.now() + 20_000);
     }
-    assertTrue(host.owed().isEmpty(), "all is answered");
+    assertTrue(host.pending().isEmpty(), "all is answered");
     return host.count("refuse") + host.count("fail") + host.count("start");
   }
 
   /**
    * A class and a tenant more, one class with less time, and the class "save" gone for another at
-   * its place.
+   * its classIndex.
    */
-  private static Settings retuned(Settings one) {
+  private static Settings changed(Settings one) {
     List<RequestClass> classes = new ArrayList<>(one.classes());
     classes.set(
         1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0));
@@ -164,17 +163,17 @@
   }
 
   private static Request request(
-      RecordingHost host, Random random, String id, boolean told, String[] last) {
-    int place = random.nextInt(host.settings().classes().size());
+      RecordingHost host, Random random, String id, boolean hasCallerDeadline, String[] last) {
+    int classIndex = random.nextInt(host.settings().classes().size());
     int subject = random.nextInt(SUBJECTS);
     String before = null;
-    if (place == 2) {
+    if (classIndex == 2) {
       before = last[subject] != null && host.remembers(last[subject]) ? last[subject] : null;
       last[subject] = before == null ? id : before;
     }
     return new Request(
         id,
-        place,
+        classIndex,
         random.nextInt(host.settings().tenants().size()),
         0,
         random.nextInt(100_000),
@@ -182,7 +181,7 @@
         5 + random.nextInt(20),
         before,
         random.nextDouble(),
-        told ? host.now() + 200_000 + random.nextInt(4_000_000) : 0,
-        place != 0);
+        hasCallerDeadline ? host.now() + 200_000 + random.nextInt(4_000_000) : 0,
+        classIndex != 0);
   }
 }
