--- a/src/test/java/mothwing/peer/CodecAccess.java
+++ b/src/test/java/mothwing/peer/MembershipMessageCodecAccess.java
@@ -4,8 +4,8 @@
 import mothwing.membership.MembershipMessage;
 
 /** Lets tests outside of this package use the encoding of messages between servers. */
-public final class CodecAccess {
-  private CodecAccess() {}
+public final class MembershipMessageCodecAccess {
+  private MembershipMessageCodecAccess() {}
 
   /** The bytes of a message. */
   public static byte[] bytes(MembershipMessage message) {
--- a/src/test/java/mothwing/witness/OperatorsWitnessTest.java
+++ b/src/test/java/mothwing/witness/AdminWitnessTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /** The recorded replies to operators' calls. */
-class OperatorsWitnessTest {
+class AdminWitnessTest {
   private static final String CONNECTION = "operators-connection.txt";
   private static final String SERVER = "operators-server.txt";
   private static final int SEED = 7; // of the fleet member's start number
--- a/src/test/java/mothwing/witness/LedgerWitnessTest.java
+++ b/src/test/java/mothwing/witness/DependencyWitnessTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The recorded lines between the dependency's client and the dependency. */
-class LedgerWitnessTest {
+class DependencyWitnessTest {
   private static final String CALLS = "ledger-calls.txt";
   private static final long SETTLING = 10_000; // microseconds: events are given in batches
 
--- a/src/test/java/mothwing/witness/AnnounceWitnessTest.java
+++ b/src/test/java/mothwing/witness/LoadReportWitnessTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The recorded reports to the announce service, and how its answers are read. */
-class AnnounceWitnessTest {
+class LoadReportWitnessTest {
   private static final String REPORTS = "announce-reports.txt";
 
   private final List<EmbeddedChannel> links = new ArrayList<>();
--- a/src/test/java/mothwing/witness/PeerMessageTest.java
+++ b/src/test/java/mothwing/witness/PeerMessageTest.java
@@ -9,7 +9,7 @@
 import mothwing.membership.MemberRecord;
 import mothwing.membership.MemberState;
 import mothwing.membership.MembershipMessage;
-import mothwing.peer.CodecAccess;
+import mothwing.peer.MembershipMessageCodecAccess;
 import org.junit.jupiter.api.Test;
 
 /** Each kind of message between servers as recorded: written again to the byte, and read again. */
@@ -34,8 +34,8 @@
               "x"));
 
   private static void assertRecorded(String name, MembershipMessage message) throws IOException {
-    HexFile.assertRecorded("peer/" + name, CodecAccess.bytes(message));
-    assertEquals(message, CodecAccess.message(HexFile.read("peer/" + name)));
+    HexFile.assertRecorded("peer/" + name, MembershipMessageCodecAccess.bytes(message));
+    assertEquals(message, MembershipMessageCodecAccess.message(HexFile.read("peer/" + name)));
   }
 
   private static MembershipMessage message(
@@ -82,12 +82,16 @@
   @Test
   void passesOverFieldsOfALaterProgram() throws IOException {
     MembershipMessage expected = message(MembershipMessage.Kind.ACK, 127, "", CLAIMS.subList(0, 1));
-    assertEquals(expected, CodecAccess.message(HexFile.read("peer/ack-with-unknown-fields")));
+    assertEquals(
+        expected,
+        MembershipMessageCodecAccess.message(HexFile.read("peer/ack-with-unknown-fields")));
   }
 
   private static void assertDropped(String code, byte[] bytes) {
     assertEquals(
-        code, assertThrows(IOException.class, () -> CodecAccess.message(bytes)).getMessage());
+        code,
+        assertThrows(IOException.class, () -> MembershipMessageCodecAccess.message(bytes))
+            .getMessage());
   }
 
   @Test
