--- a/src/main/java/mothwing/pool/PoolNotice.java
+++ b/src/main/java/mothwing/pool/PoolNotice.java
@@ -6,11 +6,7 @@
 
 /** A notice of the worker pool, decoded. */
 sealed interface PoolNotice {
-  /**
-   * What a notice is about, known before its fields are decoded.
-   *
-   * @param counter names the kind in counters
-   */
+  /** What a notice is about, known before its fields are decoded, with its word in counters. */
   enum Kind {
     CONNECTED("connected"),
     RUN_ENDED("run-ended"),
