--- a/src/main/java/mothwing/membership/FailureDetectorSettings.java
+++ b/src/main/java/mothwing/membership/FailureDetectorSettings.java
@@ -1,93 +1,142 @@
 package mothwing.membership;
 
 /**
- * How fast and how sure a member is. Times are microseconds.
+ * Intervals and bounds of the membership protocol. Times are microseconds.
  *
- * @param beat between probes of those that a member watches
- * @param watched how many it watches
- * @param period between probes of somebody at random
- * @param ackWait for an answer, before others are asked
- * @param askWait for an answer by way of others, before the member is suspected
- * @param helpers how many others are asked
- * @param least from an accusation to the death, where enough others accuse too
- * @param most the same, where nobody else does
- * @param enough accusers beside oneself after which nothing is waited for but {@code least}
- * @param hearsay the wait of those that accuse nobody themselves, as a ratio of {@code most}
- * @param resend how often a claim is sent on, as a ratio of the logarithm of the members' number
- * @param packet most bytes of a datagram
- * @param tombstone for which a removed member is remembered
- * @param sync between full exchanges, for each hundred members
- * @param aloneAfter without enough others heard, after which a member calls itself alone
- * @param panic share of the members; where more would die within {@code panicHold}, nobody does
- *     until it holds for longer
- * @param panicHold how much longer
- * @param doubt most steps by which a slow member trusts itself less: each makes its waits longer by
- *     one
+ * @param probeIntervalMicros between probes of the successors on the ring
+ * @param ringSuccessors how many successors on the ring a member probes
+ * @param randomProbeIntervalMicros between probes of a random member
+ * @param ackTimeoutMicros from a direct ping to the indirect ones
+ * @param indirectAckTimeoutMicros from the indirect pings to the suspicion
+ * @param indirectProbeMembers how many members are asked for an indirect ping
+ * @param minSuspicionMicros from suspicion to death with enough independent accusers
+ * @param maxSuspicionMicros the same with a single accuser
+ * @param suspicionConfirmations further accusers after which the minimum applies
+ * @param gossipedSuspicionMultiplier of the maximum, where this member is not an accuser
+ * @param retransmitMultiplier transmissions of a record, by the logarithm of the member count
+ * @param maxDatagramBytes the largest datagram
+ * @param tombstoneMicros for which a removed member is remembered
+ * @param antiEntropyIntervalMicros between full exchanges, for each hundred members
+ * @param isolationTimeoutMicros without enough members heard, after which this one is isolated
+ * @param massFailureRatio of the members; where more fail within {@code massFailureHoldMicros},
+ *     deaths are held back
+ * @param massFailureHoldMicros how much longer a suspicion has to last then
+ * @param maxLocalHealthMultiplier the highest local health score: each step adds one to the factor
+ *     of timeouts
  */
 public record FailureDetectorSettings(
-    long beat,
-    int watched,
-    long period,
-    long ackWait,
-    long askWait,
-    int helpers,
-    long least,
-    long most,
-    int enough,
-    double hearsay,
-    double resend,
-    int packet,
-    long tombstone,
-    long sync,
-    long aloneAfter,
-    double panic,
-    long panicHold,
-    int doubt) {
-  private static final long MILLI = 1000;
-  private static final long SECOND = 1000 * MILLI;
+    long probeIntervalMicros,
+    int ringSuccessors,
+    long randomProbeIntervalMicros,
+    long ackTimeoutMicros,
+    long indirectAckTimeoutMicros,
+    int indirectProbeMembers,
+    long minSuspicionMicros,
+    long maxSuspicionMicros,
+    int suspicionConfirmations,
+    double gossipedSuspicionMultiplier,
+    double retransmitMultiplier,
+    int maxDatagramBytes,
+    long tombstoneMicros,
+    long antiEntropyIntervalMicros,
+    long isolationTimeoutMicros,
+    double massFailureRatio,
+    long massFailureHoldMicros,
+    int maxLocalHealthMultiplier) {
 
-  /** The usual one, for a room of machines that answer in milliseconds. */
-  public static final FailureDetectorSettings USUAL =
-      new FailureDetectorSettings(
-          400 * MILLI,
-          3,
-          SECOND,
-          300 * MILLI,
-          400 * MILLI,
-          3,
-          1500 * MILLI,
-          6 * SECOND,
-          2,
-          5,
-          3,
-          1400,
-          600 * SECOND,
-          10 * SECOND,
-          3 * SECOND,
-          0.3,
-          10 * SECOND,
-          8);
+  /** For machines of one site, which answer within milliseconds. */
+  public static final FailureDetectorSettings DEFAULTS = new Builder().build();
 
-  /** The same without the doubt of oneself, to see what it is worth. */
-  public FailureDetectorSettings withoutDoubt() {
-    return new FailureDetectorSettings(
-        beat,
-        watched,
-        period,
-        ackWait,
-        askWait,
-        helpers,
-        least,
-        most,
-        enough,
-        hearsay,
-        resend,
-        packet,
-        tombstone,
-        sync,
-        aloneAfter,
-        panic,
-        panicHold,
-        0);
+  /** The same without local health, to measure its effect. */
+  public FailureDetectorSettings withoutLocalHealth() {
+    return new Builder(this).maxLocalHealthMultiplier(0).build();
+  }
+
+  /** A builder that begins with the defaults. */
+  public static Builder builder() {
+    return new Builder(DEFAULTS);
+  }
+
+  /** Sets components by name. */
+  public static final class Builder {
+    private static final long MILLI_MICROS = 1000;
+    private static final long SECOND_MICROS = 1000 * MILLI_MICROS;
+
+    private long probeIntervalMicros = 400 * MILLI_MICROS;
+    private int ringSuccessors = 3;
+    private long randomProbeIntervalMicros = SECOND_MICROS;
+    private long ackTimeoutMicros = 300 * MILLI_MICROS;
+    private long indirectAckTimeoutMicros = 400 * MILLI_MICROS;
+    private int indirectProbeMembers = 3;
+    private long minSuspicionMicros = 1500 * MILLI_MICROS;
+    private long maxSuspicionMicros = 6 * SECOND_MICROS;
+    private int suspicionConfirmations = 2;
+    private double gossipedSuspicionMultiplier = 5;
+    private double retransmitMultiplier = 3;
+    private int maxDatagramBytes = 1400;
+    private long tombstoneMicros = 600 * SECOND_MICROS;
+    private long antiEntropyIntervalMicros = 10 * SECOND_MICROS;
+    private long isolationTimeoutMicros = 3 * SECOND_MICROS;
+    private double massFailureRatio = 0.3;
+    private long massFailureHoldMicros = 10 * SECOND_MICROS;
+    private int maxLocalHealthMultiplier = 8;
+
+    private Builder() {}
+
+    private Builder(FailureDetectorSettings from) {
+      probeIntervalMicros = from.probeIntervalMicros;
+      ringSuccessors = from.ringSuccessors;
+      randomProbeIntervalMicros = from.randomProbeIntervalMicros;
+      ackTimeoutMicros = from.ackTimeoutMicros;
+      indirectAckTimeoutMicros = from.indirectAckTimeoutMicros;
+      indirectProbeMembers = from.indirectProbeMembers;
+      minSuspicionMicros = from.minSuspicionMicros;
+      maxSuspicionMicros = from.maxSuspicionMicros;
+      suspicionConfirmations = from.suspicionConfirmations;
+      gossipedSuspicionMultiplier = from.gossipedSuspicionMultiplier;
+      retransmitMultiplier = from.retransmitMultiplier;
+      maxDatagramBytes = from.maxDatagramBytes;
+      tombstoneMicros = from.tombstoneMicros;
+      antiEntropyIntervalMicros = from.antiEntropyIntervalMicros;
+      isolationTimeoutMicros = from.isolationTimeoutMicros;
+      massFailureRatio = from.massFailureRatio;
+      massFailureHoldMicros = from.massFailureHoldMicros;
+      maxLocalHealthMultiplier = from.maxLocalHealthMultiplier;
+    }
+
+    /** Sets {@link FailureDetectorSettings#massFailureRatio}. */
+    public Builder massFailureRatio(double value) {
+      massFailureRatio = value;
+      return this;
+    }
+
+    /** Sets {@link FailureDetectorSettings#maxLocalHealthMultiplier}. */
+    public Builder maxLocalHealthMultiplier(int value) {
+      maxLocalHealthMultiplier = value;
+      return this;
+    }
+
+    /** The settings. */
+    public FailureDetectorSettings build() {
+      return new FailureDetectorSettings(
+          probeIntervalMicros,
+          ringSuccessors,
+          randomProbeIntervalMicros,
+          ackTimeoutMicros,
+          indirectAckTimeoutMicros,
+          indirectProbeMembers,
+          minSuspicionMicros,
+          maxSuspicionMicros,
+          suspicionConfirmations,
+          gossipedSuspicionMultiplier,
+          retransmitMultiplier,
+          maxDatagramBytes,
+          tombstoneMicros,
+          antiEntropyIntervalMicros,
+          isolationTimeoutMicros,
+          massFailureRatio,
+          massFailureHoldMicros,
+          maxLocalHealthMultiplier);
+    }
   }
 }
--- a/src/main/java/mothwing/membership/FlapDetector.java
+++ b/src/main/java/mothwing/membership/FlapDetector.java
@@ -8,63 +8,62 @@
 import java.util.TreeSet;
 
 /**
- * Which members go and come back again and again. Each death costs a point, points halve in a
- * minute; from a number of points on a member counts as flapping, until few are left. One who is
- * killed and started again, or cut off once, never does. Times are microseconds of the monotonic
- * clock.
+ * Finds members that die and return again and again. Each death adds one to a score that decays
+ * exponentially; flapping begins at a high score and ends at a low one. Times are microseconds of
+ * the monotonic clock.
  */
 final class FlapDetector {
-  private static final double HALF_LIFE = 60e6;
-  private static final double FROM = 2.5; // three deaths within some 20 s, or four within a minute
-  private static final double UNTIL = 0.75;
-  private static final double MOST = 6; // so that three half-lives without a death are enough
-  private static final double NOTHING = 0.05;
+  private static final double HALF_LIFE_MICROS = 60e6;
+  private static final double BEGIN_SCORE = 2.5; // three deaths within some 20 s, or four in 60 s
+  private static final double END_SCORE = 0.75;
+  private static final double MAX_SCORE = 6; // so that it ends within three half-lives
+  private static final double NEGLIGIBLE_SCORE = 0.05;
 
-  private final Map<String, Mark> marks = new TreeMap<>();
+  private final Map<String, Score> scores = new TreeMap<>();
 
-  private static final class Mark {
-    double points;
-    long at;
-    boolean flaps;
+  private static final class Score {
+    private double value;
+    private long atMicros;
+    private boolean flapping;
 
-    double now(long now) {
-      return points * Math.pow(2, (at - now) / HALF_LIFE);
+    double at(long nowMicros) {
+      return value * Math.pow(2, (atMicros - nowMicros) / HALF_LIFE_MICROS);
     }
   }
 
-  /** A member died; says whether it counts as flapping from now on. */
-  boolean died(String name, long now) {
-    Mark mark = marks.computeIfAbsent(name, none -> new Mark());
-    mark.points = Math.min(MOST, mark.now(now) + 1);
-    mark.at = now;
-    boolean begins = !mark.flaps && mark.points >= FROM;
-    mark.flaps |= begins;
+  /** Counts a death; true where the member is flapping from now on. */
+  boolean recordDeath(String name, long nowMicros) {
+    Score score = scores.computeIfAbsent(name, unused -> new Score());
+    score.value = Math.min(MAX_SCORE, score.at(nowMicros) + 1);
+    score.atMicros = nowMicros;
+    boolean begins = !score.flapping && score.value >= BEGIN_SCORE;
+    score.flapping |= begins;
     return begins;
   }
 
-  /** Those who do not count as flapping any longer; what is of no weight is forgotten. */
-  List<String> steadied(long now) {
-    List<String> all = new ArrayList<>();
-    marks.forEach(
-        (name, mark) -> {
-          if (mark.flaps && mark.now(now) < UNTIL) {
-            mark.flaps = false;
-            all.add(name);
+  /** Ends the flapping of members whose score has fallen, and returns their names. */
+  List<String> takeStabilized(long nowMicros) {
+    List<String> stabilized = new ArrayList<>();
+    scores.forEach(
+        (name, score) -> {
+          if (score.flapping && score.at(nowMicros) < END_SCORE) {
+            score.flapping = false;
+            stabilized.add(name);
           }
         });
-    marks.values().removeIf(mark -> mark.now(now) < NOTHING);
-    return all;
+    scores.values().removeIf(score -> score.at(nowMicros) < NEGLIGIBLE_SCORE);
+    return stabilized;
   }
 
-  /** Who flaps. */
-  Set<String> all() {
-    Set<String> all = new TreeSet<>();
-    marks.forEach(
-        (name, mark) -> {
-          if (mark.flaps) {
-            all.add(name);
+  /** The names of the members that are flapping. */
+  Set<String> flappingMembers() {
+    Set<String> names = new TreeSet<>();
+    scores.forEach(
+        (name, score) -> {
+          if (score.flapping) {
+            names.add(name);
           }
         });
-    return all;
+    return names;
   }
 }
--- a/src/main/java/mothwing/membership/GossipQueue.java
+++ b/src/main/java/mothwing/membership/GossipQueue.java
@@ -7,53 +7,67 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What is still to be told on, the least told first; at most one claim a member. */
+/** Records that wait for gossip, the least transmitted first; at most one for each member. */
 final class GossipQueue {
-  private final Map<String, Integer> told = new LinkedHashMap<>();
-  private final TreeMap<Integer, LinkedHashMap<String, MemberRecord>> byTold = new TreeMap<>();
+  private final Map<String, Integer> transmissions = new LinkedHashMap<>();
+  private final TreeMap<Integer, LinkedHashMap<String, MemberRecord>> byTransmissions =
+      new TreeMap<>();
 
-  /** Takes a claim in place of an older one on the same member. */
-  void add(MemberRecord claim) {
-    drop(claim.name());
-    put(claim, 0);
+  /** Adds a record, in place of an older one of the same member. */
+  void add(MemberRecord record) {
+    remove(record.name());
+    put(record, 0);
   }
 
-  private void put(MemberRecord claim, int times) {
-    told.put(claim.name(), times);
-    byTold.computeIfAbsent(times, none -> new LinkedHashMap<>()).put(claim.name(), claim);
+  private void put(MemberRecord record, int count) {
+    transmissions.put(record.name(), count);
+    byTransmissions
+        .computeIfAbsent(count, unused -> new LinkedHashMap<>())
+        .put(record.name(), record);
   }
 
-  void drop(String name) {
-    Integer times = told.remove(name);
-    if (times != null) {
-      LinkedHashMap<String, MemberRecord> same = byTold.get(times);
-      same.remove(name);
-      if (same.isEmpty()) {
-        byTold.remove(times);
+  private void remove(String name) {
+    Integer count = transmissions.remove(name);
+    if (count != null) {
+      Map<String, MemberRecord> sameCount = byTransmissions.get(count);
+      sameCount.remove(name);
+      if (sameCount.isEmpty()) {
+        byTransmissions.remove(count);
       }
     }
   }
 
-  /** Takes claims of so many bytes, and drops those that were told often enough with it. */
-  List<MemberRecord> take(int bytes, int enough) {
-    List<MemberRecord> all = new ArrayList<>();
-    int left = bytes;
-    for (LinkedHashMap<String, MemberRecord> same : byTold.values()) {
-      for (Iterator<MemberRecord> each = same.values().iterator(); each.hasNext() && left > 0; ) {
-        MemberRecord one = each.next();
-        left -= one.bytes();
-        if (left >= 0) {
-          all.add(one);
-        }
+  /**
+   * Takes records for one message.
+   *
+   * @param capacityBytes their most bytes as encoded
+   * @param maxTransmissions after how many a record is dropped
+   */
+  List<MemberRecord> take(int capacityBytes, int maxTransmissions) {
+    List<MemberRecord> taken = select(capacityBytes);
+    for (MemberRecord record : taken) {
+      int count = transmissions.get(record.name()) + 1;
+      remove(record.name());
+      if (count < maxTransmissions) {
+        put(record, count);
       }
     }
-    for (MemberRecord one : all) {
-      int times = told.get(one.name()) + 1;
-      drop(one.name());
-      if (times < enough) {
-        put(one, times);
+    return taken;
+  }
+
+  private List<MemberRecord> select(int capacityBytes) {
+    List<MemberRecord> selected = new ArrayList<>();
+    int remaining = capacityBytes;
+    for (Map<String, MemberRecord> sameCount : byTransmissions.values()) {
+      Iterator<MemberRecord> records = sameCount.values().iterator();
+      while (records.hasNext() && remaining > 0) {
+        MemberRecord record = records.next();
+        remaining -= record.maxEncodedBytes();
+        if (remaining >= 0) {
+          selected.add(record);
+        }
       }
     }
-    return all;
+    return selected;
   }
 }
--- /dev/null
+++ b/src/main/java/mothwing/membership/IsolationDetector.java
@@ -0,0 +1,51 @@
+package mothwing.membership;
+
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/** Finds out whether this process hears too few of the members that should contact it. */
+final class IsolationDetector {
+  private final LocalMember self;
+  private final MemberTable members;
+  private final boolean hasSeeds;
+  private final Map<String, Long> lastHeardMicros = new LinkedHashMap<>();
+  private long connectedAtMicros;
+  private boolean isolated;
+
+  IsolationDetector(LocalMember self, MemberTable members, boolean hasSeeds) {
+    this.self = self;
+    this.members = members;
+    this.hasSeeds = hasSeeds;
+  }
+
+  void start(long nowMicros) {
+    connectedAtMicros = nowMicros;
+  }
+
+  void heard(String name) {
+    lastHeardMicros.put(name, self.now());
+  }
+
+  /** Leaves out a time in which this process was stopped. */
+  void postpone(long spanMicros) {
+    connectedAtMicros += spanMicros;
+  }
+
+  boolean isIsolated() {
+    return isolated;
+  }
+
+  /** Looks again; true where the answer has changed. */
+  boolean update(long nowMicros) {
+    long timeout = self.settings().isolationTimeoutMicros();
+    lastHeardMicros.values().removeIf(at -> at < nowMicros - timeout);
+    int known = Math.max(members.size(), hasSeeds ? 1 : 0);
+    int expected = Math.min(2 * self.settings().ringSuccessors(), known);
+    if (2 * lastHeardMicros.size() >= expected) {
+      connectedAtMicros = nowMicros;
+    }
+    boolean before = isolated;
+    isolated = nowMicros - connectedAtMicros > timeout;
+    return isolated != before;
+  }
+}
--- a/src/main/java/mothwing/membership/MemberRecord.java
+++ b/src/main/java/mothwing/membership/MemberRecord.java
@@ -1,45 +1,51 @@
 package mothwing.membership;
 
 /**
- * What somebody says of a member. Claims may come late, repeated and in any order: which of two
- * holds depends on them alone.
+ * The state of a member as somebody reports it. Records may arrive late, repeated and in any order:
+ * which of two holds depends on their contents alone.
  *
  * @param name its name
- * @param start the id of its start: another process of the same name has another
- * @param address where it wants to be written to
- * @param zone where it stands
- * @param incarnation raised by the member alone, each time that it objects; never goes back
- * @param state what is said of it
- * @param reportedBy who says so
+ * @param instanceId the random id of its process: a later process of the same name has another
+ * @param address where it receives messages
+ * @param zone its zone
+ * @param incarnation raised by the member alone, to refute; never decreases
+ * @param state the state that is reported
+ * @param reportedBy the name of the member that reports it
  */
 public record MemberRecord(
     String name,
-    long start,
+    long instanceId,
     String address,
     String zone,
     long incarnation,
     MemberState state,
     String reportedBy) {
-  private static final int FIXED = 36; // bytes of numbers, keys and lengths on the wire
+  private static final int FIXED_BYTES = 36; // numbers, keys and lengths as encoded
 
-  /** Whether this holds against another claim on the same name. */
+  /**
+   * Whether this holds against another record of the same name: by incarnation, then state, then
+   * instance.
+   */
   public boolean supersedes(MemberRecord other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
-    return state != other.state ? state.ordinal() > other.state.ordinal() : start > other.start;
+    if (state != other.state) {
+      return state.compareTo(other.state) > 0;
+    }
+    return instanceId > other.instanceId;
   }
 
-  MemberRecord with(MemberState now, String who) {
-    return new MemberRecord(name, start, address, zone, incarnation, now, who);
+  MemberRecord withState(MemberState nextState, String reporter) {
+    return new MemberRecord(name, instanceId, address, zone, incarnation, nextState, reporter);
   }
 
-  MemberRecord withIncarnation(long to) {
-    return new MemberRecord(name, start, address, zone, to, state, reportedBy);
+  MemberRecord withIncarnation(long nextIncarnation) {
+    return new MemberRecord(name, instanceId, address, zone, nextIncarnation, state, reportedBy);
   }
 
-  /** What it takes on the wire, at most. */
-  public int bytes() {
-    return FIXED + name.length() + address.length() + zone.length() + reportedBy.length();
+  /** An upper bound of its size as encoded. */
+  public int maxEncodedBytes() {
+    return FIXED_BYTES + name.length() + address.length() + zone.length() + reportedBy.length();
   }
 }
--- a/src/main/java/mothwing/membership/MemberState.java
+++ b/src/main/java/mothwing/membership/MemberState.java
@@ -1,20 +1,20 @@
 package mothwing.membership;
 
 /**
- * What is held of a member. Of two claims with the same incarnation the later one in this order
- * holds.
+ * The state of a member. Of two records with the same incarnation the one with the later state in
+ * this order holds.
  */
 public enum MemberState {
   /** It answers. */
   ALIVE,
-  /** It did not answer somebody, and has not objected yet. */
+  /** It did not answer somebody, and has not refuted that yet. */
   SUSPECT,
-  /** It did not object in time. */
+  /** It did not refute the suspicion in time. */
   DEAD,
-  /** It withdrew on its own. */
+  /** It left on its own. */
   LEFT;
 
-  /** Whether it counts as there. */
+  /** Whether it counts as a present member. */
   public boolean isPresent() {
     return this == ALIVE || this == SUSPECT;
   }
--- a/src/main/java/mothwing/membership/MembershipHost.java
+++ b/src/main/java/mothwing/membership/MembershipHost.java
@@ -1,30 +1,27 @@
 package mothwing.membership;
 
-/**
- * What a member acts through. None of these calls may come back into the member before it has
- * returned.
- */
+/** The network and the listener of one member. No call may re-enter the member. */
 public interface MembershipHost {
   /**
-   * Sends a datagram: it may be lost, late, repeated.
+   * Sends a datagram: it may be lost, late or repeated.
    *
-   * @param address where to
-   * @param message what
+   * @param address the receiver
+   * @param message the message
    */
-  void send(String address, MembershipMessage message);
+  void sendDatagram(String address, MembershipMessage message);
 
   /**
-   * Sends on a stream of its own, which takes any size; nobody says where it fails.
+   * Sends on a stream of its own, which takes any size; failures are not reported.
    *
-   * @param address where to
-   * @param message what
+   * @param address the receiver
+   * @param message the message
    */
-  void stream(String address, MembershipMessage message);
+  void sendStream(String address, MembershipMessage message);
 
   /**
-   * Something has changed.
+   * The view has changed.
    *
-   * @param change what
+   * @param event the change
    */
-  void changed(MembershipEvent change);
+  void onEvent(MembershipEvent event);
 }
--- a/src/main/java/mothwing/membership/MembershipMessage.java
+++ b/src/main/java/mothwing/membership/MembershipMessage.java
@@ -3,51 +3,52 @@
 import java.util.List;
 
 /**
- * What members send each other. It is known by what it says, never by where it came from; it may be
- * lost, late, repeated or from a start long gone.
+ * A message between members. It is identified by its contents, never by its source address; it may
+ * be lost, late, repeated or of an earlier process.
  *
- * @param cluster whose message it is; those of others are dropped
- * @param kind what it wants
- * @param seq ties an answer to its question; the asker's own number
- * @param about the member that an {@link Kind#ASK} is about, else empty
- * @param self what the sender says of itself
- * @param claims what it says of others
+ * @param cluster the cluster that it belongs to
+ * @param kind its purpose
+ * @param sequence ties a response to its request; numbered by the requester
+ * @param pingTarget the member that a {@link Kind#PING_REQUEST} concerns, else empty
+ * @param sender the sender's own record
+ * @param records records of other members
  */
 public record MembershipMessage(
     String cluster,
     Kind kind,
-    long seq,
-    String about,
-    MemberRecord self,
-    List<MemberRecord> claims) {
-  private static final int FIXED = 32; // bytes of frame, version, kind and numbers
+    long sequence,
+    String pingTarget,
+    MemberRecord sender,
+    List<MemberRecord> records) {
+  private static final int FIXED_BYTES = 32; // frame, version, kind and numbers as encoded
 
-  /** What a message wants. */
+  /** The purpose of a message. */
   public enum Kind {
-    /** An answer. */
+    /** Wants an acknowledgement. */
     PING,
-    /** It is one. */
+    /** Acknowledges a ping. */
     ACK,
-    /** That the receiver pings another, and passes the answer on. */
-    ASK,
-    /** The one that was asked for is not heard, but I am. */
+    /** Asks the receiver to ping another member, and to pass on its acknowledgement. */
+    PING_REQUEST,
+    /** The member of a ping request did not answer the sender, which itself is alive. */
     NACK,
-    /** All that the receiver holds; here is all that I do. */
-    SYNC,
-    /** It is that. */
-    SYNCED
+    /** Carries all records of the sender, and asks for those of the receiver. */
+    SYNC_REQUEST,
+    /** Carries all records of the receiver of a sync request. */
+    SYNC_RESPONSE
   }
 
+  /** Copies the records. */
   public MembershipMessage {
-    claims = List.copyOf(claims);
+    records = List.copyOf(records);
   }
 
-  /** What it takes on the wire, at most. */
-  public int bytes() {
-    return FIXED
+  /** An upper bound of its size as encoded. */
+  public int maxEncodedBytes() {
+    return FIXED_BYTES
         + cluster.length()
-        + about.length()
-        + self.bytes()
-        + claims.stream().mapToInt(MemberRecord::bytes).sum();
+        + pingTarget.length()
+        + sender.maxEncodedBytes()
+        + records.stream().mapToInt(MemberRecord::maxEncodedBytes).sum();
   }
 }
--- a/src/main/java/mothwing/membership/MembershipView.java
+++ b/src/main/java/mothwing/membership/MembershipView.java
@@ -4,15 +4,18 @@
 import java.util.SortedMap;
 
 /**
- * What one member holds of all others at a moment. It is advice: another may hold something else,
- * for as long as a cut lasts.
+ * What one member holds of all at one moment. Others may hold something else, for as long as a
+ * partition lasts.
  *
- * @param version goes up with each change
- * @param members the claims that hold, by name, oneself among them; dead ones as long as their
- *     tombstone stands
- * @param flapping the names that died and came back again and again of late: nothing new should be
- *     laid on them
- * @param alone whether one hears too few to speak for anybody but oneself
+ * @param version raised with each event
+ * @param members the records by name, its own among them; removed members until their tombstone
+ *     expires
+ * @param flapping the names of members that died and returned again and again: they should get no
+ *     new duties
+ * @param isolated whether this member hears too few to act for others
  */
 public record MembershipView(
-    long version, SortedMap<String, MemberRecord> members, Set<String> flapping, boolean alone) {}
+    long version,
+    SortedMap<String, MemberRecord> members,
+    Set<String> flapping,
+    boolean isolated) {}
--- a/src/main/java/mothwing/peer/MembershipMessageCodec.java
+++ b/src/main/java/mothwing/peer/MembershipMessageCodec.java
@@ -61,12 +61,12 @@
       out.packMapHeader(6);
       out.packInt(Keys.CLUSTER).packString(message.cluster());
       out.packInt(Keys.KIND).packInt(message.kind().ordinal());
-      out.packInt(Keys.SEQ).packLong(message.seq());
-      out.packInt(Keys.ABOUT).packString(message.about());
+      out.packInt(Keys.SEQ).packLong(message.sequence());
+      out.packInt(Keys.ABOUT).packString(message.pingTarget());
       out.packInt(Keys.SELF);
-      claim(out, message.self());
-      out.packInt(Keys.CLAIMS).packArrayHeader(message.claims().size());
-      for (MemberRecord one : message.claims()) {
+      claim(out, message.sender());
+      out.packInt(Keys.CLAIMS).packArrayHeader(message.records().size());
+      for (MemberRecord one : message.records()) {
         claim(out, one);
       }
       byte[] map = out.toByteArray();
@@ -88,7 +88,7 @@
   private static void claim(MessageBufferPacker out, MemberRecord one) throws IOException {
     out.packMapHeader(7);
     out.packInt(Keys.NAME).packString(one.name());
-    out.packInt(Keys.START).packLong(one.start());
+    out.packInt(Keys.START).packLong(one.instanceId());
     out.packInt(Keys.ADDRESS).packString(one.address());
     out.packInt(Keys.ZONE).packString(one.zone());
     out.packInt(Keys.INCARNATION).packLong(one.incarnation());
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -112,7 +112,7 @@
             fleet.name(),
             self,
             fleet.seeds().stream().map(Addresses::text).toList(),
-            FailureDetectorSettings.USUAL,
+            FailureDetectorSettings.DEFAULTS,
             timers,
             random,
             this);
@@ -231,7 +231,7 @@
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("fleet", fleet.name());
     all.put("self", name);
-    all.put("state", datagrams == null ? "waiting" : view.alone() ? "alone" : "connected");
+    all.put("state", datagrams == null ? "waiting" : view.isolated() ? "alone" : "connected");
     all.put("version", view.version());
     all.put(
         "members",
@@ -247,7 +247,7 @@
     all.put("state", one.state().name().toLowerCase(Locale.ROOT));
     all.put("address", one.address());
     all.put("zone", one.zone());
-    all.put("start", Long.toHexString(one.start()));
+    all.put("start", Long.toHexString(one.instanceId()));
     all.put("incarnation", one.incarnation());
     all.put("by", one.reportedBy());
     all.put("flapping", flaps);
@@ -257,7 +257,7 @@
   // what the core asks for
 
   @Override
-  public void send(String address, MembershipMessage message) {
+  public void sendDatagram(String address, MembershipMessage message) {
     byte[] bytes = MembershipMessageCodec.bytes(message);
     InetSocketAddress to = address(address);
     if (to != null) {
@@ -269,7 +269,7 @@
   }
 
   @Override
-  public void stream(String address, MembershipMessage message) {
+  public void sendStream(String address, MembershipMessage message) {
     byte[] bytes = MembershipMessageCodec.bytes(message);
     InetSocketAddress to = address(address);
     if (to == null) {
@@ -320,8 +320,8 @@
   }
 
   @Override
-  public void changed(MembershipEvent change) {
-    MemberRecord of = change.member();
+  public void onEvent(MembershipEvent change) {
+    MemberRecord of = change.record();
     counters.add("member-" + change.type().name().toLowerCase(Locale.ROOT));
     log.write(
         "member what="
@@ -333,7 +333,7 @@
             + " zone="
             + of.zone()
             + " start="
-            + Long.toHexString(of.start())
+            + Long.toHexString(of.instanceId())
             + " incarnation="
             + of.incarnation()
             + " by="
@@ -358,7 +358,7 @@
       return;
     }
     try {
-      membership.received(message);
+      membership.receive(message);
     } catch (RuntimeException broken) {
       counters.add("faults");
       log.write(
--- a/src/main/java/mothwing/trial/MembershipStatistics.java
+++ b/src/main/java/mothwing/trial/MembershipStatistics.java
@@ -34,7 +34,7 @@
    */
   public static int print(int members, long seed, double seconds, PrintStream out) {
     SimulatedMembershipNetwork net =
-        new SimulatedMembershipNetwork(members, FailureDetectorSettings.USUAL, seed).startAll();
+        new SimulatedMembershipNetwork(members, FailureDetectorSettings.DEFAULTS, seed).startAll();
     double met = net.untilAgreed(120);
     out.printf(Locale.ROOT, "%d members, seed %d: all met after %.1f s%n", members, seed, met);
     net.pass(30 + members / 10.0); // until what was told at the start has been told on
@@ -48,7 +48,9 @@
         (sum(net, true) - bytes) / 20.0 / members);
     boolean good = met >= 0 && kills(net, seed, out) && split(net, out);
     for (FailureDetectorSettings pace :
-        List.of(FailureDetectorSettings.USUAL, FailureDetectorSettings.USUAL.withoutDoubt())) {
+        List.of(
+            FailureDetectorSettings.DEFAULTS,
+            FailureDetectorSettings.DEFAULTS.withoutLocalHealth())) {
       strained(members, seed, seconds, pace, out);
     }
     return good ? 0 : 1;
@@ -71,8 +73,8 @@
       net.pass(APART / 2);
       TreeSet<String> told = new TreeSet<>();
       for (Seen seen : net.seen) {
-        if (seen.change().type() == Type.DIED
-            && seen.change().member().name().equals(one.name)
+        if (seen.change().type() == Type.DECLARED_DEAD
+            && seen.change().record().name().equals(one.name)
             && told.add(seen.by())) {
           all.recordValue(seen.at() - from);
           if (told.size() == 1) {
@@ -124,9 +126,9 @@
     TreeSet<String> deaths = new TreeSet<>();
     long healthy = 0;
     for (Seen seen : net.seen) {
-      if (seen.change().type() == Type.DIED
-          && deaths.add(seen.change().member().name() + seen.change().member().incarnation())) {
-        healthy += net.nodes.get(seen.change().member().name()).slow == 0 ? 1 : 0;
+      if (seen.change().type() == Type.DECLARED_DEAD
+          && deaths.add(seen.change().record().name() + seen.change().record().incarnation())) {
+        healthy += net.nodes.get(seen.change().record().name()).slow == 0 ? 1 : 0;
       }
     }
     out.printf(
@@ -138,7 +140,7 @@
         SLOW_BY / 1000,
         100 * LOSS,
         seconds,
-        pace.doubt() > 0 ? "with" : "without",
+        pace.maxLocalHealthMultiplier() > 0 ? "with" : "without",
         deaths.size(),
         healthy,
         deaths.size() * 3600 / seconds);
--- a/src/main/java/mothwing/trial/SimulatedMembershipNetwork.java
+++ b/src/main/java/mothwing/trial/SimulatedMembershipNetwork.java
@@ -66,23 +66,23 @@
               new Random(random.nextLong()),
               new MembershipHost() {
                 @Override
-                public void send(String address, MembershipMessage message) {
+                public void sendDatagram(String address, MembershipMessage message) {
                   sent++;
-                  bytes += message.bytes();
+                  bytes += message.maxEncodedBytes();
                   if (random.nextDouble() >= loss) {
                     carry(Node.this, address, message);
                   }
                 }
 
                 @Override
-                public void stream(String address, MembershipMessage message) {
+                public void sendStream(String address, MembershipMessage message) {
                   sent++;
-                  bytes += message.bytes();
+                  bytes += message.maxEncodedBytes();
                   carry(Node.this, address, message);
                 }
 
                 @Override
-                public void changed(MembershipEvent change) {
+                public void onEvent(MembershipEvent change) {
                   seen.add(new Seen(time.now(), address, mine, change));
                 }
               });
@@ -146,7 +146,7 @@
     long late = to.slow == 0 ? 0 : (long) (-Math.log(1 - random.nextDouble()) * to.slow);
     time.schedule(
         time.now() + LEAST_WAY + (long) (MORE_WAY * random.nextDouble()) + late,
-        () -> to.run(mine, () -> to.member.received(message)));
+        () -> to.run(mine, () -> to.member.receive(message)));
   }
 
   void pass(double seconds) {
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -29,7 +29,6 @@
           Map.entry("Broker.java", 1050),
           Map.entry("OverloadController.java", 985),
           Map.entry("ProcessStage.java", 751),
-          Map.entry("Membership.java", 726),
           Map.entry("SimulationStage.java", 574),
           Map.entry("Tree.java", 502),
           Map.entry("Parser.java", 489),
--- a/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
+++ b/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
@@ -55,7 +55,9 @@
     MembershipMessage message = message(seed);
     byte[] bytes = MembershipMessageCodec.bytes(message);
     assertEquals(message, MembershipMessageCodec.message(bytes));
-    assertTrue(bytes.length <= message.bytes(), bytes.length + " bytes, said " + message.bytes());
+    assertTrue(
+        bytes.length <= message.maxEncodedBytes(),
+        bytes.length + " bytes, said " + message.maxEncodedBytes());
   }
 
   @Property(seed = "1764630002", tries = 500)
--- a/src/test/java/mothwing/trial/FleetTest.java
+++ b/src/test/java/mothwing/trial/FleetTest.java
@@ -81,7 +81,7 @@
   }
 
   private long deaths() {
-    return stage.machines.stream().mapToLong(one -> one.logged(" member what=died ")).sum();
+    return stage.machines.stream().mapToLong(one -> one.logged(" member what=declared_dead ")).sum();
   }
 
   /** Lets a fault last while each machine's view is looked at, again and again. */
@@ -214,7 +214,7 @@
       fourth.now.signal("CONT");
       awaitAgreed(stage.machines, all(5));
     }
-    await(() -> but("s4").stream().allMatch(one -> one.logged(" member what=flaps name=s4 ") == 1));
+    await(() -> but("s4").stream().allMatch(one -> one.logged(" member what=flapping name=s4 ") == 1));
   }
 
   /**
--- a/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
+++ b/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
@@ -19,7 +19,7 @@
 class SimulatedMembershipNetworkTest {
   private static SimulatedMembershipNetwork met(int members, long seed) {
     SimulatedMembershipNetwork net =
-        new SimulatedMembershipNetwork(members, FailureDetectorSettings.USUAL, seed).startAll();
+        new SimulatedMembershipNetwork(members, FailureDetectorSettings.DEFAULTS, seed).startAll();
     assertTrue(net.untilAgreed(20) >= 0, "they do not meet");
     net.pass(10);
     net.seen.clear();
@@ -36,7 +36,7 @@
     net.nodes.get("m7").end();
     double known = net.untilAgreed(10);
     assertTrue(known > 0 && known < 5, "after " + known);
-    assertEquals(19, of(net, Type.DIED).size(), "each of the others sees it die once");
+    assertEquals(19, of(net, Type.DECLARED_DEAD).size(), "each of the others sees it die once");
     net.nodes.get("m7").start(net.seeds());
     assertTrue(net.untilAgreed(5) >= 0, "it comes back under its name, inside its own tombstone");
     assertTrue(of(net, Type.DISPLACED).isEmpty());
@@ -49,14 +49,16 @@
       net.all().get(i).pause(1_900_000);
       net.pass(4);
     }
-    assertEquals(List.of(), of(net, Type.DIED));
+    assertEquals(List.of(), of(net, Type.DECLARED_DEAD));
     net.nodes.get("m3").pause(10_000_000);
     net.pass(9);
     assertTrue(
-        of(net, Type.DIED).stream().allMatch(one -> one.change().member().name().equals("m3")));
+        of(net, Type.DECLARED_DEAD).stream()
+            .allMatch(one -> one.change().record().name().equals("m3")));
     assertTrue(net.untilAgreed(5) >= 0, "it objects as it wakes, and accuses nobody else");
     assertTrue(
-        of(net, Type.DIED).stream().allMatch(one -> one.change().member().name().equals("m3")));
+        of(net, Type.DECLARED_DEAD).stream()
+            .allMatch(one -> one.change().record().name().equals("m3")));
   }
 
   /**
@@ -84,7 +86,7 @@
     }
     net.pass(240);
     assertTrue(others.stream().allMatch(node -> node.member.view().flapping().isEmpty()));
-    assertEquals(of(net, Type.FLAPS).size(), of(net, Type.STEADIED).size());
+    assertEquals(of(net, Type.FLAPPING).size(), of(net, Type.STABLE).size());
   }
 
   @Test
@@ -92,14 +94,15 @@
     SimulatedMembershipNetwork net = met(12, 3);
     net.loss = 0.3;
     net.pass(120);
-    assertEquals(List.of(), of(net, Type.DIED), "30% loss");
+    assertEquals(List.of(), of(net, Type.DECLARED_DEAD), "30% loss");
     net.loss = 0;
     net.cut = (from, to) -> from.equals("m2") && to.equals("m5");
     net.pass(60);
     net.cut =
         (from, to) -> from.equals("m2") && to.equals("m5") || from.equals("m5") && to.equals("m2");
     net.pass(60);
-    assertEquals(List.of(), of(net, Type.DIED), "one direction, then both, others see the two");
+    assertEquals(
+        List.of(), of(net, Type.DECLARED_DEAD), "one direction, then both, others see the two");
   }
 
   /**
@@ -111,11 +114,11 @@
     SimulatedMembershipNetwork net = met(12, 4);
     net.cut = (from, to) -> to.equals("m2");
     net.pass(20);
-    assertTrue(net.nodes.get("m2").member.view().alone(), "it hears none");
+    assertTrue(net.nodes.get("m2").member.view().isolated(), "it hears none");
     net.cut = (from, to) -> false;
     assertTrue(net.untilAgreed(15) >= 0);
     net.pass(5);
-    assertEquals(1, of(net, Type.ALONE).size());
+    assertEquals(1, of(net, Type.ISOLATED).size());
     assertEquals(1, of(net, Type.CONNECTED).size());
   }
 
@@ -143,7 +146,7 @@
     old.start(
         net.seeds()); // the old process's messages no longer come through, as its address is taken
     assertTrue(net.untilAgreed(5) >= 0);
-    assertEquals(List.of(), of(net, Type.DIED));
+    assertEquals(List.of(), of(net, Type.DECLARED_DEAD));
     assertTrue(old.member != before);
     net.stray("m5", "elsewhere").start(net.seeds());
     net.pass(10);
@@ -220,9 +223,9 @@
                     + " start "
                     + one.start()
                     + " of "
-                    + one.change().member().name()
-                    + one.change().member().start();
-            if (last.merge(key, one.change().member().incarnation(), (a, b) -> b < a ? -1 : b)
+                    + one.change().record().name()
+                    + one.change().record().instanceId();
+            if (last.merge(key, one.change().record().incarnation(), (a, b) -> b < a ? -1 : b)
                 < 0) {
               back.add(key);
             }
