--- a/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
+++ b/src/test/java/mothwing/trial/SimulatedMembershipNetworkTest.java
@@ -10,7 +10,7 @@
 import java.util.Random;
 import java.util.Set;
 import mothwing.membership.FailureDetectorSettings;
-import mothwing.membership.MembershipEvent.Type;
+import mothwing.membership.MembershipEvent;
 import mothwing.trial.SimulatedMembershipNetwork.Node;
 import mothwing.trial.SimulatedMembershipNetwork.Seen;
 import org.junit.jupiter.api.Test;
@@ -19,14 +19,14 @@
 class SimulatedMembershipNetworkTest {
   private static SimulatedMembershipNetwork met(int members, long seed) {
     SimulatedMembershipNetwork net =
-        new SimulatedMembershipNetwork(members, FailureDetectorSettings.USUAL, seed).startAll();
+        new SimulatedMembershipNetwork(members, FailureDetectorSettings.DEFAULTS, seed).startAll();
     assertTrue(net.untilAgreed(20) >= 0, "they do not meet");
     net.pass(10);
     net.seen.clear();
     return net;
   }
 
-  private static List<Seen> of(SimulatedMembershipNetwork net, Type what) {
+  private static List<Seen> of(SimulatedMembershipNetwork net, MembershipEvent.Type what) {
     return net.seen.stream().filter(one -> one.change().type() == what).toList();
   }
 
@@ -36,10 +36,13 @@
     net.nodes.get("m7").end();
     double known = net.untilAgreed(10);
     assertTrue(known > 0 && known < 5, "after " + known);
-    assertEquals(19, of(net, Type.DIED).size(), "each of the others sees it die once");
+    assertEquals(
+        19,
+        of(net, MembershipEvent.Type.DECLARED_DEAD).size(),
+        "each of the others sees it die once");
     net.nodes.get("m7").start(net.seeds());
     assertTrue(net.untilAgreed(5) >= 0, "it comes back under its name, inside its own tombstone");
-    assertTrue(of(net, Type.DISPLACED).isEmpty());
+    assertTrue(of(net, MembershipEvent.Type.DISPLACED).isEmpty());
   }
 
   @Test
@@ -49,14 +52,16 @@
       net.all().get(i).pause(1_900_000);
       net.pass(4);
     }
-    assertEquals(List.of(), of(net, Type.DIED));
+    assertEquals(List.of(), of(net, MembershipEvent.Type.DECLARED_DEAD));
     net.nodes.get("m3").pause(10_000_000);
     net.pass(9);
     assertTrue(
-        of(net, Type.DIED).stream().allMatch(one -> one.change().member().name().equals("m3")));
+        of(net, MembershipEvent.Type.DECLARED_DEAD).stream()
+            .allMatch(one -> one.change().record().name().equals("m3")));
     assertTrue(net.untilAgreed(5) >= 0, "it objects as it wakes, and accuses nobody else");
     assertTrue(
-        of(net, Type.DIED).stream().allMatch(one -> one.change().member().name().equals("m3")));
+        of(net, MembershipEvent.Type.DECLARED_DEAD).stream()
+            .allMatch(one -> one.change().record().name().equals("m3")));
   }
 
   /**
@@ -84,7 +89,8 @@
     }
     net.pass(240);
     assertTrue(others.stream().allMatch(node -> node.member.view().flapping().isEmpty()));
-    assertEquals(of(net, Type.FLAPS).size(), of(net, Type.STEADIED).size());
+    assertEquals(
+        of(net, MembershipEvent.Type.FLAPPING).size(), of(net, MembershipEvent.Type.STABLE).size());
   }
 
   @Test
@@ -92,7 +98,7 @@
     SimulatedMembershipNetwork net = met(12, 3);
     net.loss = 0.3;
     net.pass(120);
-    assertEquals(List.of(), of(net, Type.DIED), "30% loss");
+    assertEquals(List.of(), of(net, MembershipEvent.Type.DECLARED_DEAD), "30% loss");
     net.loss = 0;
     net.cut = (from, to) -> from.equals("m2") && to.equals("m5");
     net.pass(60);
@@ -100,7 +106,10 @@
         (from, to) ->
             (from.equals("m2") && to.equals("m5")) || (from.equals("m5") && to.equals("m2"));
     net.pass(60);
-    assertEquals(List.of(), of(net, Type.DIED), "one direction, then both, others see the two");
+    assertEquals(
+        List.of(),
+        of(net, MembershipEvent.Type.DECLARED_DEAD),
+        "one direction, then both, others see the two");
   }
 
   /**
@@ -112,12 +121,12 @@
     SimulatedMembershipNetwork net = met(12, 4);
     net.cut = (from, to) -> to.equals("m2");
     net.pass(20);
-    assertTrue(net.nodes.get("m2").member.view().alone(), "it hears none");
+    assertTrue(net.nodes.get("m2").member.view().isolated(), "it hears none");
     net.cut = (from, to) -> false;
     assertTrue(net.untilAgreed(15) >= 0);
     net.pass(5);
-    assertEquals(1, of(net, Type.ALONE).size());
-    assertEquals(1, of(net, Type.CONNECTED).size());
+    assertEquals(1, of(net, MembershipEvent.Type.ISOLATED).size());
+    assertEquals(1, of(net, MembershipEvent.Type.CONNECTED).size());
   }
 
   @Test
@@ -144,17 +153,21 @@
     old.start(
         net.seeds()); // the old process's messages no longer come through, as its address is taken
     assertTrue(net.untilAgreed(5) >= 0);
-    assertEquals(List.of(), of(net, Type.DIED));
+    assertEquals(List.of(), of(net, MembershipEvent.Type.DECLARED_DEAD));
     assertTrue(old.member != before);
     net.stray("m5", "elsewhere").start(net.seeds());
     net.pass(10);
-    assertEquals(1, of(net, Type.DISPLACED).size(), "one of the two stays, the other is silent");
+    assertEquals(
+        1,
+        of(net, MembershipEvent.Type.DISPLACED).size(),
+        "one of the two stays, the other is silent");
     net.seen.clear();
     net.pass(60);
     assertEquals(List.of(), net.seen, "and nothing flaps");
     net.nodes.get("m6").member.leave();
     net.pass(1);
-    assertEquals(7, of(net, Type.LEFT).size(), "heard by all that speak within a second");
+    assertEquals(
+        7, of(net, MembershipEvent.Type.LEFT).size(), "heard by all that speak within a second");
   }
 
   /** 300 drawn schedules: after the last fault all that run agree, and no incarnation goes back. */
@@ -221,9 +234,9 @@
                     + " start "
                     + one.start()
                     + " of "
-                    + one.change().member().name()
-                    + one.change().member().start();
-            if (last.merge(key, one.change().member().incarnation(), (a, b) -> b < a ? -1 : b)
+                    + one.change().record().name()
+                    + one.change().record().instanceId();
+            if (last.merge(key, one.change().record().incarnation(), (a, b) -> b < a ? -1 : b)
                 < 0) {
               back.add(key);
             }
--- a/src/test/java/mothwing/witness/PeerMessageTest.java
+++ b/src/test/java/mothwing/witness/PeerMessageTest.java
@@ -56,7 +56,8 @@
 
   @Test
   void ask() throws IOException {
-    assertRecorded("ask", message(MembershipMessage.Kind.ASK, 128, "giza-2", CLAIMS.subList(1, 2)));
+    assertRecorded(
+        "ask", message(MembershipMessage.Kind.PING_REQUEST, 128, "giza-2", CLAIMS.subList(1, 2)));
   }
 
   @Test
@@ -66,7 +67,7 @@
 
   @Test
   void sync() throws IOException {
-    assertRecorded("sync", message(MembershipMessage.Kind.SYNC, 70_000, "", CLAIMS));
+    assertRecorded("sync", message(MembershipMessage.Kind.SYNC_REQUEST, 70_000, "", CLAIMS));
   }
 
   @Test
@@ -76,7 +77,8 @@
             .mapToObj(
                 i -> new MemberRecord("m" + i, i, "h:" + i, "z", i, MemberState.ALIVE, "m" + i))
             .toList();
-    assertRecorded("synced", message(MembershipMessage.Kind.SYNCED, 5_000_000_000L, "", sixteen));
+    assertRecorded(
+        "synced", message(MembershipMessage.Kind.SYNC_RESPONSE, 5_000_000_000L, "", sixteen));
   }
 
   @Test
