--- a/src/main/java/mothwing/membership/Suspicion.java
+++ b/src/main/java/mothwing/membership/Suspicion.java
@@ -53,6 +53,7 @@
     double confirmed =
         Math.min(1, Math.log(accusers.size()) / Math.log(settings.suspicionConfirmations() + 1));
     double shortened = (maximum - settings.minSuspicionMicros()) * confirmed;
-    return (long) (maximum - shortened) * healthMultiplier;
+    long timeout = (long) (maximum - shortened);
+    return timeout * healthMultiplier;
   }
 }
