--- a/src/test/java/mothwing/overload/DependencyCallLimiterTest.java
+++ b/src/test/java/mothwing/overload/DependencyCallLimiterTest.java
@@ -11,7 +11,7 @@
   private final DependencyCallLimiter limiter = new DependencyCallLimiter(context);
 
   private void pass(long micros) {
-    limiter.advance(micros);
+    limiter.advance((double) micros);
     context.moveTo(context.now() + micros);
     limiter.expireAbandoned();
   }
--- a/src/test/java/mothwing/witness/GoldenFile.java
+++ b/src/test/java/mothwing/witness/GoldenFile.java
@@ -117,7 +117,8 @@
   /** Text on one line: what is no plain character stands as an escape that Java reads again. */
   static String escaped(String text) {
     StringBuilder all = new StringBuilder();
-    for (char one : text.toCharArray()) {
+    for (int i = 0; i < text.length(); i++) {
+      char one = text.charAt(i);
       switch (one) {
         case '\r' -> all.append("\\r");
         case '\n' -> all.append("\\n");
