--- a/src/main/java/mothwing/broker/DependencyClient.java
+++ b/src/main/java/mothwing/broker/DependencyClient.java
@@ -1,34 +1,34 @@
 package mothwing.broker;
 
-/** What the broker asks of the tier below, for runs that stand at a call. */
+/** The calls of the broker to the dependency, for runs that await one. */
 public interface DependencyClient {
-  /** A tier that is not there: no call can be made. */
+  /** Stands for a dependency that is not configured: no call can be made. */
   DependencyClient UNAVAILABLE =
       new DependencyClient() {
         @Override
-        public boolean startCall(String id, long limitMs, byte[] content) {
+        public boolean startCall(String id, long timeoutMillis, byte[] content) {
           return false;
         }
 
         @Override
         public void abandonCall(String id) {
-          // none was made
+          // no call was made
         }
       };
 
   /**
-   * Makes a call. Its end is told by {@link Broker#callEnded}, later than this and at most once;
-   * nothing is told of one that was abandoned, or whose name was used again.
+   * Starts a call. {@link Broker#callEnded} reports its end, after this method has returned and at
+   * most once; the end of an abandoned call, or of one whose id was used again, is not reported.
    *
-   * @param id the request whose run stands at the call
-   * @param limitMs milliseconds after which the tier below is to give it up, above 0
-   * @param content what is asked
-   * @return false where nothing can be made: no more of it is heard
+   * @param id the request whose run awaits the call
+   * @param timeoutMillis milliseconds after which the dependency is to give the call up, above 0
+   * @param content the content of the call
+   * @return false if no call can be made; then no end is reported
    */
-  boolean startCall(String id, long limitMs, byte[] content);
+  boolean startCall(String id, long timeoutMillis, byte[] content);
 
   /**
-   * Gives up a call, if there is one.
+   * Abandons a call, if there is one.
    *
    * @param id the request
    */
--- a/src/main/java/mothwing/broker/Exchange.java
+++ b/src/main/java/mothwing/broker/Exchange.java
@@ -64,7 +64,7 @@
 
   /** What changes the state of a request. */
   enum Event {
-    /** The controller is told of it. */
+    /** It is reported to the controller. */
     REPORTED,
     /** It is handed to the pool. */
     RUN_STARTED,
--- a/src/main/java/mothwing/broker/InboundRequest.java
+++ b/src/main/java/mothwing/broker/InboundRequest.java
@@ -1,19 +1,19 @@
 package mothwing.broker;
 
 /**
- * A request as a front read it: the fields that decisions need, and the body as it came.
+ * A request as a front decoded it: the fields that decisions need, and the body unchanged.
  *
- * @param id its name, new with every try
- * @param acceptedAtMs when it came to the machine, in Unix milliseconds
- * @param tenant the tenant's name, or an empty word
+ * @param id its id, new with every attempt
+ * @param acceptedAtMs when it reached the machine, in Unix milliseconds of the gateway's clock
+ * @param tenant the name of its tenant, or an empty string
  * @param className the name of its class
- * @param memoryKb memory booked for it while it is held
+ * @param memoryKb kilobytes reserved for it while it is queued
  * @param rank its rank, from 0 to under 1
- * @param cacheKey what a read is about, or null
- * @param idempotencyKey what all tries of a guarded request have in common, or null
- * @param maxWaitMs how long its caller waits from when it came to the machine, in milliseconds, or
- *     {@link #NOT_STATED}
- * @param body the body as it came
+ * @param cacheKey the subject of a read, or null
+ * @param idempotencyKey what all attempts of one request have in common, or null
+ * @param maxWaitMs milliseconds that its caller waits from when it reached the machine, or {@link
+ *     #NOT_STATED}
+ * @param body the body, unchanged
  */
 public record InboundRequest(
     String id,
@@ -26,15 +26,15 @@
     String idempotencyKey,
     long maxWaitMs,
     byte[] body) {
-  /** Where a request does not tell how long its caller waits. */
+  /** The wait of a request that states none. */
   public static final long NOT_STATED = -1;
 
-  /** Most characters of an idempotency key. */
+  /** Characters of an idempotency key at most. */
   public static final int MAX_KEY_CHARS = 128;
 
-  /** Most bytes of a body. */
+  /** Bytes of a body at most. */
   public static final int MAX_BODY_BYTES = 2048;
 
-  /** What stands before the name of a class in the path. */
+  /** Precedes the name of the class in the path. */
   public static final String PATH_PREFIX = "/call/";
 }
--- a/src/main/java/mothwing/broker/ResponseSink.java
+++ b/src/main/java/mothwing/broker/ResponseSink.java
@@ -1,26 +1,28 @@
 package mothwing.broker;
 
-/** The way back to whoever sent a request; each exchange uses one of these answers, once. */
+/**
+ * Takes the answer to a request; each exchange calls exactly one of these methods, at most once.
+ */
 public interface ResponseSink {
   /**
-   * The result that the worker pool made for this request.
+   * Answers with the result of the run.
    *
    * @param result its bytes, unchanged
    */
   void sendResult(byte[] result);
 
   /**
-   * The request never ran.
+   * Answers that the request was rejected and never ran.
    *
-   * @param last whether no other server should be tried
-   * @param holdOffMs how long to stay away, or 0
+   * @param finalAnswer whether no other server should be tried
+   * @param retryAfterMillis milliseconds before the caller should return, or 0
    */
-  void sendRejection(boolean last, long holdOffMs);
+  void sendRejection(boolean finalAnswer, long retryAfterMillis);
 
   /**
-   * The request failed and may have taken effect.
+   * Answers that the request failed; it may have taken effect.
    *
-   * @param code the reason
+   * @param code the reason, as it is sent
    */
   void sendFailure(String code);
 }
--- a/src/main/java/mothwing/broker/RunClaims.java
+++ b/src/main/java/mothwing/broker/RunClaims.java
@@ -1,32 +1,32 @@
 package mothwing.broker;
 
 /**
- * Which process may run a guarded request, where several serve at one address: during an upgrade
- * both the old and the new one read tries of the same request.
+ * Decides which process may run a request with an idempotency key when several processes serve one
+ * address: during an upgrade both the old and the new one read attempts of the same request.
  */
 @FunctionalInterface
 public interface RunClaims {
-  /** A process that shares its clients with no other. */
+  /** For a process that shares its address with no other: every claim is granted. */
   RunClaims UNSHARED = (key, span) -> Claim.GRANTED;
 
-  /** What became of a claim. */
+  /** The result of a claim. */
   enum Claim {
     /** This process holds the key: it may run the request. */
     GRANTED,
-    /** Another process holds it, and has run the request or is about to. */
+    /** Another process holds the key, and has run the request or is about to. */
     HELD,
-    /** There is no room to hold another key: nothing ran, and nothing may be run. */
+    /** The table of keys is full: nothing ran, and nothing may be run. */
     FULL,
-    /** It cannot be told who holds it. */
+    /** The holder of the key cannot be determined. */
     UNKNOWN
   }
 
   /**
-   * Claims a key for this process. It may be claimed again by the same.
+   * Claims a key for this process, which may claim it again.
    *
-   * @param key the idempotency key with all that it belongs to
+   * @param key the idempotency key with its tenant and class
    * @param span microseconds from now for which no other process may run the request
-   * @return what became of it
+   * @return the result of the claim
    */
   Claim claim(String key, long span);
 }
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -79,7 +79,9 @@
     }
   }
 
-  /** The controller counts what it starts as running until it is told of an end. */
+  /**
+   * Reports the end of a start that was not carried out, as the controller counts it as running.
+   */
   private void reportNotStarted(String id) {
     context.open().remove(id);
     context.events().enqueue((to, at) -> to.runEnded(at, id, RunOutcome.NOT_STARTED, 0));
--- a/src/main/java/mothwing/broker/Scheduler.java
+++ b/src/main/java/mothwing/broker/Scheduler.java
@@ -1,8 +1,6 @@
 package mothwing.broker;
 
-/**
- * The clocks, and work that is due later. All of it happens on the one thread that owns the broker.
- */
+/** The clocks, and delayed work. All work runs on the one thread that owns the broker. */
 public interface Scheduler {
   /** Microseconds of the monotonic clock. */
   long now();
--- a/src/main/java/mothwing/broker/StableIndex.java
+++ b/src/main/java/mothwing/broker/StableIndex.java
@@ -9,11 +9,11 @@
 import java.util.function.IntPredicate;
 
 /**
- * Named parts of the settings at places that do not move while anything refers to them. A part that
- * is dropped keeps its place until nothing does, and its name is unknown at once; there are never
- * more places than parts and uses at the same time.
+ * Gives named entries of the settings an index that does not change while an open request refers to
+ * it. A removed entry keeps its index until no request refers to it, and its name is unknown at
+ * once; there are never more indexes than entries and references at the same time.
  *
- * @param <T> the parts
+ * @param <T> the type of the entries
  */
 final class StableIndex<T> {
   private final Function<T, String> name;
@@ -21,38 +21,38 @@
   private final Map<String, Integer> known = new HashMap<>();
 
   /**
-   * Makes places for parts.
+   * Makes an empty index.
    *
-   * @param name gives a part's name
+   * @param name gives the name of an entry
    */
   StableIndex(Function<T, String> name) {
     this.name = name;
   }
 
   /**
-   * Takes the parts of new settings.
+   * Takes the entries of new settings.
    *
-   * @param parts the parts, each name once
-   * @param used whether anything refers to a place
+   * @param added the entries, each name once
+   * @param used whether an open request refers to an index
    */
-  void update(List<T> parts, IntPredicate used) {
+  void update(List<T> added, IntPredicate used) {
     known.clear();
-    List<T> rest = new ArrayList<>();
-    for (T part : parts) {
-      int place = previousIndexOf(name.apply(part));
-      if (place >= 0) {
-        put(place, part);
+    List<T> unplaced = new ArrayList<>();
+    for (T entry : added) {
+      int index = previousIndexOf(name.apply(entry));
+      if (index >= 0) {
+        put(index, entry);
       } else {
-        rest.add(part);
+        unplaced.add(entry);
       }
     }
     int next = 0;
-    for (T part : rest) {
+    for (T entry : unplaced) {
       while (next < entries.size()
           && (used.test(next) || Objects.equals(known.get(name.apply(entries.get(next))), next))) {
         next++;
       }
-      put(next, part);
+      put(next, entry);
     }
   }
 
@@ -65,26 +65,26 @@
     return -1;
   }
 
-  private void put(int place, T part) {
-    if (place == entries.size()) {
-      entries.add(part);
+  private void put(int index, T entry) {
+    if (index == entries.size()) {
+      entries.add(entry);
     } else {
-      entries.set(place, part);
+      entries.set(index, entry);
     }
-    known.put(name.apply(part), place);
+    known.put(name.apply(entry), index);
   }
 
-  /** The place of a name that the settings have now, or null. */
+  /** The index of a name in the current settings, or null. */
   Integer indexOf(String wanted) {
     return known.get(wanted);
   }
 
-  /** Whether the settings have no parts of this kind. */
+  /** Whether the current settings have no entries. */
   boolean isEmpty() {
     return known.isEmpty();
   }
 
-  /** What stands at all places, dropped parts included. */
+  /** The entries at all indexes, removed ones included. */
   List<T> entries() {
     return List.copyOf(entries);
   }
--- a/src/main/java/mothwing/broker/WorkerPool.java
+++ b/src/main/java/mothwing/broker/WorkerPool.java
@@ -1,32 +1,39 @@
 package mothwing.broker;
 
-/** What the broker asks of the worker pool. Calls do nothing while {@link #isReady} is false. */
+/**
+ * The commands of the broker to the worker pool. They do nothing while {@link #isReady} is false.
+ */
 public interface WorkerPool {
   /** Whether commands reach the pool now. */
   boolean isReady();
 
-  /** Runs a request. Says whether the command was put on a link; that link may still break. */
+  /**
+   * Starts a run.
+   *
+   * @param exchange the request
+   * @return whether the command was written to a connection, which may still be lost
+   */
   boolean startRun(Exchange exchange);
 
-  /** Stops a run. */
+  /** Stops the run of a request. */
   void stopRun(String id);
 
-  /** Goes on with a paused run. */
+  /** Resumes a paused run. */
   void resumeRun(String id);
 
-  /** Lets a run that stands at a call go on with its result. */
+  /** Resumes a run that awaits a dependency call, with the result of the call. */
   default void resumeWithResult(String id, byte[] result) {
     throw new UnsupportedOperationException("runs here make no calls");
   }
 
-  /** Lets a run that stands at a call go on without it. */
+  /** Resumes a run that awaits a dependency call, without a result. */
   default void resumeWithoutResult(String id) {
     throw new UnsupportedOperationException("runs here make no calls");
   }
 
-  /** Asks for the gauges. */
+  /** Requests the gauges; the answer carries the echo. */
   void requestGauges(String echo);
 
-  /** Does the work of a deep health check. */
+  /** Starts the work of a deep health check; its end carries the echo. */
   void startHealthCheck(String echo);
 }
--- a/src/main/java/mothwing/broker/package-info.java
+++ b/src/main/java/mothwing/broker/package-info.java
@@ -7,6 +7,6 @@
  * <p>Everything happens on the thread of the event loop; no class here is safe for other threads.
  * Invariants: a request is answered at most once and never after its caller has cancelled it; a
  * request that must run at most once is never handed to the pool again after it may have run; the
- * controller is told of the end of every run that it started.
+ * controller is notified of the end of every run that it started.
  */
 package mothwing.broker;
--- a/src/main/java/mothwing/server/FileDescriptorBudget.java
+++ b/src/main/java/mothwing/server/FileDescriptorBudget.java
@@ -53,8 +53,8 @@
    *
    * @param limit file descriptors in all
    * @param open how many this process holds before it listens
-   * @return their number: a quarter, {@value #MOST_SPARE} at most, but no less than those open and
-   *     {@value #LEAST_SPARE} more
+   * @return their number: a quarter, {@value #MAX_RESERVED} at most, but no less than those open
+   *     and {@value #LEAST_SPARE} more
    */
   static int reserved(int limit, int open) {
     return Math.max(open + MIN_RESERVED, Math.min(MAX_RESERVED, limit / 4));
