--- a/src/main/java/mothwing/cli/Counts.java
+++ b/src/main/java/mothwing/cli/Counts.java
@@ -16,7 +16,7 @@
   private Counts() {}
 
   static int run(String server, PrintStream out) throws IOException {
-    InetSocketAddress address = Addresses.read(server, "server");
+    InetSocketAddress address = Addresses.parse(server, "server");
     try (Socket socket = new Socket()) {
       socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.connect(address, TIMEOUT_MILLIS);
--- a/src/main/java/mothwing/cli/Manage.java
+++ b/src/main/java/mothwing/cli/Manage.java
@@ -23,7 +23,7 @@
 
   /** Sends a command and returns the reply. */
   static String call(String server, String call) throws IOException {
-    InetSocketAddress address = Addresses.read(server, "server");
+    InetSocketAddress address = Addresses.parse(server, "server");
     try (Socket socket = new Socket()) {
       socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.connect(address, TIMEOUT_MILLIS);
--- a/src/main/java/mothwing/cli/ZoneCommands.java
+++ b/src/main/java/mothwing/cli/ZoneCommands.java
@@ -26,7 +26,7 @@
   }
 
   private static ZoneFile.Result read(String file, String origin) throws IOException {
-    return ZoneFiles.read(Path.of(file), name(origin), Site.DnsLimits.USUAL.records(), false);
+    return ZoneFiles.read(Path.of(file), name(origin), Site.DnsLimits.DEFAULTS.records(), false);
   }
 
   /**
--- a/src/main/java/mothwing/cli/ZoneUpdate.java
+++ b/src/main/java/mothwing/cli/ZoneUpdate.java
@@ -71,7 +71,7 @@
             parts[name], parts.length == 3 ? parts[0] : "hmac-sha256", Path.of(parts[name + 1]));
     TSIG tsig =
         new TSIG(TSIG.algorithmToName(read.algorithm()), absolute(read.name()), Secret.read(read));
-    return new ZoneUpdate(Addresses.read(server, "server"), absolute(zone), tsig, out).lines(in);
+    return new ZoneUpdate(Addresses.parse(server, "server"), absolute(zone), tsig, out).lines(in);
   }
 
   private static Name absolute(String text) throws IOException {
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -102,7 +102,7 @@
         new MemberRecord(
             name,
             random.nextLong() >>> 1,
-            Addresses.text(fleet.advertise()),
+            Addresses.format(fleet.advertise()),
             fleet.zone(),
             0,
             MemberState.ALIVE,
@@ -111,7 +111,7 @@
         new Membership(
             fleet.name(),
             self,
-            fleet.seeds().stream().map(Addresses::text).toList(),
+            fleet.seeds().stream().map(Addresses::format).toList(),
             FailureDetectorSettings.DEFAULTS,
             timers,
             random,
@@ -166,9 +166,9 @@
                     "fleet-joins fleet="
                         + fleet.name()
                         + " listen="
-                        + Addresses.text(fleet.listen())
+                        + Addresses.format(fleet.listen())
                         + " advertise="
-                        + Addresses.text(fleet.advertise())
+                        + Addresses.format(fleet.advertise())
                         + " seeds="
                         + fleet.seeds().size()
                         + " zone="
@@ -183,7 +183,7 @@
       complained = true;
       log.write(
           "fleet-waits listen="
-              + Addresses.text(fleet.listen())
+              + Addresses.format(fleet.listen())
               + " what=\""
               + why.getMessage()
               + "\"");
@@ -312,7 +312,7 @@
 
   private InetSocketAddress address(String text) {
     try {
-      return Addresses.read(text, "address");
+      return Addresses.parse(text, "address");
     } catch (InvalidInputException bad) {
       counters.add("peer-bad-address");
       return null;
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -183,15 +183,15 @@
         configured.isEmpty()
             ? Objects.requireNonNullElse(System.getenv("EDGE_MANAGEMENT"), "")
             : configured;
-    return address.isEmpty() ? null : Addresses.read(address, "management");
+    return address.isEmpty() ? null : Addresses.parse(address, "management");
   }
 
   private static InetSocketAddress ledger(String configured) throws InvalidInputException {
-    return configured.isEmpty() ? null : Addresses.read(configured, "ledger");
+    return configured.isEmpty() ? null : Addresses.parse(configured, "ledger");
   }
 
   private static InetSocketAddress address(JsonFields fields, String name)
       throws InvalidInputException {
-    return Addresses.read(fields.text(name), name);
+    return Addresses.parse(fields.text(name), name);
   }
 }
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -109,12 +109,12 @@
    * @throws InvalidInputException where the server's name may not be that of a member
    */
   public void join(Site.Fleet fleet) throws InvalidInputException {
-    if (!Site.Fleet.mayBeCalled(config.name())) {
+    if (!Site.Fleet.isValidName(config.name())) {
       throw new InvalidInputException(
           "field name: \""
               + config.name()
               + "\" is not "
-              + Site.Fleet.NAMED
+              + Site.Fleet.NAME_FORMAT
               + ", as a member of a fleet is called");
     }
     peer =
--- a/src/main/java/mothwing/settings/Addresses.java
+++ b/src/main/java/mothwing/settings/Addresses.java
@@ -12,7 +12,7 @@
    * @param address a resolved address
    * @return host and port
    */
-  public static String text(InetSocketAddress address) {
+  public static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
@@ -24,7 +24,7 @@
    * @return the address
    * @throws InvalidInputException where it is malformed
    */
-  public static InetSocketAddress read(String text, String name) throws InvalidInputException {
+  public static InetSocketAddress parse(String text, String name) throws InvalidInputException {
     int colon = text.lastIndexOf(':');
     try {
       String host = text.substring(0, Math.max(0, colon)).replace("[", "").replace("]", "");
--- a/src/main/java/mothwing/settings/Site.java
+++ b/src/main/java/mothwing/settings/Site.java
@@ -32,7 +32,7 @@
       List<InetSocketAddress> seeds,
       String zone) {
     /** The rule for the names of fleets, fault domains and members, in words. */
-    public static final String NAMED = "1 to 31 letters, digits, '.', '_' or '-'";
+    public static final String NAME_FORMAT = "1 to 31 letters, digits, '.', '_' or '-'";
 
     /**
      * Whether a text may be the name of a fleet, fault domain or member. Names are short, as each
@@ -41,7 +41,7 @@
      * @param text a name
      * @return true if so
      */
-    public static boolean mayBeCalled(String text) {
+    public static boolean isValidName(String text) {
       return text.matches("[A-Za-z0-9._-]{1,31}");
     }
   }
@@ -89,7 +89,7 @@
       int repeats,
       boolean control) {
     /** The defaults. */
-    public static final DnsLimits USUAL =
+    public static final DnsLimits DEFAULTS =
         new DnsLimits(
             1232, 512, 512, 10_000, 32, 0, 16_384, 8192, 2_000_000, 64L << 20, 65_536, true);
   }
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -96,7 +96,7 @@
   private static InetSocketAddress address(Arguments call, String name, String text)
       throws ScriptError {
     try {
-      return Addresses.read(text, name);
+      return Addresses.parse(text, name);
     } catch (InvalidInputException invalid) {
       throw call.wrong(invalid.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
     }
@@ -142,8 +142,8 @@
   }
 
   private static String memberName(Arguments call, String name, String text) throws ScriptError {
-    if (!Site.Fleet.mayBeCalled(text)) {
-      throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAMED);
+    if (!Site.Fleet.isValidName(text)) {
+      throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAME_FORMAT);
     }
     return text;
   }
@@ -162,7 +162,7 @@
     if (dns != null) {
       throw call.wrong("is called twice");
     }
-    DnsLimits defaults = DnsLimits.USUAL;
+    DnsLimits defaults = DnsLimits.DEFAULTS;
     InetSocketAddress listen = address(call, "listen");
     Path state = below(call, call.text("state", "state"));
     DnsLimits limits =
--- a/src/main/java/mothwing/trial/FleetStage.java
+++ b/src/main/java/mothwing/trial/FleetStage.java
@@ -71,14 +71,14 @@
               "fleet(name = \""
                   + fleet
                   + "\", listen = \""
-                  + Addresses.text(listen)
+                  + Addresses.format(listen)
                   + "\", advertise = \""
-                  + Addresses.text(advertise)
+                  + Addresses.format(advertise)
                   + "\", seeds = ["
                   + String.join(
                       ", ",
                       seeds.stream()
-                          .map(one -> "\"" + Addresses.text(one.advertise) + "\"")
+                          .map(one -> "\"" + Addresses.format(one.advertise) + "\"")
                           .toList())
                   + "], zone = \""
                   + zone
--- a/src/main/java/mothwing/trial/ServerProcess.java
+++ b/src/main/java/mothwing/trial/ServerProcess.java
@@ -63,7 +63,7 @@
     Files.createDirectories(folder);
     String text =
         config(port, door, pool)
-            .replaceFirst("\\{", "{\"ledger\":\"" + Addresses.text(ledger) + "\",")
+            .replaceFirst("\\{", "{\"ledger\":\"" + Addresses.format(ledger) + "\",")
             .replace(
                 "\"Extra\":{", "\"Extra\":{\"DependsOn\":\"tier\",\"CallsByClass\":[true,true],");
     return new ServerProcess(
@@ -159,10 +159,10 @@
                 + "'Gauges':['cpu_busy','runnable','mem_used','sockets'],'Say':'threshold'}}}")
             .replace('\'', '"'),
         place.name(),
-        Addresses.text(place.listen()),
-        Addresses.text(place.door()),
-        Addresses.text(place.pool()),
-        Addresses.text(place.announce()),
+        Addresses.format(place.listen()),
+        Addresses.format(place.door()),
+        Addresses.format(place.pool()),
+        Addresses.format(place.announce()),
         fleet.stopMs(),
         fleet.memoryMb(),
         fleet.sockets(),
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -47,7 +47,7 @@
   }
 
   private static Site.DnsLimits limits() {
-    return Site.DnsLimits.USUAL;
+    return Site.DnsLimits.DEFAULTS;
   }
 
   /** What a controller does with a request that was read. */
