--- a/src/main/java/mothwing/dns/server/ZoneKeeper.java
+++ b/src/main/java/mothwing/dns/server/ZoneKeeper.java
@@ -450,7 +450,7 @@
 
   /** Whether updates or a reload are on their way to the disk. */
   boolean busy() {
-    return committer != null && committer.waiting() > 0;
+    return committer != null && committer.pendingCount() > 0;
   }
 
   /** Ends it once all that was accepted is forced. */
--- a/src/main/java/mothwing/store/Disk.java
+++ b/src/main/java/mothwing/store/Disk.java
@@ -17,7 +17,7 @@
  */
 public interface Disk {
   /** One open file. */
-  interface Opened extends AutoCloseable {
+  interface OpenFile extends AutoCloseable {
     /** Its length in bytes. */
     long size() throws IOException;
 
@@ -41,7 +41,7 @@
   List<String> list() throws IOException;
 
   /** Opens a file, which is made where there is none. */
-  Opened open(String name) throws IOException;
+  OpenFile open(String name) throws IOException;
 
   /** Renames a file atomically, replacing a file of that name. */
   void rename(String from, String to) throws IOException;
@@ -50,7 +50,7 @@
   void delete(String name) throws IOException;
 
   /** Blocks until created, renamed and deleted names would survive a loss of power. */
-  void forceNames() throws IOException;
+  void forceDirectory() throws IOException;
 
   /**
    * The files of a real folder, which is made where there is none.
@@ -63,12 +63,12 @@
     Files.createDirectories(folder);
     String control = System.getProperty(FaultInjectingDisk.PROPERTY);
     return control == null
-        ? new Folder(folder)
-        : new FaultInjectingDisk(new Folder(folder), Path.of(control));
+        ? new Directory(folder)
+        : new FaultInjectingDisk(new Directory(folder), Path.of(control));
   }
 
   /** A real folder. */
-  record Folder(Path path) implements Disk {
+  record Directory(Path path) implements Disk {
     @Override
     public List<String> list() throws IOException {
       try (Stream<Path> files = Files.list(path)) {
@@ -81,8 +81,8 @@
     }
 
     @Override
-    public Opened open(String name) throws IOException {
-      return new Channel(
+    public OpenFile open(String name) throws IOException {
+      return new ChannelFile(
           FileChannel.open(
               path.resolve(name),
               StandardOpenOption.CREATE,
@@ -105,7 +105,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void forceDirectory() throws IOException {
       try (FileChannel names = FileChannel.open(path, StandardOpenOption.READ)) {
         names.force(true);
       }
@@ -113,7 +113,7 @@
   }
 
   /** A real file. */
-  record Channel(FileChannel file) implements Opened {
+  record ChannelFile(FileChannel file) implements OpenFile {
     @Override
     public long size() throws IOException {
       return file.size();
--- a/src/main/java/mothwing/store/FaultInjectingDisk.java
+++ b/src/main/java/mothwing/store/FaultInjectingDisk.java
@@ -53,7 +53,7 @@
   }
 
   @Override
-  public Opened open(String name) throws IOException {
+  public OpenFile open(String name) throws IOException {
     return new FaultInjectingFile(disk.open(name));
   }
 
@@ -68,15 +68,15 @@
   }
 
   @Override
-  public void forceNames() throws IOException {
+  public void forceDirectory() throws IOException {
     force();
-    disk.forceNames();
+    disk.forceDirectory();
   }
 
-  private final class FaultInjectingFile implements Opened {
-    private final Opened opened;
+  private final class FaultInjectingFile implements OpenFile {
+    private final OpenFile opened;
 
-    FaultInjectingFile(Opened opened) {
+    FaultInjectingFile(OpenFile opened) {
       this.opened = opened;
     }
 
--- a/src/main/java/mothwing/store/GroupCommitter.java
+++ b/src/main/java/mothwing/store/GroupCommitter.java
@@ -111,7 +111,7 @@
    *
    * @return their number
    */
-  public int waiting() {
+  public int pendingCount() {
     return pending;
   }
 
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -37,7 +37,7 @@
 
   private final Disk disk;
   private final Consumer<String> log;
-  private Disk.Opened file;
+  private Disk.OpenFile file;
   private String name;
   private long acknowledgedBytes;
   private long nextSequence;
@@ -111,7 +111,7 @@
   }
 
   private void readLog(String log, boolean last, Replay replay) throws IOException {
-    Disk.Opened opened = disk.open(log);
+    Disk.OpenFile opened = disk.open(log);
     boolean kept = false;
     try {
       OptionalLong first = RecordFraming.firstSequence(opened, log);
@@ -144,14 +144,14 @@
           log, 0, "records " + nextSequence + " to " + (first.getAsLong() - 1) + " are missing");
     }
     if (first.isEmpty() || first.getAsLong() != sequence(log, LOG)) {
-      throw new CorruptRecordException(log, 0, "the head is damaged");
+      throw new CorruptRecordException(log, 0, "the file header is damaged");
     }
   }
 
   /** Where the records of a log file end: the next sequence number, and the offset. */
   private record LogEnd(long sequence, long offset) {}
 
-  private LogEnd replayRecords(Disk.Opened opened, String log, boolean last, Replay replay)
+  private LogEnd replayRecords(Disk.OpenFile opened, String log, boolean last, Replay replay)
       throws IOException {
     long expected = sequence(log, LOG);
     long offset = RecordFraming.HEADER_BYTES;
@@ -180,13 +180,13 @@
 
   /** Truncates a torn frame at the end; fails if it is not at the end of the last file. */
   private void truncateTornTail(
-      Disk.Opened opened, String log, long at, boolean last, long expected) throws IOException {
+      Disk.OpenFile opened, String log, long at, boolean last, long expected) throws IOException {
     OptionalLong later = RecordFraming.findFrame(opened, at + 1, expected);
     if (!last || later.isPresent()) {
       throw new CorruptRecordException(
           log,
           at,
-          "a damaged frame, followed by whole ones"
+          "a damaged frame, followed by intact frames"
               + (later.isPresent() ? " at byte " + later.getAsLong() : " in the next file"));
     }
     this.log.accept("journal-cut file=" + log + " at=" + at + " bytes=" + (opened.size() - at));
@@ -197,12 +197,12 @@
   /** Starts a new file, for the next record on. */
   private void startFile() throws IOException {
     String fresh = fileName(LOG, nextSequence);
-    Disk.Opened opened = disk.open(fresh);
+    Disk.OpenFile opened = disk.open(fresh);
     try {
       opened.truncate(0);
       opened.append(RecordFraming.header(nextSequence));
       opened.force();
-      disk.forceNames();
+      disk.forceDirectory();
     } catch (IOException failed) {
       abandonedFile = fresh; // recovery would take it for the continuation of the current file
       opened.close();
@@ -262,7 +262,7 @@
   private void repair() throws IOException {
     if (abandonedFile != null) {
       disk.delete(abandonedFile);
-      disk.forceNames();
+      disk.forceDirectory();
       abandonedFile = null;
     }
     if (hasTornFrame) {
@@ -286,7 +286,7 @@
    *
    * @return its sequence number, 0 where there is none
    */
-  public long last() {
+  public long lastSequence() {
     return nextSequence - 1;
   }
 
@@ -294,7 +294,7 @@
   public final class Snapshot {
     private final long covers;
     private final Iterator<byte[]> pieces;
-    private final Disk.Opened temporary;
+    private final Disk.OpenFile temporary;
     private long frames;
 
     private Snapshot(Iterator<byte[]> pieces) throws IOException {
@@ -338,7 +338,7 @@
       }
       temporary.close();
       disk.rename(TEMPORARY, fileName(SNAPSHOT, covers));
-      disk.forceNames();
+      disk.forceDirectory();
       for (String found : disk.list()) {
         if (isCovered(found)) {
           disk.delete(found);
--- a/src/main/java/mothwing/store/RecordFraming.java
+++ b/src/main/java/mothwing/store/RecordFraming.java
@@ -57,7 +57,7 @@
    *
    * @throws CorruptRecordException where a newer version of this program wrote it
    */
-  static OptionalLong firstSequence(Disk.Opened file, String name) throws IOException {
+  static OptionalLong firstSequence(Disk.OpenFile file, String name) throws IOException {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
     if (file.read(header, 0) < HEADER_BYTES) {
       return OptionalLong.empty();
@@ -102,7 +102,7 @@
   }
 
   /** The frame at an offset of a file, or none where it is incomplete or damaged. */
-  static Optional<Frame> read(Disk.Opened file, long offset) throws IOException {
+  static Optional<Frame> read(Disk.OpenFile file, long offset) throws IOException {
     ByteBuffer header = ByteBuffer.allocate(FRAME_HEADER_BYTES);
     if (file.read(header, offset) < FRAME_HEADER_BYTES || header.getInt(0) != FRAME_MAGIC) {
       return Optional.empty();
@@ -133,7 +133,8 @@
    * The offset, at or after another, of the next undamaged frame whose first sequence number is at
    * least {@code minSequence}, or none.
    */
-  static OptionalLong findFrame(Disk.Opened file, long from, long minSequence) throws IOException {
+  static OptionalLong findFrame(Disk.OpenFile file, long from, long minSequence)
+      throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(SEARCH_WINDOW_BYTES);
     for (long at = from;
         at + FRAME_HEADER_BYTES <= file.size();
--- a/src/main/java/mothwing/store/SnapshotReader.java
+++ b/src/main/java/mothwing/store/SnapshotReader.java
@@ -23,10 +23,10 @@
    */
   static void read(Disk disk, String snapshot, long sequence, Journal.Replay replay)
       throws IOException {
-    try (Disk.Opened opened = disk.open(snapshot)) {
+    try (Disk.OpenFile opened = disk.open(snapshot)) {
       OptionalLong covers = RecordFraming.firstSequence(opened, snapshot);
       if (covers.isEmpty() || covers.getAsLong() != sequence) {
-        throw new CorruptRecordException(snapshot, 0, "the snapshot is cut short");
+        throw new CorruptRecordException(snapshot, 0, "the snapshot is truncated");
       }
       long offset = RecordFraming.HEADER_BYTES;
       long frames = 0;
@@ -41,23 +41,23 @@
         frames++;
         offset = frame.end();
       }
-      throw new CorruptRecordException(snapshot, offset, "the snapshot is cut short");
+      throw new CorruptRecordException(snapshot, offset, "the snapshot is truncated");
     }
   }
 
   /** Reads a frame of a snapshot; the last one holds the number of those before it. */
   private static RecordFraming.Frame readFrame(
-      Disk.Opened opened, String snapshot, long offset, long number) throws IOException {
+      Disk.OpenFile opened, String snapshot, long offset, long number) throws IOException {
     Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
     if (read.isEmpty()
         || (read.get().firstSequence() != number && read.get().firstSequence() != LAST_FRAME)) {
-      throw new CorruptRecordException(snapshot, offset, "a damaged piece of the snapshot");
+      throw new CorruptRecordException(snapshot, offset, "a damaged frame of the snapshot");
     }
     RecordFraming.Frame frame = read.get();
     if (frame.firstSequence() == LAST_FRAME
         && (frame.records().size() != 1
             || ByteBuffer.wrap(frame.records().get(0)).getLong() != number)) {
-      throw new CorruptRecordException(snapshot, offset, "pieces of the snapshot are missing");
+      throw new CorruptRecordException(snapshot, offset, "frames of the snapshot are missing");
     }
     return frame;
   }
--- a/src/test/java/mothwing/dns/server/ZoneKeeperTest.java
+++ b/src/test/java/mothwing/dns/server/ZoneKeeperTest.java
@@ -205,7 +205,7 @@
         }
         case 4 -> {
           if (random.nextInt(4) == 0) {
-            disk.failing(1, 2 + random.nextInt(5)); // full for a while
+            disk.failOperations(1, 2 + random.nextInt(5)); // full for a while
           }
         }
         case 5 -> {
@@ -343,7 +343,7 @@
     for (int i = 1; i < 5; i++) {
       assertEquals(Rcode.NOERROR, told(update("u" + i, i, true), i));
     }
-    disk.flip("log-0000000000000001", disk.size("log-0000000000000001") / 2);
+    disk.flipBit("log-0000000000000001", disk.size("log-0000000000000001") / 2);
     open(disk, folder, 1 << 20);
     assertTrue(keeper.health().contains("read-only"));
     assertEquals(1, keeper.zone().get(name("u1"), Type.A).count());
--- a/src/test/java/mothwing/store/FaultyDisk.java
+++ b/src/test/java/mothwing/store/FaultyDisk.java
@@ -34,7 +34,7 @@
   }
 
   /** Lets operations fail, from one number after the present one on to another. */
-  public void failing(int from, int until) {
+  public void failOperations(int from, int until) {
     failFrom = operations + from;
     failUntil = until == Integer.MAX_VALUE ? until : operations + until;
   }
@@ -55,7 +55,7 @@
       one.written = left(one);
       one.forced = one.written;
     }
-    failing(Integer.MAX_VALUE - operations - 1, Integer.MAX_VALUE);
+    failOperations(Integer.MAX_VALUE - operations - 1, Integer.MAX_VALUE);
   }
 
   private byte[] left(Content one) {
@@ -78,7 +78,7 @@
   }
 
   /** Changes one bit of a file. */
-  public void flip(String name, int at) {
+  public void flipBit(String name, int at) {
     Content one = names.get(name);
     one.written = one.written.clone();
     one.written[at] = (byte) (one.written[at] ^ 1 << random.nextInt(8));
@@ -117,21 +117,21 @@
   }
 
   @Override
-  public void forceNames() throws IOException {
+  public void forceDirectory() throws IOException {
     operation();
     forcedNames = new TreeMap<>(names);
     pendingNames.clear();
   }
 
   @Override
-  public Opened open(String name) throws IOException {
+  public OpenFile open(String name) throws IOException {
     if (!names.containsKey(name)) {
       operation();
       names.put(name, new Content());
       pendingNames.add(new TreeMap<>(names));
     }
     Content one = names.get(name);
-    return new Opened() {
+    return new OpenFile() {
       @Override
       public long size() {
         return one.written.length;
--- a/src/test/java/mothwing/store/JournalTest.java
+++ b/src/test/java/mothwing/store/JournalTest.java
@@ -60,7 +60,7 @@
     for (int life = 0; life < 6; life++) {
       List<String> attempted = new ArrayList<>();
       try {
-        disk.failing(random.nextInt(40), Integer.MAX_VALUE);
+        disk.failOperations(random.nextInt(40), Integer.MAX_VALUE);
         Held held = open(disk);
         assertEquals(acknowledged, held.records);
         while (true) {
@@ -114,13 +114,13 @@
     for (int i = 0; i < 60; i++) {
       if (i % 12 == 6) {
         int from = 1 + random.nextInt(4);
-        disk.failing(from, from + 1 + random.nextInt(6));
+        disk.failOperations(from, from + 1 + random.nextInt(6));
       }
       try {
         if (random.nextInt(8) == 0) {
           Journal.Snapshot snapshot = held.journal.snapshot(bytes(acknowledged).iterator());
           while (snapshot.step()) {
-            assertTrue(held.journal.last() == acknowledged.size());
+            assertTrue(held.journal.lastSequence() == acknowledged.size());
           }
         }
         held.journal.append(bytes(List.of("r" + i)));
@@ -149,7 +149,7 @@
       held.journal.append(bytes(List.of("record " + i, "more")));
     }
     int at = random.nextInt(disk.size("log-0000000000000001"));
-    disk.flip("log-0000000000000001", at);
+    disk.flipBit("log-0000000000000001", at);
     if (at < lastFrame) {
       CorruptRecordException found = assertThrows(CorruptRecordException.class, () -> open(disk));
       assertTrue(found.getMessage().startsWith("log-0000000000000001 at byte "), found::getMessage);
@@ -174,7 +174,7 @@
     held.journal.close();
     Held again = open(Disk.of(folder));
     assertEquals(List.of("a+b", "c"), again.records);
-    assertEquals(3, again.journal.last());
+    assertEquals(3, again.journal.lastSequence());
     assertEquals(
         List.of("log-0000000000000003", "snapshot-0000000000000002"), Disk.of(folder).list());
     assertFalse(cuts.toString().contains("cut"));
--- a/src/test/java/mothwing/witness/DnsStoredZoneTest.java
+++ b/src/test/java/mothwing/witness/DnsStoredZoneTest.java
@@ -198,7 +198,7 @@
     store(FIRST_SNAPSHOT);
     Journal[] opened = new Journal[1];
     assertLast(open(opened));
-    assertEquals(3, opened[0].last());
+    assertEquals(3, opened[0].lastSequence());
     opened[0].close();
   }
 
@@ -208,7 +208,7 @@
     store(LATER_SNAPSHOT);
     Journal[] opened = new Journal[1];
     assertLast(open(opened));
-    assertEquals(3, opened[0].last());
+    assertEquals(3, opened[0].lastSequence());
     opened[0].close();
   }
 
--- a/src/test/java/mothwing/witness/StoredJournalTest.java
+++ b/src/test/java/mothwing/witness/StoredJournalTest.java
@@ -91,7 +91,7 @@
         journal.append(List.of());
       }
       journal.append(all("delta", ""));
-      assertEquals(6, journal.last());
+      assertEquals(6, journal.lastSequence());
       assertEquals(stored(LOG).length, journal.size());
     }
     assertEquals(List.of(LOG, SNAPSHOT), Disk.of(folder).list());
@@ -106,7 +106,7 @@
     try (Journal journal = open()) {
       assertEquals(List.of("\0".repeat(CHUNK), "piece two", ""), pieces);
       assertEquals(List.of("charlie", "delta", ""), records);
-      assertEquals(6, journal.last());
+      assertEquals(6, journal.lastSequence());
       assertEquals(List.of(), lines);
     }
     assertArrayEquals(HexFile.read("journal/" + LOG), stored(LOG));
@@ -118,7 +118,7 @@
     store(FIRST_LOG, HexFile.read("journal/" + FIRST_LOG));
     try (Journal journal = open()) {
       assertEquals(List.of("alpha", "bravo", "\0\1\u00fe\u00ff\r\n"), records);
-      assertEquals(3, journal.last());
+      assertEquals(3, journal.lastSequence());
       assertEquals(FIRST_LOG_FRAMES[2], journal.size());
       journal.append(all("four"));
     }
@@ -133,7 +133,7 @@
       store(FIRST_LOG, Arrays.copyOf(whole, length));
       try (Journal journal = open()) {
         assertEquals(List.of("alpha", "bravo"), records);
-        assertEquals(2, journal.last());
+        assertEquals(2, journal.lastSequence());
       }
       int cut = length - FIRST_LOG_FRAMES[1];
       assertEquals(List.of("journal-cut file=" + FIRST_LOG + " at=66 bytes=" + cut), lines);
@@ -170,12 +170,13 @@
     byte[] whole = HexFile.read("journal/" + FIRST_LOG);
     for (int at = FIRST_LOG_FRAMES[0]; at < FIRST_LOG_FRAMES[1]; at++) {
       store(FIRST_LOG, flipped(whole, at));
-      assertCorrupt(FIRST_LOG + " at byte 24: a damaged frame, followed by whole ones at byte 66");
+      assertCorrupt(
+          FIRST_LOG + " at byte 24: a damaged frame, followed by intact frames at byte 66");
       assertArrayEquals(flipped(whole, at), stored(FIRST_LOG));
     }
     for (int at = 0; at < HEAD; at++) {
       store(FIRST_LOG, flipped(whole, at));
-      assertCorrupt(FIRST_LOG + " at byte 0: the head is damaged");
+      assertCorrupt(FIRST_LOG + " at byte 0: the file header is damaged");
     }
   }
 
@@ -185,7 +186,7 @@
     assertCorrupt(LOG + " at byte 0: records 1 to 3 are missing");
     store(FIRST_LOG, Arrays.copyOf(HexFile.read("journal/" + FIRST_LOG), 99));
     assertCorrupt(
-        FIRST_LOG + " at byte 66: a damaged frame, followed by whole ones in the next file");
+        FIRST_LOG + " at byte 66: a damaged frame, followed by intact frames in the next file");
   }
 
   @Test
@@ -195,15 +196,15 @@
     int second = HEAD + HEAD + 4 + CHUNK;
     int last = second + HEAD + 4 + "piece two".length() + 4;
     store(SNAPSHOT, flipped(whole, 0));
-    assertCorrupt(SNAPSHOT + " at byte 0: the snapshot is cut short");
+    assertCorrupt(SNAPSHOT + " at byte 0: the snapshot is truncated");
     store(SNAPSHOT, flipped(whole, HEAD + 100));
-    assertCorrupt(SNAPSHOT + " at byte 24: a damaged piece of the snapshot");
+    assertCorrupt(SNAPSHOT + " at byte 24: a damaged frame of the snapshot");
     store(SNAPSHOT, flipped(whole, second));
-    assertCorrupt(SNAPSHOT + " at byte " + second + ": a damaged piece of the snapshot");
+    assertCorrupt(SNAPSHOT + " at byte " + second + ": a damaged frame of the snapshot");
     store(SNAPSHOT, flipped(whole, last));
-    assertCorrupt(SNAPSHOT + " at byte " + last + ": a damaged piece of the snapshot");
+    assertCorrupt(SNAPSHOT + " at byte " + last + ": a damaged frame of the snapshot");
     store(SNAPSHOT, Arrays.copyOf(whole, last));
-    assertCorrupt(SNAPSHOT + " at byte " + last + ": the snapshot is cut short");
+    assertCorrupt(SNAPSHOT + " at byte " + last + ": the snapshot is truncated");
   }
 
   @Test
