--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -69,7 +69,7 @@
         next.weightByWork(),
         next.overQuotaWeightRatio(),
         next.cacheLifetime(),
-        next.goal(),
+        next.objectiveWeights(),
         next.rules(),
         next.dependency(),
         machine,
--- a/src/main/java/mothwing/control/Goal.java
+++ b/src/main/java/mothwing/control/ObjectiveWeights.java
@@ -8,7 +8,7 @@
  * @param worstClassWeight weight of the class that is served worst
  * @param worstTenantWeight weight of the tenant that is served worst
  */
-public record Goal(
+public record ObjectiveWeights(
     double overallWeight,
     double worstWindowWeight,
     double worstClassWeight,
--- a/src/main/java/mothwing/control/Settings.java
+++ b/src/main/java/mothwing/control/Settings.java
@@ -16,7 +16,7 @@
  *     tenant's quota keep
  * @param cacheLifetime microseconds for which the answer to a read may serve other requests; 0
  *     where answers are not cached
- * @param goal the weights of the service objective
+ * @param objectiveWeights the weights of the service objective
  * @param rules the limits that the server must keep
  * @param dependency the dependency that all servers share
  * @param machine the machine that the server runs on
@@ -32,7 +32,7 @@
     boolean weightByWork,
     double overQuotaWeightRatio,
     long cacheLifetime,
-    Goal goal,
+    ObjectiveWeights objectiveWeights,
     Rules rules,
     Dependency dependency,
     Machine machine,
--- a/src/main/java/mothwing/dns/server/DnsDecisions.java
+++ b/src/main/java/mothwing/dns/server/DnsDecisions.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
 import mothwing.control.Settings;
@@ -54,7 +54,7 @@
         false,
         1,
         0,
-        new Goal(1, 0, 0, 0),
+        new ObjectiveWeights(1, 0, 0, 0),
         new Rules(100 * MILLI, 2 * SECOND, CROWD, 2 * SECOND, 1, 0),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
 import mothwing.control.Settings;
@@ -33,7 +33,7 @@
    */
   public static Settings read(long seed, JsonFields options) throws InvalidInputException {
     JsonFields extra = options.object("Extra");
-    JsonFields goal = options.object("ScoreParts");
+    JsonFields objectiveWeights = options.object("ScoreParts");
     return new Settings(
         seed,
         options.integer("Round", 0),
@@ -44,11 +44,11 @@
         options.text("CountedBy", "request").equals("work"),
         options.number("OverShareWorth", 1),
         extra.integer("Fresh", 0),
-        new Goal(
-            goal.number("Whole", 0),
-            goal.number("WorstWindow", 0),
-            goal.number("WorstClass", 0),
-            goal.number("WorstTenant", 0)),
+        new ObjectiveWeights(
+            objectiveWeights.number("Whole", 0),
+            objectiveWeights.number("WorstWindow", 0),
+            objectiveWeights.number("WorstClass", 0),
+            objectiveWeights.number("WorstTenant", 0)),
         rules(options.object("Contract")),
         dependency(extra),
         machine(extra),
--- a/src/main/java/mothwing/trial/BrokerFixture.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -20,9 +20,9 @@
 import mothwing.control.ControllerHost;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
@@ -115,7 +115,7 @@
         false,
         0.05,
         0,
-        new Goal(0.5, 0.1, 0.3, 0.1),
+        new ObjectiveWeights(0.5, 0.1, 0.3, 0.1),
         new Rules(100_000, 2 * SECOND, 8, 2 * SECOND, 0.3, 10 * SECOND),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
--- a/src/main/java/mothwing/trial/Deployment.java
+++ b/src/main/java/mothwing/trial/Deployment.java
@@ -8,9 +8,9 @@
 import java.util.Random;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
 import mothwing.control.Settings;
@@ -136,7 +136,7 @@
             random.nextInt(4) == 0,
             0.05,
             0,
-            new Goal(0.6, 0.2, 0.2, 0),
+            new ObjectiveWeights(0.6, 0.2, 0.2, 0),
             new Rules(100_000, 2 * SECOND, 6 + random.nextInt(6), 1_500_000, 0.25, 15 * SECOND),
             new Dependency(
                 calls && random.nextInt(3) == 0 ? 2 * callWork / servers : 0, 5 * SECOND, 200_000),
--- a/src/test/java/mothwing/overload/Fixtures.java
+++ b/src/test/java/mothwing/overload/Fixtures.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
@@ -33,7 +33,7 @@
         true,
         0.1,
         0,
-        new Goal(0.5, 0.2, 0.2, 0.1),
+        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
         new Rules(60_000, 2 * SECOND, 4, SECOND, 0.25, 10 * SECOND),
         new Dependency(1, 5 * SECOND, SECOND / 5),
         new Machine(CORES, 1_000, 8, 100, true, List.of(), StopMode.ABORT),
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -8,9 +8,9 @@
 import java.util.List;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
@@ -54,7 +54,7 @@
         true,
         0.1,
         0,
-        new Goal(0.5, 0.2, 0.2, 0.1),
+        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
         new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
         new Dependency(callQuota, 5 * SECOND, 200_000),
         new Machine(2, memory, 8, KEY_KB, coldStart, List.of("cpu_busy", "runnable"), stopMode),
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -8,9 +8,9 @@
 import java.util.Random;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
 import mothwing.control.Rules;
@@ -57,7 +57,7 @@
         random.nextBoolean(),
         0.1,
         0,
-        new Goal(0.5, 0.2, 0.2, 0.1),
+        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
         new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
         new Dependency(0.3 + 3 * random.nextDouble(), 5 * SECOND, 200_000),
         new Machine(
@@ -151,7 +151,7 @@
         one.weightByWork(),
         0.1,
         0,
-        one.goal(),
+        one.objectiveWeights(),
         one.rules(),
         one.dependency(),
         one.machine(),
--- a/src/test/java/mothwing/testing/SettingsVariants.java
+++ b/src/test/java/mothwing/testing/SettingsVariants.java
@@ -75,7 +75,7 @@
         one.weightByWork(),
         one.overQuotaWeightRatio(),
         one.cacheLifetime(),
-        one.goal(),
+        one.objectiveWeights(),
         one.rules(),
         one.dependency(),
         one.machine(),
--- a/src/test/java/mothwing/witness/SettingsWitnessTest.java
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -87,10 +87,10 @@
     assertTrue(settings.weightByWork());
     assertFalse(changed("\"work\"", "\"request\"").weightByWork());
     assertEquals(0.13, settings.overQuotaWeightRatio());
-    assertEquals(0.14, settings.goal().overallWeight());
-    assertEquals(0.15, settings.goal().worstWindowWeight());
-    assertEquals(0.16, settings.goal().worstClassWeight());
-    assertEquals(0.17, settings.goal().worstTenantWeight());
+    assertEquals(0.14, settings.objectiveWeights().overallWeight());
+    assertEquals(0.15, settings.objectiveWeights().worstWindowWeight());
+    assertEquals(0.16, settings.objectiveWeights().worstClassWeight());
+    assertEquals(0.17, settings.objectiveWeights().worstTenantWeight());
     assertEquals(2, settings.tenants().size());
     assertEquals("alder", settings.tenants().get(0).name());
     assertEquals(0.51, settings.tenants().get(0).requestsPerSecond());
@@ -194,10 +194,10 @@
     assertFalse(settings.weightByWork());
     assertEquals(1, settings.overQuotaWeightRatio());
     assertEquals(0, settings.cacheLifetime());
-    assertEquals(0, settings.goal().overallWeight());
-    assertEquals(0, settings.goal().worstWindowWeight());
-    assertEquals(0, settings.goal().worstClassWeight());
-    assertEquals(0, settings.goal().worstTenantWeight());
+    assertEquals(0, settings.objectiveWeights().overallWeight());
+    assertEquals(0, settings.objectiveWeights().worstWindowWeight());
+    assertEquals(0, settings.objectiveWeights().worstClassWeight());
+    assertEquals(0, settings.objectiveWeights().worstTenantWeight());
     assertEquals(Idempotency.SAFE, settings.classes().get(0).idempotency());
   }
 
