--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -70,7 +70,7 @@
         next.overQuotaWeightRatio(),
         next.cacheLifetime(),
         next.objectiveWeights(),
-        next.rules(),
+        next.limits(),
         next.dependency(),
         machine,
         next.signals());
--- a/src/main/java/mothwing/broker/DeadlineWatch.java
+++ b/src/main/java/mothwing/broker/DeadlineWatch.java
@@ -38,7 +38,7 @@
   private void enforceDeadlines() {
     long now = context.scheduler().now();
     start();
-    long answerSlack = context.settings().settings().rules().answerSlack() / 2;
+    long answerSlack = context.settings().settings().limits().answerSlack() / 2;
     boolean almostDue = false;
     List<Exchange> timedOutCalls = new ArrayList<>();
     List<Exchange> overdue = new ArrayList<>();
--- a/src/main/java/mothwing/broker/ShutdownSequence.java
+++ b/src/main/java/mothwing/broker/ShutdownSequence.java
@@ -41,7 +41,7 @@
     if (state.isDraining()) {
       return;
     }
-    long grace = context.settings().settings().rules().drainGracePeriod();
+    long grace = context.settings().settings().limits().drainGracePeriod();
     state.begin(noticeAt, stopAt, grace, handover);
     long leftMillis = (stopAt - noticeAt) / MICROS_PER_MILLI;
     log(EventNames.SHUTDOWN_REQUESTED, " stop_ms=" + leftMillis + " handover=" + handover);
--- a/src/main/java/mothwing/control/Rules.java
+++ b/src/main/java/mothwing/control/ServerLimits.java
@@ -11,7 +11,7 @@
  * @param coldSpeedRatio share of its full speed, of 0 to 1, with which a cold server starts
  * @param warmUpDuration duration of the slow start
  */
-public record Rules(
+public record ServerLimits(
     long answerSlack,
     long drainGracePeriod,
     double concurrencyPerCore,
--- a/src/main/java/mothwing/control/Settings.java
+++ b/src/main/java/mothwing/control/Settings.java
@@ -17,7 +17,7 @@
  * @param cacheLifetime microseconds for which the answer to a read may serve other requests; 0
  *     where answers are not cached
  * @param objectiveWeights the weights of the service objective
- * @param rules the limits that the server must keep
+ * @param limits the limits that the server must keep
  * @param dependency the dependency that all servers share
  * @param machine the machine that the server runs on
  * @param signals what callers understand
@@ -33,7 +33,7 @@
     double overQuotaWeightRatio,
     long cacheLifetime,
     ObjectiveWeights objectiveWeights,
-    Rules rules,
+    ServerLimits limits,
     Dependency dependency,
     Machine machine,
     Signals signals) {}
--- a/src/main/java/mothwing/dns/server/DnsDecisions.java
+++ b/src/main/java/mothwing/dns/server/DnsDecisions.java
@@ -7,7 +7,7 @@
 import mothwing.control.Machine;
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -55,7 +55,7 @@
         1,
         0,
         new ObjectiveWeights(1, 0, 0, 0),
-        new Rules(100 * MILLI, 2 * SECOND, CROWD, 2 * SECOND, 1, 0),
+        new ServerLimits(100 * MILLI, 2 * SECOND, CROWD, 2 * SECOND, 1, 0),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
             AT_ONCE, Runtime.getRuntime().maxMemory() >> 10, 2, 0, false, GAUGES, StopMode.NONE),
--- a/src/main/java/mothwing/overload/ConcurrencyCeiling.java
+++ b/src/main/java/mothwing/overload/ConcurrencyCeiling.java
@@ -1,6 +1,6 @@
 package mothwing.overload;
 
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 
 /**
  * The number of running requests that the machine survives, which grows during slow start, and the
@@ -24,13 +24,13 @@
    * @param running requests that ran in it
    */
   void advance(double spanMicros, int running) {
-    double window = Math.max(1, context.settings().rules().concurrencyWindow());
+    double window = Math.max(1, context.settings().limits().concurrencyWindow());
     averageRunning += (running - averageRunning) * (1 - Math.exp(-spanMicros / window));
   }
 
   /** The concurrency that the machine survives now, in requests. */
   double survivable() {
-    double perCore = context.settings().rules().concurrencyPerCore();
+    double perCore = context.settings().limits().concurrencyPerCore();
     return (1 + (perCore - 1) * speed()) * context.cores();
   }
 
@@ -46,11 +46,11 @@
 
   /** The share of full speed that the machine has reached. */
   private double speed() {
-    Rules rules = context.settings().rules();
-    if (!context.settings().machine().coldStart() || rules.warmUpDuration() <= 0) {
+    ServerLimits limits = context.settings().limits();
+    if (!context.settings().machine().coldStart() || limits.warmUpDuration() <= 0) {
       return 1;
     }
-    double age = (double) (context.now() - context.startedAt()) / rules.warmUpDuration();
-    return Math.min(1, rules.coldSpeedRatio() + (1 - rules.coldSpeedRatio()) * age);
+    double age = (double) (context.now() - context.startedAt()) / limits.warmUpDuration();
+    return Math.min(1, limits.coldSpeedRatio() + (1 - limits.coldSpeedRatio()) * age);
   }
 }
--- a/src/main/java/mothwing/overload/ControllerContext.java
+++ b/src/main/java/mothwing/overload/ControllerContext.java
@@ -88,7 +88,7 @@
 
   /** Whether a freshly started server may still be in slow start. */
   boolean isWarmingUp() {
-    return settings.machine().coldStart() && now < startedAt + settings.rules().warmUpDuration();
+    return settings.machine().coldStart() && now < startedAt + settings.limits().warmUpDuration();
   }
 
   boolean isDraining() {
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -10,7 +10,7 @@
 import mothwing.control.Machine;
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -49,7 +49,7 @@
             objectiveWeights.number("WorstWindow", 0),
             objectiveWeights.number("WorstClass", 0),
             objectiveWeights.number("WorstTenant", 0)),
-        rules(options.object("Contract")),
+        serverLimits(options.object("Contract")),
         dependency(extra),
         machine(extra),
         signals(extra, options.object("Limits")));
@@ -94,8 +94,8 @@
     return tenants;
   }
 
-  private static Rules rules(JsonFields contract) throws InvalidInputException {
-    return new Rules(
+  private static ServerLimits serverLimits(JsonFields contract) throws InvalidInputException {
+    return new ServerLimits(
         contract.integer("AnswerSlack", 0),
         contract.integer("DrainGrace", 0),
         contract.number("FallMultiple", 1),
--- a/src/main/java/mothwing/trial/BrokerFixture.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -24,8 +24,8 @@
 import mothwing.control.Machine;
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -116,7 +116,7 @@
         0.05,
         0,
         new ObjectiveWeights(0.5, 0.1, 0.3, 0.1),
-        new Rules(100_000, 2 * SECOND, 8, 2 * SECOND, 0.3, 10 * SECOND),
+        new ServerLimits(100_000, 2 * SECOND, 8, 2 * SECOND, 0.3, 10 * SECOND),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
             cores,
--- a/src/main/java/mothwing/trial/Deployment.java
+++ b/src/main/java/mothwing/trial/Deployment.java
@@ -12,7 +12,7 @@
 import mothwing.control.Machine;
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -137,7 +137,8 @@
             0.05,
             0,
             new ObjectiveWeights(0.6, 0.2, 0.2, 0),
-            new Rules(100_000, 2 * SECOND, 6 + random.nextInt(6), 1_500_000, 0.25, 15 * SECOND),
+            new ServerLimits(
+                100_000, 2 * SECOND, 6 + random.nextInt(6), 1_500_000, 0.25, 15 * SECOND),
             new Dependency(
                 calls && random.nextInt(3) == 0 ? 2 * callWork / servers : 0, 5 * SECOND, 200_000),
             new Machine(
--- a/src/main/java/mothwing/trial/DeploymentSimulation.java
+++ b/src/main/java/mothwing/trial/DeploymentSimulation.java
@@ -177,7 +177,7 @@
       if (++answers > 1) {
         breach("answered twice " + id);
       }
-      if (time.now() > at + told().deadline() + of.settings().rules().answerSlack() + SLACK) {
+      if (time.now() > at + told().deadline() + of.settings().limits().answerSlack() + SLACK) {
         breach("answered late " + id);
       }
       paused = false;
@@ -261,12 +261,12 @@
       int running = cores.onCores();
       crowd.add((double) running);
       crowdSum += running;
-      if (crowd.size() > of.settings().rules().concurrencyWindow() / LOOK) {
+      if (crowd.size() > of.settings().limits().concurrencyWindow() / LOOK) {
         crowdSum -= crowd.remove();
       }
       int most = of.settings().machine().cores();
-      long looks = of.settings().rules().concurrencyWindow() / LOOK;
-      if (crowdSum / looks > of.settings().rules().concurrencyPerCore() * most) {
+      long looks = of.settings().limits().concurrencyWindow() / LOOK;
+      if (crowdSum / looks > of.settings().limits().concurrencyPerCore() * most) {
         breach("felled by a crowd of " + running + " on " + most);
       }
       double kb = 0;
@@ -292,7 +292,7 @@
     @Override
     public boolean startRun(Exchange exchange) {
       Asked one = asked.get(exchange.request().id());
-      if (one.at > noticeAt + of.settings().rules().drainGracePeriod()) {
+      if (one.at > noticeAt + of.settings().limits().drainGracePeriod()) {
         breach("ran what came after the grace " + one.id);
       }
       if (one.running || one.paused) {
--- a/src/test/java/mothwing/overload/Fixtures.java
+++ b/src/test/java/mothwing/overload/Fixtures.java
@@ -8,7 +8,7 @@
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -34,7 +34,7 @@
         0.1,
         0,
         new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-        new Rules(60_000, 2 * SECOND, 4, SECOND, 0.25, 10 * SECOND),
+        new ServerLimits(60_000, 2 * SECOND, 4, SECOND, 0.25, 10 * SECOND),
         new Dependency(1, 5 * SECOND, SECOND / 5),
         new Machine(CORES, 1_000, 8, 100, true, List.of(), StopMode.ABORT),
         new Signals(FreeValue.SHARE, SECOND, true, SECOND, true, 30 * SECOND));
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -13,8 +13,8 @@
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -55,7 +55,7 @@
         0.1,
         0,
         new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-        new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
+        new ServerLimits(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
         new Dependency(callQuota, 5 * SECOND, 200_000),
         new Machine(2, memory, 8, KEY_KB, coldStart, List.of("cpu_busy", "runnable"), stopMode),
         new Signals(FreeValue.SHARE, SECOND, true, SECOND, true, 30 * SECOND));
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -13,8 +13,8 @@
 import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -58,7 +58,7 @@
         0.1,
         0,
         new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
-        new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
+        new ServerLimits(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
         new Dependency(0.3 + 3 * random.nextDouble(), 5 * SECOND, 200_000),
         new Machine(
             2,
@@ -152,7 +152,7 @@
         0.1,
         0,
         one.objectiveWeights(),
-        one.rules(),
+        one.limits(),
         one.dependency(),
         one.machine(),
         one.signals());
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -104,16 +104,17 @@
 
   private void step(long next) {
     long running = requests.values().stream().filter(request -> request.onCore).count();
-    double weight = 1 - Math.exp(-(double) (next - now) / settings.rules().concurrencyWindow());
+    double weight = 1 - Math.exp(-(double) (next - now) / settings.limits().concurrencyWindow());
     averageRunning += (running - averageRunning) * weight;
     now = next;
-    double cold = settings.rules().coldSpeedRatio();
+    double cold = settings.limits().coldSpeedRatio();
     double speed =
         settings.machine().coldStart()
-            ? Math.min(1, cold + (1 - cold) * (now - startedAt) / settings.rules().warmUpDuration())
+            ? Math.min(
+                1, cold + (1 - cold) * (now - startedAt) / settings.limits().warmUpDuration())
             : 1;
     double bound =
-        (1 + (settings.rules().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
+        (1 + (settings.limits().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
     assertTrue(averageRunning <= bound, "running " + averageRunning + " over " + bound);
   }
 
@@ -207,7 +208,7 @@
       double factor = state.ran ? settings.machine().runMemoryFactor() : 1;
       memory += holds ? state.request.memoryKb() * factor : 0;
       assertTrue(
-          state.answered || now <= state.due + settings.rules().answerSlack(),
+          state.answered || now <= state.due + settings.limits().answerSlack(),
           state.request.id() + " is overdue");
     }
     keys.values().removeIf(until -> until <= now);
@@ -301,7 +302,7 @@
     RequestState state = state(id);
     assertFalse(state.over, id + " is over");
     assertTrue(
-        state.arrived - settings.rules().drainGracePeriod() <= drainingSince,
+        state.arrived - settings.limits().drainGracePeriod() <= drainingSince,
         id + " came after the grace");
     assertRepeatsNothingThatRan(state);
     if (state.kind.idempotency() == Idempotency.GUARDED && !state.ran) {
--- a/src/test/java/mothwing/testing/SettingsVariants.java
+++ b/src/test/java/mothwing/testing/SettingsVariants.java
@@ -76,7 +76,7 @@
         one.overQuotaWeightRatio(),
         one.cacheLifetime(),
         one.objectiveWeights(),
-        one.rules(),
+        one.limits(),
         one.dependency(),
         one.machine(),
         signals);
--- a/src/test/java/mothwing/witness/SettingsWitnessTest.java
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -137,12 +137,12 @@
   @Test
   void eachKeyOfTheRulesAndTheDependencySetsItsField() throws IOException {
     Settings settings = full();
-    assertEquals(61, settings.rules().answerSlack());
-    assertEquals(62, settings.rules().drainGracePeriod());
-    assertEquals(0.63, settings.rules().concurrencyPerCore());
-    assertEquals(64, settings.rules().concurrencyWindow());
-    assertEquals(0.65, settings.rules().coldSpeedRatio());
-    assertEquals(66, settings.rules().warmUpDuration());
+    assertEquals(61, settings.limits().answerSlack());
+    assertEquals(62, settings.limits().drainGracePeriod());
+    assertEquals(0.63, settings.limits().concurrencyPerCore());
+    assertEquals(64, settings.limits().concurrencyWindow());
+    assertEquals(0.65, settings.limits().coldSpeedRatio());
+    assertEquals(66, settings.limits().warmUpDuration());
     assertEquals(81, settings.callers());
     assertEquals(82, settings.cacheLifetime());
     assertEquals(0.85, settings.dependency().concurrencyQuota());
@@ -204,12 +204,12 @@
   @Test
   void whatStandsForAnAbsentKeyFurtherDownIsHeld() throws IOException {
     Settings settings = least();
-    assertEquals(0, settings.rules().answerSlack());
-    assertEquals(0, settings.rules().drainGracePeriod());
-    assertEquals(1, settings.rules().concurrencyPerCore());
-    assertEquals(0, settings.rules().concurrencyWindow());
-    assertEquals(1, settings.rules().coldSpeedRatio());
-    assertEquals(0, settings.rules().warmUpDuration());
+    assertEquals(0, settings.limits().answerSlack());
+    assertEquals(0, settings.limits().drainGracePeriod());
+    assertEquals(1, settings.limits().concurrencyPerCore());
+    assertEquals(0, settings.limits().concurrencyWindow());
+    assertEquals(1, settings.limits().coldSpeedRatio());
+    assertEquals(0, settings.limits().warmUpDuration());
     assertEquals(0, settings.dependency().concurrencyQuota());
     assertEquals(0, settings.dependency().window());
     assertEquals(0, settings.dependency().abandonedCallDuration());
