--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -104,9 +104,9 @@
     long now = context.scheduler().now();
     long arrivedAt = now - unreadMicros(request, requestClass);
     long deadline = arrivedAt + waitMicros(request, requestClass);
-    boolean idempotent = requestClass.idempotency() == Idempotency.SAFE;
+    boolean idempotent = requestClass.idempotency() == Idempotency.ALWAYS;
     boolean keyed =
-        requestClass.idempotency() == Idempotency.GUARDED && request.idempotencyKey() != null;
+        requestClass.idempotency() == Idempotency.WITH_KEY && request.idempotencyKey() != null;
     return new Exchange(
         request,
         caller,
--- a/src/main/java/mothwing/dns/server/DnsDecisions.java
+++ b/src/main/java/mothwing/dns/server/DnsDecisions.java
@@ -45,9 +45,8 @@
         seed,
         ROUND,
         List.of(
-            new RequestClass(QUERY, 400 * MILLI, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0),
-            new RequestClass(
-                UPDATE, SECOND, 5 * SECOND, 10, 0, Idempotency.SINGLE_SHOT, 0, false, 0)),
+            new RequestClass(QUERY, 400 * MILLI, 2 * SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0),
+            new RequestClass(UPDATE, SECOND, 5 * SECOND, 10, 0, Idempotency.NEVER, 0, false, 0)),
         List.of(),
         1,
         1,
--- a/src/main/java/mothwing/overload/DependencyCallScheduler.java
+++ b/src/main/java/mothwing/overload/DependencyCallScheduler.java
@@ -81,7 +81,7 @@
   }
 
   private static boolean mayRepeat(TrackedRequest request, RunOutcome outcome) {
-    return outcome.provesNoEffect() || request.requestClass().idempotency() == Idempotency.SAFE;
+    return outcome.provesNoEffect() || request.requestClass().idempotency() == Idempotency.ALWAYS;
   }
 
   private static boolean attemptsExhausted(TrackedRequest request) {
--- a/src/main/java/mothwing/overload/TrackedRequest.java
+++ b/src/main/java/mothwing/overload/TrackedRequest.java
@@ -122,7 +122,7 @@
   }
 
   boolean hasIdempotencyKey() {
-    return requestClass.idempotency() == Idempotency.GUARDED;
+    return requestClass.idempotency() == Idempotency.WITH_KEY;
   }
 
   boolean callsDependency() {
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -67,9 +67,9 @@
       int index = classes.size();
       Idempotency idempotency =
           switch (requestClass.text("Idempotency", "free")) {
-            case "free" -> Idempotency.SAFE;
-            case "guarded" -> Idempotency.GUARDED;
-            default -> Idempotency.SINGLE_SHOT;
+            case "free" -> Idempotency.ALWAYS;
+            case "guarded" -> Idempotency.WITH_KEY;
+            default -> Idempotency.NEVER;
           };
       classes.add(
           new RequestClass(
--- a/src/main/java/mothwing/trial/BrokerFixture.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -107,8 +107,8 @@
         7,
         2_000,
         List.of(
-            new RequestClass(LOOK, aim, deadline, 1, 0, Idempotency.SAFE, 0, false, 0),
-            new RequestClass(ORDER, aim, deadline, 10, 0, Idempotency.SINGLE_SHOT, 0, false, 0)),
+            new RequestClass(LOOK, aim, deadline, 1, 0, Idempotency.ALWAYS, 0, false, 0),
+            new RequestClass(ORDER, aim, deadline, 10, 0, Idempotency.NEVER, 0, false, 0)),
         List.of(new Tenant("one", 1e6)),
         10,
         3,
--- a/src/main/java/mothwing/trial/DeploymentSimulation.java
+++ b/src/main/java/mothwing/trial/DeploymentSimulation.java
@@ -194,7 +194,7 @@
 
     @Override
     public void sendRejection(boolean last, long holdOffMs) {
-      if (runs > 0 && told().idempotency() != Idempotency.SAFE) {
+      if (runs > 0 && told().idempotency() != Idempotency.ALWAYS) {
         breach("ran and was refused " + id);
       }
       refused++;
@@ -298,7 +298,7 @@
       if (one.running || one.paused) {
         return true;
       }
-      if (++one.runs > 1 && one.told().idempotency() != Idempotency.SAFE) {
+      if (++one.runs > 1 && one.told().idempotency() != Idempotency.ALWAYS) {
         breach("ran twice " + one.id);
       }
       one.running = true;
--- a/src/main/java/mothwing/trial/FullKnowledgePolicy.java
+++ b/src/main/java/mothwing/trial/FullKnowledgePolicy.java
@@ -155,7 +155,7 @@
   public void callEnded(long at, String id, RunOutcome outcome, long took) {
     Job job = open.get(id);
     boolean again =
-        outcome.provesNoEffect() || (job != null && job.kind.idempotency() == Idempotency.SAFE);
+        outcome.provesNoEffect() || (job != null && job.kind.idempotency() == Idempotency.ALWAYS);
     if (job != null && outcome == RunOutcome.SUCCEEDED) {
       job.stand = Stand.RUNNING;
     } else if (job != null && again && at + MARGIN < until(job)) {
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -340,11 +340,11 @@
   void newSettingsLeaveWhatIsOpenItsClassAndDeadline() {
     RequestClass order =
         new RequestClass(
-            BrokerFixture.ORDER, SECOND, 9 * SECOND, 5, 0, Idempotency.SINGLE_SHOT, 0, false, 0);
+            BrokerFixture.ORDER, SECOND, 9 * SECOND, 5, 0, Idempotency.NEVER, 0, false, 0);
     RequestClass save =
-        new RequestClass("save", SECOND, SECOND, 1, 0, Idempotency.SAFE, 0, false, 0);
+        new RequestClass("save", SECOND, SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0);
     RequestClass tell =
-        new RequestClass("tell", SECOND, SECOND, 1, 0, Idempotency.SAFE, 0, false, 0);
+        new RequestClass("tell", SECOND, SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0);
     ask(1, BrokerFixture.LOOK);
     stand.broker.startRun(BrokerFixture.id(1));
     stand.broker.applySettings(with(save, order)); // stock-check is dropped while one is open
@@ -539,7 +539,7 @@
             BrokerFixture.settings(4.5, 2),
             List.of(
                 new RequestClass(
-                    "save", SECOND, 4 * SECOND, 1, 0, Idempotency.GUARDED, 5 * SECOND, false, 0)),
+                    "save", SECOND, 4 * SECOND, 1, 0, Idempotency.WITH_KEY, 5 * SECOND, false, 0)),
             List.of(new Tenant("one", 1e6), new Tenant("two", 1e6))));
     answers.clear();
     stand.bound();
@@ -685,7 +685,7 @@
     stand.broker.applySettings(
         with(
             new RequestClass(
-                "save", SECOND, 9 * SECOND, 1, 0, Idempotency.GUARDED, 5 * SECOND, false, 0)));
+                "save", SECOND, 9 * SECOND, 1, 0, Idempotency.WITH_KEY, 5 * SECOND, false, 0)));
     ask(1, "save");
     stand.broker.startRun(BrokerFixture.id(1));
     stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -350,7 +350,8 @@
   private static Settings guarded(Settings one) {
     List<RequestClass> kinds = new ArrayList<>(one.classes());
     kinds.add(
-        new RequestClass(GUARDED, SECOND, 3 * SECOND, 4, 0, Idempotency.GUARDED, WINDOW, false, 0));
+        new RequestClass(
+            GUARDED, SECOND, 3 * SECOND, 4, 0, Idempotency.WITH_KEY, WINDOW, false, 0));
     return SettingsVariants.parts(one, kinds, one.tenants());
   }
 
--- a/src/test/java/mothwing/overload/Fixtures.java
+++ b/src/test/java/mothwing/overload/Fixtures.java
@@ -42,7 +42,7 @@
 
   private static RequestClass requestClass(String name, double weight, boolean callsDependency) {
     return new RequestClass(
-        name, SECOND, 4 * SECOND, weight, 0.2, Idempotency.SAFE, 0, callsDependency, 0);
+        name, SECOND, 4 * SECOND, weight, 0.2, Idempotency.ALWAYS, 0, callsDependency, 0);
   }
 
   static ControllerContext context() {
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -44,10 +44,10 @@
         1,
         5_000,
         List.of(
-            new RequestClass("read", SECOND, 4 * SECOND, 1, 0.2, Idempotency.SAFE, 0, true, 0),
-            new RequestClass("save", SECOND, 4 * SECOND, 2, 0, Idempotency.SAFE, 0, false, 0),
+            new RequestClass("read", SECOND, 4 * SECOND, 1, 0.2, Idempotency.ALWAYS, 0, true, 0),
+            new RequestClass("save", SECOND, 4 * SECOND, 2, 0, Idempotency.ALWAYS, 0, false, 0),
             new RequestClass(
-                "commit", SECOND, 4 * SECOND, 5, 0.2, Idempotency.GUARDED, 10 * SECOND, true, 0)),
+                "commit", SECOND, 4 * SECOND, 5, 0.2, Idempotency.WITH_KEY, 10 * SECOND, true, 0)),
         List.of(new Tenant("one", 100), new Tenant("two", 100)),
         10,
         callers,
@@ -715,7 +715,7 @@
               (patient ? 40 : 4) * SECOND,
               read.priorityWeight(),
               0.2,
-              Idempotency.SAFE,
+              Idempotency.ALWAYS,
               0,
               true,
               0));
@@ -862,7 +862,7 @@
                         kind.idempotency(),
                         kind.idempotencyWindow(),
                         kind.callsDependency(),
-                        kind.idempotency() == Idempotency.GUARDED ? 0 : 0.5))
+                        kind.idempotency() == Idempotency.WITH_KEY ? 0 : 0.5))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
@@ -988,7 +988,15 @@
       classes.set(
           READ,
           new RequestClass(
-              same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Idempotency.SAFE, 0, true, 0));
+              same ? "read" : "other",
+              SECOND,
+              4 * SECOND,
+              100,
+              0.2,
+              Idempotency.ALWAYS,
+              0,
+              true,
+              0));
       host.changeSettings(withClasses(host.settings(), classes));
       host.read(request(host, "next", SAVE));
       assertEquals(
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -42,15 +42,14 @@
                 4 * SECOND,
                 1,
                 late ? 0.2 : 0,
-                Idempotency.SAFE,
+                Idempotency.ALWAYS,
                 0,
                 true,
                 random.nextBoolean() ? 0.5 : 0),
-            new RequestClass("save", SECOND, 3 * SECOND, 2, 0, Idempotency.SAFE, 0, false, 0),
+            new RequestClass("save", SECOND, 3 * SECOND, 2, 0, Idempotency.ALWAYS, 0, false, 0),
             new RequestClass(
-                "order", SECOND, 4 * SECOND, 5, 0, Idempotency.GUARDED, 10 * SECOND, true, 0),
-            new RequestClass(
-                "once", SECOND, 4 * SECOND, 2, 0, Idempotency.SINGLE_SHOT, 0, true, 0)),
+                "order", SECOND, 4 * SECOND, 5, 0, Idempotency.WITH_KEY, 10 * SECOND, true, 0),
+            new RequestClass("once", SECOND, 4 * SECOND, 2, 0, Idempotency.NEVER, 0, true, 0)),
         List.of(new Tenant("one", 20), new Tenant("two", 20)),
         10,
         4,
@@ -137,8 +136,9 @@
   private static Settings changed(Settings one) {
     List<RequestClass> classes = new ArrayList<>(one.classes());
     classes.set(
-        1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0));
-    classes.add(new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Idempotency.SAFE, 0, false, 0));
+        1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0));
+    classes.add(
+        new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Idempotency.ALWAYS, 0, false, 0));
     List<Tenant> tenants = new ArrayList<>(one.tenants());
     tenants.add(new Tenant("three", 20));
     return new Settings(
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -305,10 +305,11 @@
         state.arrived - settings.limits().drainGracePeriod() <= drainingSince,
         id + " came after the grace");
     assertRepeatsNothingThatRan(state);
-    if (state.kind.idempotency() == Idempotency.GUARDED && !state.ran) {
+    if (state.kind.idempotency() == Idempotency.WITH_KEY && !state.ran) {
       assertTrue(keys.containsKey(id), id + " runs without its key");
     }
-    assertFalse(state.aborted && state.kind.idempotency() != Idempotency.SAFE, id + " runs again");
+    assertFalse(
+        state.aborted && state.kind.idempotency() != Idempotency.ALWAYS, id + " runs again");
     state.ran = true;
     state.onCore = true;
     actions.add("start " + id);
@@ -317,7 +318,7 @@
   /** A repeat of guarded work that ran must not run. */
   private void assertRepeatsNothingThatRan(RequestState state) {
     String originalId = state.request.originalId();
-    if (originalId != null && state.kind.idempotency() == Idempotency.GUARDED) {
+    if (originalId != null && state.kind.idempotency() == Idempotency.WITH_KEY) {
       RequestState before = requests.get(originalId);
       boolean refused = before != null && before.answered && !before.ran;
       assertTrue(refused, state.request.id() + " repeats what ran or is held");
@@ -329,7 +330,7 @@
     RequestState state = state(id);
     assertTrue(state.atCall, id + " is at no call");
     boolean proven = state.lastCall == null || state.lastCall.provesNoEffect();
-    assertTrue(proven || state.kind.idempotency() == Idempotency.SAFE, id + " calls again");
+    assertTrue(proven || state.kind.idempotency() == Idempotency.ALWAYS, id + " calls again");
     assertTrue(until > now, "a time-out in the past");
     state.calling = true;
     state.callUntil = until;
@@ -360,8 +361,8 @@
   public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
     RequestState state = takeAnswer(id);
     assertFalse(
-        state.ran && state.kind.idempotency() != Idempotency.SAFE, id + " ran and is rejected");
-    if (state.request.originalId() != null && state.kind.idempotency() == Idempotency.GUARDED) {
+        state.ran && state.kind.idempotency() != Idempotency.ALWAYS, id + " ran and is rejected");
+    if (state.request.originalId() != null && state.kind.idempotency() == Idempotency.WITH_KEY) {
       RequestState before = requests.get(state.request.originalId());
       assertTrue(before != null && !before.ran, id + " repeats what ran and is rejected");
     }
--- a/src/test/java/mothwing/witness/SettingsWitnessTest.java
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -108,7 +108,7 @@
     assertEquals(22, peek.deadline());
     assertEquals(0.23, peek.priorityWeight());
     assertEquals(0.24, peek.lateWeightRatio());
-    assertEquals(Idempotency.SAFE, peek.idempotency());
+    assertEquals(Idempotency.ALWAYS, peek.idempotency());
     assertEquals(25, peek.idempotencyWindow());
     assertFalse(peek.callsDependency());
     assertEquals(0.83, peek.degradedWeightRatio());
@@ -118,7 +118,7 @@
     assertEquals(32, stow.deadline());
     assertEquals(0.33, stow.priorityWeight());
     assertEquals(0.34, stow.lateWeightRatio());
-    assertEquals(Idempotency.GUARDED, stow.idempotency());
+    assertEquals(Idempotency.WITH_KEY, stow.idempotency());
     assertEquals(35, stow.idempotencyWindow());
     assertTrue(stow.callsDependency());
     assertEquals(0.84, stow.degradedWeightRatio());
@@ -128,7 +128,7 @@
     assertEquals(42, mint.deadline());
     assertEquals(0, mint.priorityWeight());
     assertEquals(0, mint.lateWeightRatio());
-    assertEquals(Idempotency.SINGLE_SHOT, mint.idempotency());
+    assertEquals(Idempotency.NEVER, mint.idempotency());
     assertEquals(0, mint.idempotencyWindow());
     assertFalse(mint.callsDependency());
     assertEquals(0, mint.degradedWeightRatio());
@@ -198,7 +198,7 @@
     assertEquals(0, settings.objectiveWeights().worstWindowWeight());
     assertEquals(0, settings.objectiveWeights().worstClassWeight());
     assertEquals(0, settings.objectiveWeights().worstTenantWeight());
-    assertEquals(Idempotency.SAFE, settings.classes().get(0).idempotency());
+    assertEquals(Idempotency.ALWAYS, settings.classes().get(0).idempotency());
   }
 
   @Test
