--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -104,16 +104,17 @@
 
   private void step(long next) {
     long running = requests.values().stream().filter(request -> request.onCore).count();
-    double weight = 1 - Math.exp(-(double) (next - now) / settings.rules().concurrencyWindow());
+    double weight = 1 - Math.exp(-(double) (next - now) / settings.limits().concurrencyWindow());
     averageRunning += (running - averageRunning) * weight;
     now = next;
-    double cold = settings.rules().coldSpeedRatio();
+    double cold = settings.limits().coldSpeedRatio();
     double speed =
         settings.machine().coldStart()
-            ? Math.min(1, cold + (1 - cold) * (now - startedAt) / settings.rules().warmUpDuration())
+            ? Math.min(
+                1, cold + (1 - cold) * (now - startedAt) / settings.limits().warmUpDuration())
             : 1;
     double bound =
-        (1 + (settings.rules().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
+        (1 + (settings.limits().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
     assertTrue(averageRunning <= bound, "running " + averageRunning + " over " + bound);
   }
 
@@ -207,7 +208,7 @@
       double factor = state.ran ? settings.machine().runMemoryFactor() : 1;
       memory += holds ? state.request.memoryKb() * factor : 0;
       assertTrue(
-          state.answered || now <= state.due + settings.rules().answerSlack(),
+          state.answered || now <= state.due + settings.limits().answerSlack(),
           state.request.id() + " is overdue");
     }
     keys.values().removeIf(until -> until <= now);
@@ -301,13 +302,14 @@
     RequestState state = state(id);
     assertFalse(state.over, id + " is over");
     assertTrue(
-        state.arrived - settings.rules().drainGracePeriod() <= drainingSince,
+        state.arrived - settings.limits().drainGracePeriod() <= drainingSince,
         id + " came after the grace");
     assertRepeatsNothingThatRan(state);
-    if (state.kind.idempotency() == Idempotency.GUARDED && !state.ran) {
+    if (state.kind.idempotency() == Idempotency.WITH_KEY && !state.ran) {
       assertTrue(keys.containsKey(id), id + " runs without its key");
     }
-    assertFalse(state.aborted && state.kind.idempotency() != Idempotency.SAFE, id + " runs again");
+    assertFalse(
+        state.aborted && state.kind.idempotency() != Idempotency.ALWAYS, id + " runs again");
     state.ran = true;
     state.onCore = true;
     actions.add("start " + id);
@@ -316,7 +318,7 @@
   /** A repeat of guarded work that ran must not run. */
   private void assertRepeatsNothingThatRan(RequestState state) {
     String originalId = state.request.originalId();
-    if (originalId != null && state.kind.idempotency() == Idempotency.GUARDED) {
+    if (originalId != null && state.kind.idempotency() == Idempotency.WITH_KEY) {
       RequestState before = requests.get(originalId);
       boolean refused = before != null && before.answered && !before.ran;
       assertTrue(refused, state.request.id() + " repeats what ran or is held");
@@ -328,7 +330,7 @@
     RequestState state = state(id);
     assertTrue(state.atCall, id + " is at no call");
     boolean proven = state.lastCall == null || state.lastCall.provesNoEffect();
-    assertTrue(proven || state.kind.idempotency() == Idempotency.SAFE, id + " calls again");
+    assertTrue(proven || state.kind.idempotency() == Idempotency.ALWAYS, id + " calls again");
     assertTrue(until > now, "a time-out in the past");
     state.calling = true;
     state.callUntil = until;
@@ -359,8 +361,8 @@
   public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
     RequestState state = takeAnswer(id);
     assertFalse(
-        state.ran && state.kind.idempotency() != Idempotency.SAFE, id + " ran and is rejected");
-    if (state.request.originalId() != null && state.kind.idempotency() == Idempotency.GUARDED) {
+        state.ran && state.kind.idempotency() != Idempotency.ALWAYS, id + " ran and is rejected");
+    if (state.request.originalId() != null && state.kind.idempotency() == Idempotency.WITH_KEY) {
       RequestState before = requests.get(state.request.originalId());
       assertTrue(before != null && !before.ran, id + " repeats what ran and is rejected");
     }
