--- a/src/main/java/mothwing/peer/MembershipMessageCodec.java
+++ b/src/main/java/mothwing/peer/MembershipMessageCodec.java
@@ -56,7 +56,7 @@
     static final int BY = 7;
   }
 
-  static byte[] bytes(MembershipMessage message) {
+  static byte[] encode(MembershipMessage message) {
     try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
       out.packMapHeader(6);
       out.packInt(Keys.CLUSTER).packString(message.cluster());
@@ -103,7 +103,7 @@
    * @return the message
    * @throws Bad where they are none
    */
-  static MembershipMessage message(byte[] all) throws Bad {
+  static MembershipMessage decode(byte[] all) throws Bad {
     ByteBuffer bytes = ByteBuffer.wrap(all);
     if (all.length < HEAD || bytes.getShort() != MAGIC) {
       throw new Bad("not-ours");
@@ -113,13 +113,13 @@
       throw new Bad("newer-version");
     }
     try (MessageUnpacker in = MessagePack.newDefaultUnpacker(all, HEAD, all.length - HEAD)) {
-      return message(in);
+      return decode(in);
     } catch (MessagePackException | ArithmeticException | IOException bad) {
       throw bad instanceof Bad one ? one : new Bad("malformed");
     }
   }
 
-  private static MembershipMessage message(MessageUnpacker in) throws IOException {
+  private static MembershipMessage decode(MessageUnpacker in) throws IOException {
     String cluster = null;
     MembershipMessage.Kind kind = null;
     long seq = 0;
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -226,7 +226,7 @@
    *
    * @return names with values, for JSON
    */
-  public Map<String, Object> told() {
+  public Map<String, Object> status() {
     MembershipView view = view();
     Map<String, Object> all = new LinkedHashMap<>();
     all.put("fleet", fleet.name());
@@ -258,7 +258,7 @@
 
   @Override
   public void sendDatagram(String address, MembershipMessage message) {
-    byte[] bytes = MembershipMessageCodec.bytes(message);
+    byte[] bytes = MembershipMessageCodec.encode(message);
     InetSocketAddress to = address(address);
     if (to != null) {
       counters.add("peer-datagrams-out");
@@ -270,7 +270,7 @@
 
   @Override
   public void sendStream(String address, MembershipMessage message) {
-    byte[] bytes = MembershipMessageCodec.bytes(message);
+    byte[] bytes = MembershipMessageCodec.encode(message);
     InetSocketAddress to = address(address);
     if (to == null) {
       return;
@@ -348,7 +348,7 @@
     counters.add("peer-bytes-in", bytes.length);
     MembershipMessage message;
     try {
-      message = MembershipMessageCodec.message(bytes);
+      message = MembershipMessageCodec.decode(bytes);
     } catch (MembershipMessageCodec.Bad bad) {
       counters.add("peer-dropped-" + bad.getMessage());
       return;
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -185,7 +185,7 @@
         new ServerAdmin(
             broker,
             fronts::isListening,
-            () -> Optional.ofNullable(peer).map(PeerTransport::told),
+            () -> Optional.ofNullable(peer).map(PeerTransport::status),
             reloads);
     adminListener =
         new Listener(
--- a/src/test/java/mothwing/peer/MembershipMessageCodecAccess.java
+++ b/src/test/java/mothwing/peer/MembershipMessageCodecAccess.java
@@ -8,12 +8,12 @@
   private MembershipMessageCodecAccess() {}
 
   /** The bytes of a message. */
-  public static byte[] bytes(MembershipMessage message) {
-    return MembershipMessageCodec.bytes(message);
+  public static byte[] encode(MembershipMessage message) {
+    return MembershipMessageCodec.encode(message);
   }
 
   /** The message of some bytes; what is thrown has the reason's code as its message. */
-  public static MembershipMessage message(byte[] bytes) throws IOException {
-    return MembershipMessageCodec.message(bytes);
+  public static MembershipMessage decode(byte[] bytes) throws IOException {
+    return MembershipMessageCodec.decode(bytes);
   }
 }
--- a/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
+++ b/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
@@ -53,8 +53,8 @@
   @Property(seed = "1764630001", tries = 500)
   void comesBackAsItWasAndIsNoLargerThanSaid(@ForAll long seed) throws IOException {
     MembershipMessage message = message(seed);
-    byte[] bytes = MembershipMessageCodec.bytes(message);
-    assertEquals(message, MembershipMessageCodec.message(bytes));
+    byte[] bytes = MembershipMessageCodec.encode(message);
+    assertEquals(message, MembershipMessageCodec.decode(bytes));
     assertTrue(
         bytes.length <= message.maxEncodedBytes(),
         bytes.length + " bytes, said " + message.maxEncodedBytes());
@@ -62,19 +62,19 @@
 
   @Property(seed = "1764630002", tries = 500)
   void whatIsDamagedOrCutIsNoMessage(@ForAll long seed, @ForAll long other) throws IOException {
-    byte[] bytes = MembershipMessageCodec.bytes(message(seed));
+    byte[] bytes = MembershipMessageCodec.encode(message(seed));
     Random random = new Random(other);
     byte[] flipped = bytes.clone();
     flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
-    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.message(flipped));
+    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.decode(flipped));
     assertThrows(
         MembershipMessageCodec.Bad.class,
-        () -> MembershipMessageCodec.message(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
+        () -> MembershipMessageCodec.decode(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
     byte[] noise = new byte[random.nextInt(200)];
     random.nextBytes(noise);
-    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.message(noise));
+    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.decode(noise));
     assertThrows(
-        MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.message(sealed(noise, 1)));
+        MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.decode(sealed(noise, 1)));
   }
 
   /** Bytes as a map that is whole by its checksum. */
@@ -96,7 +96,7 @@
   /** A later program may say more: what is not known is passed over. */
   @Example
   void whatIsNotKnownIsPassedOver() throws IOException {
-    byte[] bytes = MembershipMessageCodec.bytes(message(7));
+    byte[] bytes = MembershipMessageCodec.encode(message(7));
     byte[] map = Arrays.copyOfRange(bytes, MembershipMessageCodec.HEAD, bytes.length);
     assertArrayEquals(bytes, sealed(map, 1));
     try (MessageBufferPacker more = MessagePack.newDefaultBufferPacker()) {
@@ -110,13 +110,13 @@
       byte[] longer = Arrays.copyOf(map, map.length + tail.length);
       System.arraycopy(tail, 0, longer, map.length, tail.length);
       longer[0]++; // one more pair
-      assertEquals(message(7), MembershipMessageCodec.message(sealed(longer, 1)));
+      assertEquals(message(7), MembershipMessageCodec.decode(sealed(longer, 1)));
     }
     assertEquals(
         "newer-version",
         assertThrows(
                 MembershipMessageCodec.Bad.class,
-                () -> MembershipMessageCodec.message(sealed(map, 2)))
+                () -> MembershipMessageCodec.decode(sealed(map, 2)))
             .getMessage());
   }
 }
--- a/src/test/java/mothwing/witness/AdminWitnessTest.java
+++ b/src/test/java/mothwing/witness/AdminWitnessTest.java
@@ -110,7 +110,7 @@
             new Random(SEED),
             stand.counters,
             stand.lines::add);
-    return new Gson().toJson(peer.told());
+    return new Gson().toJson(peer.status());
   }
 
   @Test
--- a/src/test/java/mothwing/witness/PeerMessageTest.java
+++ b/src/test/java/mothwing/witness/PeerMessageTest.java
@@ -34,8 +34,8 @@
               "x"));
 
   private static void assertRecorded(String name, MembershipMessage message) throws IOException {
-    HexFile.assertRecorded("peer/" + name, MembershipMessageCodecAccess.bytes(message));
-    assertEquals(message, MembershipMessageCodecAccess.message(HexFile.read("peer/" + name)));
+    HexFile.assertRecorded("peer/" + name, MembershipMessageCodecAccess.encode(message));
+    assertEquals(message, MembershipMessageCodecAccess.decode(HexFile.read("peer/" + name)));
   }
 
   private static MembershipMessage message(
@@ -86,13 +86,13 @@
     MembershipMessage expected = message(MembershipMessage.Kind.ACK, 127, "", CLAIMS.subList(0, 1));
     assertEquals(
         expected,
-        MembershipMessageCodecAccess.message(HexFile.read("peer/ack-with-unknown-fields")));
+        MembershipMessageCodecAccess.decode(HexFile.read("peer/ack-with-unknown-fields")));
   }
 
   private static void assertDropped(String code, byte[] bytes) {
     assertEquals(
         code,
-        assertThrows(IOException.class, () -> MembershipMessageCodecAccess.message(bytes))
+        assertThrows(IOException.class, () -> MembershipMessageCodecAccess.decode(bytes))
             .getMessage());
   }
 
