--- a/src/bench/java/mothwing/bench/OverrideBench.java
+++ b/src/bench/java/mothwing/bench/OverrideBench.java
@@ -17,14 +17,14 @@
   private OverrideBench() {}
 
   private static OverrideTable book(int many) {
-    OverrideTable book = new OverrideTable(OverrideLimits.USUAL);
+    OverrideTable book = new OverrideTable(OverrideLimits.DEFAULTS);
     for (int i = 0; i < many; i++) {
-      book.make(
+      book.create(
           1,
           new TrafficOverride(
               "o" + i,
               new Version(1, "n1", i),
-              TrafficOverride.What.REFUSE,
+              TrafficOverride.Action.REFUSE,
               "class-" + i % CLASSES,
               i % 3 == 0 ? "" : "tenant-" + i % 50,
               0.5,
@@ -52,7 +52,7 @@
         "overrides | ns a decision: table | all of them / table, each with least and most of five runs");
     for (int many : new int[] {10, 0, 10, 1000}) { // the first line warms up; not to be read
       OverrideTable book = book(many);
-      var acting = book.acting(2);
+      var acting = book.inEffect(2);
       EffectiveOverrides effect =
           new EffectiveOverrides(acting, "n1", "one", "rack", Long.MAX_VALUE);
       double[] table = new double[5];
@@ -62,7 +62,8 @@
         long start = System.nanoTime();
         for (int i = 0; i < ROUNDS; i++) {
           found +=
-              effect.holds(i) && effect.refuses(kinds[i % CLASSES], tenants[i % 50], 0.25) != null
+              effect.isValid(i)
+                      && effect.refusalFor(kinds[i % CLASSES], tenants[i % 50], 0.25) != null
                   ? 1
                   : 0;
         }
@@ -71,7 +72,7 @@
         start = System.nanoTime();
         for (int i = 0; i < fewer; i++) {
           for (TrafficOverride one : acting) {
-            if ((one.kind().isEmpty() || one.kind().equals(kinds[i % CLASSES]))
+            if ((one.requestClass().isEmpty() || one.requestClass().equals(kinds[i % CLASSES]))
                 && (one.tenant().isEmpty() || one.tenant().equals(tenants[i % 50]))) {
               found++;
               break;
--- a/src/main/java/mothwing/override/AntiEntropy.java
+++ b/src/main/java/mothwing/override/AntiEntropy.java
@@ -51,7 +51,7 @@
    * @param start the number of this start, forced before this is made
    * @param book what it knows: what its disk had is loaded
    * @param startedAt the clock at this start
-   * @param recovering whether it is back from a start, until {@link #recovered}
+   * @param recovering whether it is back from a start, until {@link #endRecovery}
    * @param random its random numbers
    * @param host carries out
    */
@@ -73,16 +73,16 @@
   }
 
   /** From now on it is one that ran through what others slept through. */
-  public void recovered() {
+  public void endRecovery() {
     recovering = false;
   }
 
   /**
-   * The stamp of the next override that is made here.
+   * The version of the next override that is made here.
    *
    * @return it; each is given once
    */
-  public Version stamp() {
+  public Version nextVersion() {
     return new Version(start, self, ++made);
   }
 
@@ -90,12 +90,12 @@
    * Makes an override. It acts here at once, and elsewhere once it is heard of.
    *
    * @param now the clock
-   * @param value it, with a stamp of {@link #stamp}
+   * @param value it, with a version of {@link #nextVersion}
    * @return how it was taken
    */
-  public OverrideTable.UpdateResult make(long now, TrafficOverride value) {
-    OverrideTable.UpdateResult taken = book.make(now, value);
-    if (taken == OverrideTable.UpdateResult.NEW) {
+  public OverrideTable.UpdateResult create(long now, TrafficOverride value) {
+    OverrideTable.UpdateResult taken = book.create(now, value);
+    if (taken == OverrideTable.UpdateResult.APPLIED) {
       tell(now, value.id());
     }
     return taken;
@@ -110,7 +110,7 @@
    */
   public OverrideTable.UpdateResult revoke(long now, String id) {
     OverrideTable.UpdateResult taken = book.revoke(now, id);
-    if (taken == OverrideTable.UpdateResult.NEW) {
+    if (taken == OverrideTable.UpdateResult.APPLIED) {
       tell(now, id);
     }
     return taken;
@@ -119,27 +119,28 @@
   private void tell(long now, String id) {
     disks.put(id, new Wanted());
     changed(now, id);
-    OverrideMessage.Known known = new OverrideMessage.Known(List.of(has(book.told(now, id))), true);
-    host.others().forEach(one -> host.send(one, known));
+    OverrideMessage.Inventory known =
+        new OverrideMessage.Inventory(List.of(has(book.replicaState(now, id))), true);
+    host.peers().forEach(one -> host.send(one, known));
   }
 
   private void changed(long now, String id) {
     onDisk.remove(id);
-    host.changed();
-    host.force(book.told(now, id));
+    host.onChange();
+    host.persist(book.replicaState(now, id));
   }
 
   /**
    * What was to be kept is forced.
    *
    * @param now the clock
-   * @param told what was given to {@link OverrideHost#force}
+   * @param told what was given to {@link OverrideHost#persist}
    */
-  public void forced(long now, ReplicaState told) {
-    ReplicaState known = book.told(now, told.id());
+  public void onPersisted(long now, ReplicaState told) {
+    ReplicaState known = book.replicaState(now, told.id());
     if (known == null
-        || known.standing() != told.standing()
-        || !Objects.equals(known.stamp(), told.stamp())) {
+        || known.status() != told.status()
+        || !Objects.equals(known.version(), told.version())) {
       return; // it has changed since, and is on its way to the disk again
     }
     onDisk.add(told.id());
@@ -147,11 +148,11 @@
     if (here != null) {
       here.disks.add(self);
     }
-    host.others()
+    host.peers()
         .forEach(
             one ->
                 host.send(
-                    one, new OverrideMessage.Stored(told.id(), told.stamp(), told.standing())));
+                    one, new OverrideMessage.Stored(told.id(), told.version(), told.status())));
   }
 
   /**
@@ -160,13 +161,13 @@
    * @param id its id
    * @return the names of the servers
    */
-  public Set<String> disksOf(String id) {
+  public Set<String> durableReplicas(String id) {
     Wanted here = disks.get(id);
     return here == null ? Set.of() : Set.copyOf(here.disks);
   }
 
-  private static OverrideMessage.Has has(ReplicaState told) {
-    return new OverrideMessage.Has(told.id(), told.stamp(), told.standing());
+  private static OverrideMessage.InventoryEntry has(ReplicaState told) {
+    return new OverrideMessage.InventoryEntry(told.id(), told.version(), told.status());
   }
 
   /**
@@ -175,24 +176,24 @@
    * @param now the clock
    */
   public void tick(long now) {
-    long before = book.version();
-    book.pass(now);
-    if (book.version() != before) {
-      host.changed();
+    long before = book.revision();
+    book.expire(now);
+    if (book.revision() != before) {
+      host.onChange();
     }
     if (now < nextDigest) {
       return;
     }
     nextDigest = now + PERIOD / 2 + (long) (random.nextDouble() * PERIOD);
-    List<String> others = host.others();
+    List<String> others = host.peers();
     if (others.isEmpty()) {
       return;
     }
     String one = others.get(random.nextInt(others.size()));
     host.send(one, new OverrideMessage.Digest(hash(now)));
     List<String> unsure =
-        book.told(now).stream()
-            .filter(told -> told.standing() == OverrideStatus.UNSURE)
+        book.replicaStates(now).stream()
+            .filter(told -> told.status() == OverrideStatus.UNCONFIRMED)
             .map(ReplicaState::id)
             .limit(MOST_IDS)
             .toList();
@@ -200,17 +201,18 @@
       ask(now, one, unsure);
     }
     if (recovering) {
-      host.send(one, new OverrideMessage.Known(all(now, true), false));
+      host.send(one, new OverrideMessage.Inventory(all(now, true), false));
     }
     disks.values().removeIf(wanted -> ++wanted.rounds > TOLD_ROUNDS);
     disks.forEach(
         (id, wanted) -> {
-          ReplicaState told = book.told(now, id);
+          ReplicaState told = book.replicaState(now, id);
           if (told != null) {
             others.stream()
                 .filter(other -> !wanted.disks.contains(other))
                 .forEach(
-                    other -> host.send(other, new OverrideMessage.Known(List.of(has(told)), true)));
+                    other ->
+                        host.send(other, new OverrideMessage.Inventory(List.of(has(told)), true)));
           }
         });
   }
@@ -218,27 +220,27 @@
   /** A hash of what is known surely, alike wherever the same is known. */
   private long hash(long now) {
     long hash = 1;
-    for (ReplicaState one : book.told(now)) {
-      if (one.standing() != OverrideStatus.UNSURE) {
-        Version stamp =
-            one.standing() == OverrideStatus.REVOKED ? new Version(0, "", 0) : one.stamp();
+    for (ReplicaState one : book.replicaStates(now)) {
+      if (one.status() != OverrideStatus.UNCONFIRMED) {
+        Version version =
+            one.status() == OverrideStatus.REVOKED ? new Version(0, "", 0) : one.version();
         hash =
             31 * hash
                 + Objects.hash(
                     one.id(),
-                    stamp.start(),
-                    stamp.origin(),
-                    stamp.count(),
-                    one.standing().ordinal());
+                    version.epoch(),
+                    version.origin(),
+                    version.sequence(),
+                    one.status().ordinal());
       }
     }
     return hash;
   }
 
-  private List<OverrideMessage.Has> all(long now, boolean unsure) {
-    List<OverrideMessage.Has> all = new ArrayList<>();
-    for (ReplicaState one : book.told(now)) {
-      if (unsure || one.standing() != OverrideStatus.UNSURE) {
+  private List<OverrideMessage.InventoryEntry> all(long now, boolean unsure) {
+    List<OverrideMessage.InventoryEntry> all = new ArrayList<>();
+    for (ReplicaState one : book.replicaStates(now)) {
+      if (unsure || one.status() != OverrideStatus.UNCONFIRMED) {
         all.add(has(one));
       }
     }
@@ -252,52 +254,55 @@
    * @param from the server that its sender says to be
    * @param message it
    */
-  public void came(long now, String from, OverrideMessage message) {
+  public void receive(long now, String from, OverrideMessage message) {
     if (message instanceof OverrideMessage.Digest digest) {
       if (digest.hash() != hash(now)) {
-        host.send(from, new OverrideMessage.Known(all(now, false), false));
+        host.send(from, new OverrideMessage.Inventory(all(now, false), false));
       }
-    } else if (message instanceof OverrideMessage.Known known) {
+    } else if (message instanceof OverrideMessage.Inventory known) {
       known(now, from, known);
-    } else if (message instanceof OverrideMessage.Ask question) {
+    } else if (message instanceof OverrideMessage.Request question) {
       List<ReplicaState> all =
-          question.ids().stream().map(id -> book.told(now, id)).filter(Objects::nonNull).toList();
-      host.send(from, new OverrideMessage.Answer(question.number(), all));
-    } else if (message instanceof OverrideMessage.Answer answer) {
+          question.ids().stream()
+              .map(id -> book.replicaState(now, id))
+              .filter(Objects::nonNull)
+              .toList();
+      host.send(from, new OverrideMessage.Response(question.number(), all));
+    } else if (message instanceof OverrideMessage.Response answer) {
       answered(now, from, answer);
     } else if (message instanceof OverrideMessage.Stored stored) {
-      ReplicaState here = book.told(now, stored.id());
+      ReplicaState here = book.replicaState(now, stored.id());
       Wanted wanted = disks.get(stored.id());
       if (wanted != null
           && here != null
-          && here.standing() == stored.standing()
-          && Objects.equals(here.stamp(), stored.stamp())) {
+          && here.status() == stored.status()
+          && Objects.equals(here.version(), stored.version())) {
         wanted.disks.add(from);
       }
     }
   }
 
-  private void known(long now, String from, OverrideMessage.Known known) {
+  private void known(long now, String from, OverrideMessage.Inventory known) {
     List<String> wanted = new ArrayList<>();
     Set<String> named = new LinkedHashSet<>();
-    for (OverrideMessage.Has one : known.all()) {
+    for (OverrideMessage.InventoryEntry one : known.entries()) {
       named.add(one.id());
-      boolean takes = one.standing() != OverrideStatus.UNSURE || recovering;
-      if (takes && book.wants(one.id(), one.stamp(), one.standing())) {
+      boolean takes = one.status() != OverrideStatus.UNCONFIRMED || recovering;
+      if (takes && book.isNewer(one.id(), one.version(), one.status())) {
         wanted.add(one.id());
-      } else if (onDisk.contains(one.id()) && book.told(now, one.id()) != null) {
-        ReplicaState here = book.told(now, one.id());
-        host.send(from, new OverrideMessage.Stored(here.id(), here.stamp(), here.standing()));
+      } else if (onDisk.contains(one.id()) && book.replicaState(now, one.id()) != null) {
+        ReplicaState here = book.replicaState(now, one.id());
+        host.send(from, new OverrideMessage.Stored(here.id(), here.version(), here.status()));
       }
     }
     for (int at = 0; at < wanted.size(); at += MOST_IDS) {
       ask(now, from, wanted.subList(at, Math.min(wanted.size(), at + MOST_IDS)));
     }
-    if (!known.part()) { // its sender lacks what it does not name
-      List<OverrideMessage.Has> more =
+    if (!known.partial()) { // its sender lacks what it does not name
+      List<OverrideMessage.InventoryEntry> more =
           all(now, false).stream().filter(one -> !named.contains(one.id())).toList();
       if (!more.isEmpty()) {
-        host.send(from, new OverrideMessage.Known(more, true));
+        host.send(from, new OverrideMessage.Inventory(more, true));
       }
     }
   }
@@ -308,18 +313,18 @@
     if (questions.size() > MOST_QUESTIONS) {
       questions.remove(questions.keySet().iterator().next());
     }
-    host.send(to, new OverrideMessage.Ask(number, List.copyOf(ids)));
+    host.send(to, new OverrideMessage.Request(number, List.copyOf(ids)));
   }
 
-  private void answered(long now, String from, OverrideMessage.Answer answer) {
+  private void answered(long now, String from, OverrideMessage.Response answer) {
     Question question = questions.get(answer.number());
     if (question == null || !question.to().equals(from)) {
       return;
     }
     questions.remove(answer.number());
-    for (ReplicaState one : answer.all()) {
+    for (ReplicaState one : answer.states()) {
       if (book.merge(now, one, question.at(), recovering ? now - startedAt : Long.MAX_VALUE)
-          == OverrideTable.UpdateResult.NEW) {
+          == OverrideTable.UpdateResult.APPLIED) {
         changed(now, one.id());
       }
     }
--- a/src/main/java/mothwing/override/EffectiveOverrides.java
+++ b/src/main/java/mothwing/override/EffectiveOverrides.java
@@ -19,8 +19,8 @@
 
   private record About(String kind, String tenant) {}
 
-  private final Map<TrafficOverride.What, Map<About, TrafficOverride>> table =
-      new EnumMap<>(TrafficOverride.What.class);
+  private final Map<TrafficOverride.Action, Map<About, TrafficOverride>> table =
+      new EnumMap<>(TrafficOverride.Action.class);
   private final Set<String> without = new LinkedHashSet<>();
   private final TrafficOverride drain;
   private final long until;
@@ -28,27 +28,27 @@
   /**
    * Makes it.
    *
-   * @param acting what acts, the one that wins first, as {@link OverrideTable#acting} gives it
+   * @param acting what acts, the one that wins first, as {@link OverrideTable#inEffect} gives it
    * @param server this server's name
    * @param zone its zone
    * @param hardware its hardware class
-   * @param until until when it holds, by {@link OverrideTable#actingUntil}
+   * @param until until when it holds, by {@link OverrideTable#inEffectUntil}
    */
   public EffectiveOverrides(
       List<TrafficOverride> acting, String server, String zone, String hardware, long until) {
     this.until = until;
     TrafficOverride away = null;
     for (TrafficOverride one : acting) {
-      if (!one.on().has(server, zone, hardware)) {
+      if (!one.selector().matches(server, zone, hardware)) {
         continue;
       }
-      switch (one.what()) {
+      switch (one.action()) {
         case DRAIN -> away = away == null ? one : away;
         case WITHOUT -> without.add(one.target());
         default ->
             table
-                .computeIfAbsent(one.what(), none -> new HashMap<>())
-                .putIfAbsent(new About(one.kind(), one.tenant()), one);
+                .computeIfAbsent(one.action(), none -> new HashMap<>())
+                .putIfAbsent(new About(one.requestClass(), one.tenant()), one);
       }
     }
     drain = away;
@@ -60,7 +60,7 @@
    * @param now the clock of the book
    * @return false once it has to be made anew before anything is decided by it
    */
-  public boolean holds(long now) {
+  public boolean isValid(long now) {
     return now < until;
   }
 
@@ -72,7 +72,7 @@
    * @param tenant its tenant
    * @return the override that wins, or null
    */
-  public TrafficOverride on(TrafficOverride.What what, String kind, String tenant) {
+  public TrafficOverride find(TrafficOverride.Action what, String kind, String tenant) {
     Map<About, TrafficOverride> all = table.get(what);
     if (all == null) {
       return null;
@@ -82,7 +82,7 @@
   }
 
   private static TrafficOverride first(TrafficOverride one, TrafficOverride other) {
-    return one == null || (other != null && TrafficOverride.RANK.compare(other, one) < 0)
+    return one == null || (other != null && TrafficOverride.PRECEDENCE.compare(other, one) < 0)
         ? other
         : one;
   }
@@ -95,8 +95,8 @@
    * @param draw a number from 0 to under 1 that belongs to the request
    * @return the override that says so, or null
    */
-  public TrafficOverride refuses(String kind, String tenant, double draw) {
-    TrafficOverride one = on(TrafficOverride.What.REFUSE, kind, tenant);
+  public TrafficOverride refusalFor(String kind, String tenant, double draw) {
+    TrafficOverride one = find(TrafficOverride.Action.REFUSE, kind, tenant);
     return one != null && draw < one.share() ? one : null;
   }
 
@@ -105,7 +105,7 @@
    *
    * @return the override that says so, or null
    */
-  public TrafficOverride drains() {
+  public TrafficOverride drain() {
     return drain;
   }
 
@@ -115,7 +115,7 @@
    * @param feature its name
    * @return true if so
    */
-  public boolean isWithout(String feature) {
+  public boolean isDisabled(String feature) {
     return without.contains(feature);
   }
 }
--- a/src/main/java/mothwing/override/OverrideHost.java
+++ b/src/main/java/mothwing/override/OverrideHost.java
@@ -18,16 +18,16 @@
    *
    * @return their names
    */
-  List<String> others();
+  List<String> peers();
 
   /**
-   * Writes to the disk; {@link AntiEntropy#forced} follows once that is forced, or never where it
-   * failed.
+   * Writes to the disk; {@link AntiEntropy#onPersisted} follows once that is forced, or never where
+   * it failed.
    *
    * @param told what is to be kept
    */
-  void force(ReplicaState told);
+  void persist(ReplicaState told);
 
   /** What acts may have changed: it is to be looked at before the next decision. */
-  void changed();
+  void onChange();
 }
--- a/src/main/java/mothwing/override/OverrideMessage.java
+++ b/src/main/java/mothwing/override/OverrideMessage.java
@@ -9,7 +9,7 @@
 public sealed interface OverrideMessage {
   /**
    * A hash of all that its sender knows surely; who knows something else answers with {@link
-   * Known}.
+   * Inventory}.
    *
    * @param hash the hash
    */
@@ -19,19 +19,19 @@
    * What its sender has, so that others may ask for it. Ages are not in it: they would be as old as
    * the message.
    *
-   * @param all one for each
-   * @param part whether its sender knows more than these
+   * @param entries one for each
+   * @param partial whether its sender knows more than these
    */
-  record Known(List<Has> all, boolean part) implements OverrideMessage {}
+  record Inventory(List<InventoryEntry> entries, boolean partial) implements OverrideMessage {}
 
   /**
    * One that a sender has.
    *
    * @param id its id
-   * @param stamp its stamp, or null
-   * @param standing how it stands there
+   * @param version its version, or null
+   * @param status how it stands there
    */
-  record Has(String id, Version stamp, OverrideStatus standing) {}
+  record InventoryEntry(String id, Version version, OverrideStatus status) {}
 
   /**
    * A question.
@@ -39,22 +39,22 @@
    * @param number its number, drawn at random: none of a former start is like it
    * @param ids what is asked for
    */
-  record Ask(long number, List<String> ids) implements OverrideMessage {}
+  record Request(long number, List<String> ids) implements OverrideMessage {}
 
   /**
    * The answer to a question.
    *
    * @param number that of the question
-   * @param all what is known of what was asked for
+   * @param states what is known of what was asked for
    */
-  record Answer(long number, List<ReplicaState> all) implements OverrideMessage {}
+  record Response(long number, List<ReplicaState> states) implements OverrideMessage {}
 
   /**
    * Its sender has one on its disk, forced.
    *
    * @param id its id
-   * @param stamp its stamp
-   * @param standing how it stands there
+   * @param version its version
+   * @param status how it stands there
    */
-  record Stored(String id, Version stamp, OverrideStatus standing) implements OverrideMessage {}
+  record Stored(String id, Version version, OverrideStatus status) implements OverrideMessage {}
 }
--- a/src/main/java/mothwing/override/OverrideStatus.java
+++ b/src/main/java/mothwing/override/OverrideStatus.java
@@ -3,11 +3,11 @@
 /** How an override stands with one holder. */
 public enum OverrideStatus {
   /** It came off a disk, and its age is not known. */
-  UNSURE,
+  UNCONFIRMED,
   /** It acts until its lifetime is over. */
-  IN_FORCE,
+  ACTIVE,
   /** Its lifetime is over. */
-  ENDED,
+  EXPIRED,
   /** It was taken back. */
   REVOKED
 }
--- a/src/main/java/mothwing/override/OverrideTable.java
+++ b/src/main/java/mothwing/override/OverrideTable.java
@@ -15,8 +15,8 @@
 public final class OverrideTable {
   private static final class Entry {
     final String id;
-    Version stamp;
-    OverrideStatus standing;
+    Version version;
+    OverrideStatus status;
     TrafficOverride value;
     long age; // at the mark
     long mark;
@@ -28,23 +28,23 @@
     }
 
     boolean live() {
-      return standing == OverrideStatus.UNSURE || standing == OverrideStatus.IN_FORCE;
+      return status == OverrideStatus.UNCONFIRMED || status == OverrideStatus.ACTIVE;
     }
   }
 
   /** How a change was taken. */
   public enum UpdateResult {
     /** It changed what is known. */
-    NEW,
+    APPLIED,
     /** It was known, or is overtaken by what is known. */
-    KNOWN,
+    IGNORED,
     /** A bound is full: it was not taken. */
     FULL
   }
 
   private final OverrideLimits limits;
   private final Map<String, Entry> entries = new TreeMap<>();
-  private long version;
+  private long revision;
 
   /**
    * Makes an empty one.
@@ -57,7 +57,7 @@
 
   /** Time that has passed here, as long as it may have been in truth. */
   private long stretched(long span) {
-    return (long) Math.ceil(span * (1 + limits.drift()));
+    return (long) Math.ceil(span * (1 + limits.maxClockDriftRatio()));
   }
 
   private long age(Entry entry, long now) {
@@ -69,16 +69,16 @@
    *
    * @param now the clock
    * @param value it
-   * @return {@code KNOWN} where its id is in use or remembered
+   * @return {@code IGNORED} where its id is in use or remembered
    */
-  public UpdateResult make(long now, TrafficOverride value) {
-    pass(now);
+  public UpdateResult create(long now, TrafficOverride value) {
+    expire(now);
     if (entries.containsKey(value.id())) {
-      return UpdateResult.KNOWN;
+      return UpdateResult.IGNORED;
     }
     return join(
         now,
-        new ReplicaState(value.id(), value.stamp(), OverrideStatus.IN_FORCE, 0, value),
+        new ReplicaState(value.id(), value.version(), OverrideStatus.ACTIVE, 0, value),
         now,
         0);
   }
@@ -91,11 +91,11 @@
    * @return how it was taken
    */
   public UpdateResult revoke(long now, String id) {
-    pass(now);
+    expire(now);
     Entry known = entries.get(id);
     return join(
         now,
-        new ReplicaState(id, known == null ? null : known.stamp, OverrideStatus.REVOKED, 0, null),
+        new ReplicaState(id, known == null ? null : known.version, OverrideStatus.REVOKED, 0, null),
         now,
         0);
   }
@@ -112,10 +112,10 @@
    * @return how it was taken
    */
   public UpdateResult merge(long now, ReplicaState told, long askedAt, long upFor) {
-    pass(now);
-    if (told.standing() == OverrideStatus.UNSURE
-        && (told.value() == null || upFor >= told.value().life())) {
-      return UpdateResult.KNOWN; // it ran through what the other one slept through
+    expire(now);
+    if (told.status() == OverrideStatus.UNCONFIRMED
+        && (told.value() == null || upFor >= told.value().ttlMicros())) {
+      return UpdateResult.IGNORED; // it ran through what the other one slept through
     }
     return join(now, told, askedAt, upFor);
   }
@@ -133,7 +133,7 @@
           now,
           live
               ? new ReplicaState(
-                  one.id(), one.stamp(), OverrideStatus.UNSURE, one.age(), one.value())
+                  one.id(), one.version(), OverrideStatus.UNCONFIRMED, one.age(), one.value())
               : one,
           now,
           0);
@@ -142,65 +142,65 @@
 
   private UpdateResult join(long now, ReplicaState told, long askedAt, long upFor) {
     boolean live =
-        told.standing() == OverrideStatus.IN_FORCE || told.standing() == OverrideStatus.UNSURE;
+        told.status() == OverrideStatus.ACTIVE || told.status() == OverrideStatus.UNCONFIRMED;
     if ((live && told.value() == null)
-        || (told.stamp() == null && told.standing() != OverrideStatus.REVOKED)) {
-      return UpdateResult.KNOWN; // it says too little to be taken
+        || (told.version() == null && told.status() != OverrideStatus.REVOKED)) {
+      return UpdateResult.IGNORED; // it says too little to be taken
     }
     long age = told.age() + stretched(now - askedAt);
-    OverrideStatus standing =
-        live && age >= told.value().life() ? OverrideStatus.ENDED : told.standing();
+    OverrideStatus status =
+        live && age >= told.value().ttlMicros() ? OverrideStatus.EXPIRED : told.status();
     Entry known = entries.get(told.id());
-    if (known != null && !over(told.stamp(), standing, known)) {
-      if (live && known.live() && known.standing == standing && told.stamp().equals(known.stamp)) {
+    if (known != null && !over(told.version(), status, known)) {
+      if (live && known.live() && known.status == status && told.version().equals(known.version)) {
         known.age =
-            standing == OverrideStatus.IN_FORCE
+            status == OverrideStatus.ACTIVE
                 ? Math.min(age, age(known, now)) // upper bounds of one age
                 : Math.max(
                     age,
                     age(known, now)); // off disks it is older than that, nobody knows by how much
         known.mark = now;
       }
-      return UpdateResult.KNOWN;
+      return UpdateResult.IGNORED;
     }
-    boolean grows = standing == OverrideStatus.IN_FORCE || standing == OverrideStatus.UNSURE;
+    boolean grows = status == OverrideStatus.ACTIVE || status == OverrideStatus.UNCONFIRMED;
     if (full(known, grows ? told.value() : null)) {
       return UpdateResult.FULL;
     }
     Entry entry = known == null ? new Entry(told.id()) : known;
     long life =
         told.value() != null
-            ? told.value().life()
-            : entry.value != null ? entry.value.life() : limits.seconds() * 1_000_000L;
+            ? told.value().ttlMicros()
+            : entry.value != null ? entry.value.ttlMicros() : limits.maxTtlSeconds() * 1_000_000L;
     entries.put(entry.id, entry);
-    entry.stamp = told.stamp() != null ? told.stamp() : entry.stamp;
-    entry.standing = standing;
+    entry.version = told.version() != null ? told.version() : entry.version;
+    entry.status = status;
     entry.value = grows ? told.value() : null;
     entry.age = age;
     entry.mark = now;
-    entry.keptUntil = standing == OverrideStatus.UNSURE ? now + life - Math.max(age, upFor) : 0;
+    entry.keptUntil = status == OverrideStatus.UNCONFIRMED ? now + life - Math.max(age, upFor) : 0;
     entry.forgottenAt = grows ? Long.MAX_VALUE : now + life + 2 * (stretched(life) - life);
-    version++;
-    return UpdateResult.NEW;
+    revision++;
+    return UpdateResult.APPLIED;
   }
 
   /**
    * Whether something told is above what is known: revoked over all, sure over unsure, the higher
-   * stamp, ended.
+   * version, ended.
    */
-  private static boolean over(Version stamp, OverrideStatus standing, Entry known) {
-    if (known.standing == OverrideStatus.REVOKED || standing == OverrideStatus.REVOKED) {
-      return known.standing != OverrideStatus.REVOKED;
+  private static boolean over(Version version, OverrideStatus status, Entry known) {
+    if (known.status == OverrideStatus.REVOKED || status == OverrideStatus.REVOKED) {
+      return known.status != OverrideStatus.REVOKED;
     }
-    if (standing == OverrideStatus.UNSURE != (known.standing == OverrideStatus.UNSURE)) {
-      return known.standing == OverrideStatus.UNSURE;
+    if (status == OverrideStatus.UNCONFIRMED != (known.status == OverrideStatus.UNCONFIRMED)) {
+      return known.status == OverrideStatus.UNCONFIRMED;
     }
-    int order = stamp.compareTo(known.stamp);
-    return order > 0 || (order == 0 && standing.compareTo(known.standing) > 0);
+    int order = version.compareTo(known.version);
+    return order > 0 || (order == 0 && status.compareTo(known.status) > 0);
   }
 
   private boolean full(Entry known, TrafficOverride value) {
-    if (known == null && entries.size() >= limits.live() + limits.remembered()) {
+    if (known == null && entries.size() >= limits.maxLive() + limits.maxTombstones()) {
       return true;
     } else if (value == null) {
       return false; // what is known may always be taken back
@@ -213,7 +213,7 @@
         live++;
       }
     }
-    return live > limits.live() || text > limits.text();
+    return live > limits.maxLive() || text > limits.maxTextChars();
   }
 
   /**
@@ -221,14 +221,16 @@
    *
    * @param now the clock
    */
-  public void pass(long now) {
+  public void expire(long now) {
     for (Entry one : List.copyOf(entries.values())) {
-      if (one.live() && age(one, now) >= one.value.life()) {
+      if (one.live() && age(one, now) >= one.value.ttlMicros()) {
         one.forgottenAt =
-            now + one.value.life() + 2 * (stretched(one.value.life()) - one.value.life());
-        one.standing = OverrideStatus.ENDED;
+            now
+                + one.value.ttlMicros()
+                + 2 * (stretched(one.value.ttlMicros()) - one.value.ttlMicros());
+        one.status = OverrideStatus.EXPIRED;
         one.value = null;
-        version++;
+        revision++;
       } else if (!one.live() && now >= one.forgottenAt) {
         entries.remove(one.id);
       }
@@ -240,12 +242,12 @@
    *
    * @param now the clock
    * @param id its id
-   * @return its standing, or null where it is not known
+   * @return its status, or null where it is not known
    */
-  public OverrideStatus standing(long now, String id) {
-    pass(now);
+  public OverrideStatus status(long now, String id) {
+    expire(now);
     Entry one = entries.get(id);
-    return one == null ? null : one.standing;
+    return one == null ? null : one.status;
   }
 
   /**
@@ -254,35 +256,37 @@
    * @param now the clock
    * @return the overrides, the one that wins first
    */
-  public List<TrafficOverride> acting(long now) {
-    pass(now);
+  public List<TrafficOverride> inEffect(long now) {
+    expire(now);
     List<TrafficOverride> all = new ArrayList<>();
     for (Entry one : entries.values()) {
-      if (one.standing == OverrideStatus.IN_FORCE
-          || (one.standing == OverrideStatus.UNSURE
-              && one.value.keepUnsure()
+      if (one.status == OverrideStatus.ACTIVE
+          || (one.status == OverrideStatus.UNCONFIRMED
+              && one.value.keepUnconfirmed()
               && now < one.keptUntil)) {
         all.add(one.value);
       }
     }
-    all.sort(TrafficOverride.RANK);
+    all.sort(TrafficOverride.PRECEDENCE);
     return all;
   }
 
   /**
-   * Until when {@link #acting} stays as it is, if nothing comes.
+   * Until when {@link #inEffect} stays as it is, if nothing comes.
    *
    * @param now the clock
    * @return a time of this clock, or {@link Long#MAX_VALUE}
    */
-  public long actingUntil(long now) {
+  public long inEffectUntil(long now) {
     return entries.values().stream()
         .filter(Entry::live)
         .mapToLong(
             one ->
-                one.standing == OverrideStatus.UNSURE && now < one.keptUntil
+                one.status == OverrideStatus.UNCONFIRMED && now < one.keptUntil
                     ? one.keptUntil
-                    : one.mark + (long) ((one.value.life() - one.age) / (1 + limits.drift())))
+                    : one.mark
+                        + (long)
+                            ((one.value.ttlMicros() - one.age) / (1 + limits.maxClockDriftRatio())))
         .min()
         .orElse(Long.MAX_VALUE);
   }
@@ -293,13 +297,13 @@
    * @param now the clock
    * @return in the order of ids
    */
-  public List<ReplicaState> told(long now) {
-    pass(now);
+  public List<ReplicaState> replicaStates(long now) {
+    expire(now);
     return entries.values().stream()
         .map(
             one ->
                 new ReplicaState(
-                    one.id, one.stamp, one.standing, one.live() ? age(one, now) : 0, one.value))
+                    one.id, one.version, one.status, one.live() ? age(one, now) : 0, one.value))
         .toList();
   }
 
@@ -310,13 +314,13 @@
    * @param id it
    * @return what is told of it, or null
    */
-  public ReplicaState told(long now, String id) {
-    pass(now);
+  public ReplicaState replicaState(long now, String id) {
+    expire(now);
     Entry one = entries.get(id);
     return one == null
         ? null
         : new ReplicaState(
-            one.id, one.stamp, one.standing, one.live() ? age(one, now) : 0, one.value);
+            one.id, one.version, one.status, one.live() ? age(one, now) : 0, one.value);
   }
 
   /**
@@ -324,13 +328,13 @@
    * for.
    *
    * @param id its id
-   * @param stamp its stamp, or null
-   * @param standing how it stands there
+   * @param version its version, or null
+   * @param status how it stands there
    * @return true if so
    */
-  public boolean wants(String id, Version stamp, OverrideStatus standing) {
+  public boolean isNewer(String id, Version version, OverrideStatus status) {
     Entry known = entries.get(id);
-    return known == null || over(stamp, standing, known);
+    return known == null || over(version, status, known);
   }
 
   /**
@@ -338,7 +342,7 @@
    *
    * @return it
    */
-  public long version() {
-    return version;
+  public long revision() {
+    return revision;
   }
 }
--- a/src/main/java/mothwing/override/TrafficOverride.java
+++ b/src/main/java/mothwing/override/TrafficOverride.java
@@ -9,49 +9,49 @@
  * holder knows for itself.
  *
  * @param id its name, 1 to 63 characters
- * @param stamp where it was made
- * @param what what it does
- * @param kind the class that it is about, or an empty word for all
+ * @param version where it was made
+ * @param action what it does
+ * @param requestClass the class that it is about, or an empty word for all
  * @param tenant the tenant that it is about, or an empty word for all
  * @param share the share of that traffic, 0 to 1
  * @param target the zone that a diverted request goes to, or the feature that is left out; else an
  *     empty word
- * @param on the servers that it holds at
- * @param seconds its lifetime, above 0
+ * @param selector the servers that it holds at
+ * @param ttlSeconds its lifetime, above 0
  * @param priority the higher one wins where two are about the same
- * @param keepUnsure whether a server that has it from its disk alone goes by it
- * @param why why it was made
- * @param who who made it
+ * @param keepUnconfirmed whether a server that has it from its disk alone goes by it
+ * @param reason why it was made
+ * @param author who made it
  */
 public record TrafficOverride(
     String id,
-    Version stamp,
-    What what,
-    String kind,
+    Version version,
+    Action action,
+    String requestClass,
     String tenant,
     double share,
     String target,
-    Selector on,
-    int seconds,
+    Selector selector,
+    int ttlSeconds,
     int priority,
-    boolean keepUnsure,
-    String why,
-    String who) {
+    boolean keepUnconfirmed,
+    String reason,
+    String author) {
   /**
    * Which of two that are about the same wins, the first one: priority, then narrowness, then
-   * stamp, then id.
+   * version, then id.
    */
-  public static final Comparator<TrafficOverride> RANK =
+  public static final Comparator<TrafficOverride> PRECEDENCE =
       Comparator.comparingInt(TrafficOverride::priority)
           .thenComparingInt(TrafficOverride::narrowness)
-          .thenComparing(TrafficOverride::stamp)
+          .thenComparing(TrafficOverride::version)
           .thenComparing(TrafficOverride::id)
           .reversed();
 
   private static final int MOST_NAME = 63;
 
   /** What an override does. */
-  public enum What {
+  public enum Action {
     /** Refuses a share of a class or tenant at read. */
     REFUSE,
     /** Sends gateways away: nothing new is taken. */
@@ -90,7 +90,7 @@
      * @param machine its hardware class
      * @return true if so
      */
-    public boolean has(String name, String zone, String machine) {
+    public boolean matches(String name, String zone, String machine) {
       return (servers.isEmpty() || servers.contains(name))
           && (zones.isEmpty() || zones.contains(zone))
           && (hardware.isEmpty() || hardware.contains(machine));
@@ -109,36 +109,36 @@
     if (!(share >= 0 && share <= 1)) {
       throw new IllegalArgumentException("field share: a number from 0 to 1");
     }
-    if (seconds <= 0) {
+    if (ttlSeconds <= 0) {
       throw new IllegalArgumentException("field seconds: a whole number above 0");
     }
-    if ((what == What.REFUSE || what == What.LIMIT || what == What.DIVERT)
-        && kind.isEmpty()
+    if ((action == Action.REFUSE || action == Action.LIMIT || action == Action.DIVERT)
+        && requestClass.isEmpty()
         && tenant.isEmpty()) {
       throw new IllegalArgumentException(
-          "field class: " + what.name().toLowerCase(Locale.ROOT) + " wants a class or a tenant");
+          "field class: " + action.name().toLowerCase(Locale.ROOT) + " wants a class or a tenant");
     }
-    if ((what == What.DIVERT || what == What.WITHOUT) && target.isEmpty()) {
+    if ((action == Action.DIVERT || action == Action.WITHOUT) && target.isEmpty()) {
       throw new IllegalArgumentException(
-          "field " + (what == What.DIVERT ? "zone" : "feature") + ": required");
+          "field " + (action == Action.DIVERT ? "zone" : "feature") + ": required");
     }
   }
 
   private int narrowness() {
-    return (tenant.isEmpty() ? 0 : 16) + (kind.isEmpty() ? 0 : 8) + on.narrowness();
+    return (tenant.isEmpty() ? 0 : 16) + (requestClass.isEmpty() ? 0 : 8) + selector.narrowness();
   }
 
   /** Characters of its text, as they count against the bound of all. */
   int text() {
     return id.length()
-        + kind.length()
+        + requestClass.length()
         + tenant.length()
         + target.length()
-        + why.length()
-        + who.length()
-        + on.servers().stream().mapToInt(String::length).sum()
-        + on.zones().stream().mapToInt(String::length).sum()
-        + on.hardware().stream().mapToInt(String::length).sum();
+        + reason.length()
+        + author.length()
+        + selector.servers().stream().mapToInt(String::length).sum()
+        + selector.zones().stream().mapToInt(String::length).sum()
+        + selector.hardware().stream().mapToInt(String::length).sum();
   }
 
   /**
@@ -146,7 +146,7 @@
    *
    * @return microseconds
    */
-  public long life() {
-    return seconds * 1_000_000L;
+  public long ttlMicros() {
+    return ttlSeconds * 1_000_000L;
   }
 }
--- a/src/main/java/mothwing/override/Version.java
+++ b/src/main/java/mothwing/override/Version.java
@@ -6,15 +6,15 @@
  * Where an override was made: higher stamps win over lower ones of the same id, and no two are
  * alike.
  *
- * @param start the number of the origin's start, forced on its disk before it says a word
+ * @param epoch the number of the origin's start, forced on its disk before it says a word
  * @param origin the origin's name
- * @param count the number of the override in that start
+ * @param sequence the number of the override in that start
  */
-public record Version(long start, String origin, long count) implements Comparable<Version> {
+public record Version(long epoch, String origin, long sequence) implements Comparable<Version> {
   private static final Comparator<Version> ORDER =
-      Comparator.comparingLong(Version::start)
+      Comparator.comparingLong(Version::epoch)
           .thenComparing(Version::origin)
-          .thenComparingLong(Version::count);
+          .thenComparingLong(Version::sequence);
 
   @Override
   public int compareTo(Version other) {
--- a/src/main/java/mothwing/trial/OverrideMutations.java
+++ b/src/main/java/mothwing/trial/OverrideMutations.java
@@ -81,28 +81,28 @@
                   case LOST -> null;
                   case PREVIOUS -> before;
                   case AGE_NOTHING ->
-                      new ReplicaState(told.id(), told.stamp(), told.standing(), 0, told.value());
+                      new ReplicaState(told.id(), told.version(), told.status(), 0, told.value());
                   case AGE_MUCH ->
                       new ReplicaState(
-                          told.id(), told.stamp(), told.standing(), MUCH, told.value());
+                          told.id(), told.version(), told.status(), MUCH, told.value());
                   case ENDED ->
-                      new ReplicaState(told.id(), told.stamp(), OverrideStatus.ENDED, 0, null);
+                      new ReplicaState(told.id(), told.version(), OverrideStatus.EXPIRED, 0, null);
                   case REVOKED ->
-                      new ReplicaState(told.id(), told.stamp(), OverrideStatus.REVOKED, 0, null);
+                      new ReplicaState(told.id(), told.version(), OverrideStatus.REVOKED, 0, null);
                   case IN_FORCE ->
                       new ReplicaState(
                           told.id(),
-                          told.stamp(),
-                          OverrideStatus.IN_FORCE,
+                          told.version(),
+                          OverrideStatus.ACTIVE,
                           told.age(),
                           told.value());
                   default ->
-                      told.stamp() == null
+                      told.version() == null
                           ? told
                           : new ReplicaState(
                               told.id(),
                               new Version(0, "", 0),
-                              told.standing(),
+                              told.status(),
                               told.age(),
                               told.value());
                 });
@@ -181,60 +181,62 @@
     if (message instanceof OverrideMessage.Digest digest) {
       all.add(new OverrideMessage.Digest(0));
       all.add(new OverrideMessage.Digest(digest.hash() + 1));
-    } else if (message instanceof OverrideMessage.Known known) {
-      all.add(new OverrideMessage.Known(known.all(), !known.part()));
-      all.add(new OverrideMessage.Known(List.of(), known.part()));
-      for (int i = 0; i < known.all().size(); i++) {
-        OverrideMessage.Has one = known.all().get(i);
-        List<OverrideMessage.Has> others = new ArrayList<>();
+    } else if (message instanceof OverrideMessage.Inventory known) {
+      all.add(new OverrideMessage.Inventory(known.entries(), !known.partial()));
+      all.add(new OverrideMessage.Inventory(List.of(), known.partial()));
+      for (int i = 0; i < known.entries().size(); i++) {
+        OverrideMessage.InventoryEntry one = known.entries().get(i);
+        List<OverrideMessage.InventoryEntry> others = new ArrayList<>();
         for (OverrideStatus standing : OverrideStatus.values()) {
-          others.add(new OverrideMessage.Has(one.id(), one.stamp(), standing));
+          others.add(new OverrideMessage.InventoryEntry(one.id(), one.version(), standing));
         }
-        others.add(new OverrideMessage.Has("o9", one.stamp(), one.standing()));
-        others.add(new OverrideMessage.Has(one.id(), new Version(0, "", 0), one.standing()));
+        others.add(new OverrideMessage.InventoryEntry("o9", one.version(), one.status()));
         others.add(
-            new OverrideMessage.Has(one.id(), new Version(MUCH, "n9", MUCH), one.standing()));
-        for (OverrideMessage.Has other : others) {
-          List<OverrideMessage.Has> copy = new ArrayList<>(known.all());
+            new OverrideMessage.InventoryEntry(one.id(), new Version(0, "", 0), one.status()));
+        others.add(
+            new OverrideMessage.InventoryEntry(
+                one.id(), new Version(MUCH, "n9", MUCH), one.status()));
+        for (OverrideMessage.InventoryEntry other : others) {
+          List<OverrideMessage.InventoryEntry> copy = new ArrayList<>(known.entries());
           copy.set(i, other);
-          all.add(new OverrideMessage.Known(copy, known.part()));
+          all.add(new OverrideMessage.Inventory(copy, known.partial()));
         }
       }
-    } else if (message instanceof OverrideMessage.Ask ask) {
-      all.add(new OverrideMessage.Ask(0, ask.ids()));
-      all.add(new OverrideMessage.Ask(ask.number(), List.of()));
-      all.add(new OverrideMessage.Ask(ask.number(), List.of("o9", "o1")));
-    } else if (message instanceof OverrideMessage.Answer answer) {
-      all.add(new OverrideMessage.Answer(0, answer.all()));
-      all.add(new OverrideMessage.Answer(answer.number(), List.of()));
-      for (int i = 0; i < answer.all().size(); i++) {
-        ReplicaState one = answer.all().get(i);
+    } else if (message instanceof OverrideMessage.Request ask) {
+      all.add(new OverrideMessage.Request(0, ask.ids()));
+      all.add(new OverrideMessage.Request(ask.number(), List.of()));
+      all.add(new OverrideMessage.Request(ask.number(), List.of("o9", "o1")));
+    } else if (message instanceof OverrideMessage.Response answer) {
+      all.add(new OverrideMessage.Response(0, answer.states()));
+      all.add(new OverrideMessage.Response(answer.number(), List.of()));
+      for (int i = 0; i < answer.states().size(); i++) {
+        ReplicaState one = answer.states().get(i);
         List<ReplicaState> others =
             new ArrayList<>(
                 List.of(
-                    new ReplicaState(one.id(), one.stamp(), one.standing(), MUCH, one.value()),
+                    new ReplicaState(one.id(), one.version(), one.status(), MUCH, one.value()),
                     new ReplicaState(
-                        one.id(), one.stamp(), OverrideStatus.ENDED, one.age(), null)));
+                        one.id(), one.version(), OverrideStatus.EXPIRED, one.age(), null)));
         if (one.value() != null) {
           others.add(
               new ReplicaState(
-                  one.id(), one.stamp(), OverrideStatus.UNSURE, one.age(), one.value()));
-          others.add(new ReplicaState(one.id(), one.stamp(), one.standing(), 0, one.value()));
+                  one.id(), one.version(), OverrideStatus.UNCONFIRMED, one.age(), one.value()));
+          others.add(new ReplicaState(one.id(), one.version(), one.status(), 0, one.value()));
           others.add(
               new ReplicaState(
-                  one.id(), one.stamp(), OverrideStatus.IN_FORCE, one.age(), one.value()));
+                  one.id(), one.version(), OverrideStatus.ACTIVE, one.age(), one.value()));
         }
         for (ReplicaState other : others) {
-          List<ReplicaState> copy = new ArrayList<>(answer.all());
+          List<ReplicaState> copy = new ArrayList<>(answer.states());
           copy.set(i, other);
-          all.add(new OverrideMessage.Answer(answer.number(), copy));
+          all.add(new OverrideMessage.Response(answer.number(), copy));
         }
       }
     } else if (message instanceof OverrideMessage.Stored stored) {
       for (OverrideStatus standing : OverrideStatus.values()) {
-        all.add(new OverrideMessage.Stored(stored.id(), stored.stamp(), standing));
+        all.add(new OverrideMessage.Stored(stored.id(), stored.version(), standing));
       }
-      all.add(new OverrideMessage.Stored("o9", stored.stamp(), stored.standing()));
+      all.add(new OverrideMessage.Stored("o9", stored.version(), stored.status()));
     }
     return all;
   }
--- a/src/main/java/mothwing/trial/SimulatedOverrideNetwork.java
+++ b/src/main/java/mothwing/trial/SimulatedOverrideNetwork.java
@@ -80,7 +80,7 @@
       int mine = begin();
       starts += planted == Planted.STARTS_NOT_FORCED && starts > 0 ? 0 : 1;
       startedAt = time.now();
-      book = new OverrideTable(OverrideLimits.USUAL);
+      book = new OverrideTable(OverrideLimits.DEFAULTS);
       boolean knows = !disk.isEmpty() || starts > 1;
       sharing =
           new AntiEntropy(
@@ -96,8 +96,8 @@
       } else {
         book.load(clock(), disk.values());
       }
-      applied = book.acting(clock());
-      time.schedule(time.now() + RECOVERING, () -> run(mine, () -> sharing.recovered()));
+      applied = book.inEffect(clock());
+      time.schedule(time.now() + RECOVERING, () -> run(mine, () -> sharing.endRecovery()));
       turn(mine);
     }
 
@@ -109,7 +109,7 @@
                   mine,
                   () -> {
                     sharing.tick(clock());
-                    for (ReplicaState one : book.told(clock())) {
+                    for (ReplicaState one : book.replicaStates(clock())) {
                       if (one.value() != null && random.nextInt(20) == 0) {
                         save(one); // the checkpoint of its age
                       }
@@ -132,7 +132,7 @@
 
     /** What it decides by now, as its first request after whatever befell it would see it. */
     List<TrafficOverride> acting() {
-      return planted == Planted.EVENTS_AS_EDGES ? applied : book.acting(clock());
+      return planted == Planted.EVENTS_AS_EDGES ? applied : book.inEffect(clock());
     }
   }
 
@@ -151,12 +151,12 @@
     }
 
     @Override
-    public List<String> others() {
+    public List<String> peers() {
       return nodes.values().stream().filter(one -> one != node).map(one -> one.name).toList();
     }
 
     @Override
-    public void force(ReplicaState told) {
+    public void persist(ReplicaState told) {
       time.schedule(
           time.now() + FORCE,
           () ->
@@ -164,17 +164,17 @@
                   mine,
                   () -> {
                     node.save(told);
-                    if (told.standing() == OverrideStatus.REVOKED) {
+                    if (told.status() == OverrideStatus.REVOKED) {
                       revokedAt.putIfAbsent(
                           told.id(), time.now()); // from now on a caller may hold a YES
                     }
-                    node.sharing.forced(node.clock(), told);
+                    node.sharing.onPersisted(node.clock(), told);
                   }));
     }
 
     @Override
-    public void changed() {
-      node.applied = node.book == null ? List.of() : node.book.acting(node.clock());
+    public void onChange() {
+      node.applied = node.book == null ? List.of() : node.book.inEffect(node.clock());
     }
   }
 
@@ -215,7 +215,7 @@
           name,
           new Node(
               name,
-              1 + (random.nextDouble() * 2 - 1) * OverrideLimits.USUAL.drift() / 2,
+              1 + (random.nextDouble() * 2 - 1) * OverrideLimits.DEFAULTS.maxClockDriftRatio() / 2,
               random.nextInt(1_000_000_000)));
     }
     nodes.values().forEach(Node::start);
@@ -270,7 +270,7 @@
       return;
     }
     OverrideMessage sent =
-        planted == Planted.UNSURE_HANDED_ON && message instanceof OverrideMessage.Answer answer
+        planted == Planted.UNSURE_HANDED_ON && message instanceof OverrideMessage.Response answer
             ? sure(answer)
             : message;
     int copies = random.nextDouble() < 0.05 ? 2 : 1;
@@ -286,16 +286,16 @@
     }
   }
 
-  private static OverrideMessage sure(OverrideMessage.Answer answer) {
-    return new OverrideMessage.Answer(
+  private static OverrideMessage sure(OverrideMessage.Response answer) {
+    return new OverrideMessage.Response(
         answer.number(),
-        answer.all().stream()
+        answer.states().stream()
             .map(
                 one ->
-                    one.standing() != OverrideStatus.UNSURE
+                    one.status() != OverrideStatus.UNCONFIRMED
                         ? one
                         : new ReplicaState(
-                            one.id(), one.stamp(), OverrideStatus.IN_FORCE, one.age(), one.value()))
+                            one.id(), one.version(), OverrideStatus.ACTIVE, one.age(), one.value()))
             .toList());
   }
 
@@ -305,12 +305,12 @@
         node.starts(),
         () -> {
           if (planted == Planted.PUSHED_AGES_TAKEN
-              && message instanceof OverrideMessage.Answer answer) {
+              && message instanceof OverrideMessage.Response answer) {
             answer
-                .all()
+                .states()
                 .forEach(one -> node.book.merge(node.clock(), one, node.clock(), Long.MAX_VALUE));
           }
-          node.sharing.came(node.clock(), from, message);
+          node.sharing.receive(node.clock(), from, message);
         });
   }
 
@@ -346,8 +346,8 @@
     TrafficOverride value =
         new TrafficOverride(
             id,
-            node.sharing.stamp(),
-            TrafficOverride.What.REFUSE,
+            node.sharing.nextVersion(),
+            TrafficOverride.Action.REFUSE,
             "stock-check",
             "",
             1,
@@ -358,10 +358,10 @@
             keep,
             "drawn " + ++stamps,
             "trial");
-    if (node.sharing.make(node.clock(), value) == OverrideTable.UpdateResult.NEW) {
-      Truth other = truths.put(value.stamp(), new Truth(value, time.now()));
+    if (node.sharing.create(node.clock(), value) == OverrideTable.UpdateResult.APPLIED) {
+      Truth other = truths.put(value.version(), new Truth(value, time.now()));
       if (other != null) {
-        breach(at + " gives a stamp twice: " + value.stamp());
+        breach(at + " gives a stamp twice: " + value.version());
       }
     }
   }
@@ -408,22 +408,22 @@
       outcome.append(time.now() / SECOND).append(node.name).append(ids);
     }
     for (TrafficOverride one : acting) {
-      Truth truth = truths.get(one.stamp());
-      ReplicaState told = node.book.told(node.clock(), one.id());
-      boolean unsure = told != null && told.standing() == OverrideStatus.UNSURE;
+      Truth truth = truths.get(one.version());
+      ReplicaState told = node.book.replicaState(node.clock(), one.id());
+      boolean unsure = told != null && told.status() == OverrideStatus.UNCONFIRMED;
       if (truth == null) {
         breach(node.name + " goes by what nobody made: " + one.id());
         continue;
       }
-      long past = time.now() - truth.madeAt() - one.life();
+      long past = time.now() - truth.madeAt() - one.ttlMicros();
       if (!unsure) {
         worst = Math.max(worst, past);
       }
       if (past > GRACE && !unsure) {
         breach(node.name + " goes by " + one.id() + " " + past / MILLI + " ms past its end");
-      } else if (unsure && !one.keepUnsure()) {
+      } else if (unsure && !one.keepUnconfirmed()) {
         breach(node.name + " goes by " + one.id() + ", which is unsure and to be dropped");
-      } else if (unsure && time.now() - node.startedAt > one.life() + SECOND) {
+      } else if (unsure && time.now() - node.startedAt > one.ttlMicros() + SECOND) {
         breach(node.name + " goes by " + one.id() + " longer than its life in this start");
       }
     }
@@ -439,15 +439,15 @@
   }
 
   private long left(ReplicaState one) {
-    Truth truth = truths.get(one.stamp());
-    return truth == null ? Long.MAX_VALUE : truth.madeAt() + one.value().life() - time.now();
+    Truth truth = truths.get(one.version());
+    return truth == null ? Long.MAX_VALUE : truth.madeAt() + one.value().ttlMicros() - time.now();
   }
 
   private Map<String, String> sure(Node node) {
     Map<String, String> sure = new TreeMap<>();
-    for (ReplicaState one : node.book.told(node.clock())) {
-      if (one.standing() == OverrideStatus.IN_FORCE && left(one) > EARLY) {
-        sure.put(one.id(), one.stamp().toString());
+    for (ReplicaState one : node.book.replicaStates(node.clock())) {
+      if (one.status() == OverrideStatus.ACTIVE && left(one) > EARLY) {
+        sure.put(one.id(), one.version().toString());
       }
     }
     return sure;
@@ -469,11 +469,11 @@
             node.name + " has " + sure(node) + ", " + up.get(0).name + " has " + sure(up.get(0)));
       }
       for (TrafficOverride one : node.acting()) {
-        ReplicaState told = node.book.told(node.clock(), one.id());
+        ReplicaState told = node.book.replicaState(node.clock(), one.id());
         Long revoked = revokedAt.get(one.id());
         if (revoked != null
-            && truths.get(one.stamp()).madeAt() < revoked
-            && told.standing() == OverrideStatus.IN_FORCE) {
+            && truths.get(one.version()).madeAt() < revoked
+            && told.status() == OverrideStatus.ACTIVE) {
           breach(node.name + " goes by " + one.id() + ", which was taken back");
         }
       }
--- a/src/test/java/mothwing/override/EffectiveOverridesTest.java
+++ b/src/test/java/mothwing/override/EffectiveOverridesTest.java
@@ -16,13 +16,13 @@
 /** What overrides come to, and the bounds of the book that has them. */
 class EffectiveOverridesTest {
   private static final long SECOND = 1_000_000;
-  private static final TrafficOverride.What[] ABOUT = {
-    TrafficOverride.What.REFUSE, TrafficOverride.What.LIMIT
+  private static final TrafficOverride.Action[] ABOUT = {
+    TrafficOverride.Action.REFUSE, TrafficOverride.Action.LIMIT
   };
 
   private static TrafficOverride made(
       int number,
-      TrafficOverride.What what,
+      TrafficOverride.Action what,
       String kind,
       String tenant,
       int priority,
@@ -34,7 +34,7 @@
         kind,
         tenant,
         1,
-        what == TrafficOverride.What.WITHOUT ? "hedge" : "",
+        what == TrafficOverride.Action.WITHOUT ? "hedge" : "",
         on,
         60,
         priority,
@@ -54,7 +54,7 @@
   @Property(seed = "1764576031", tries = 300)
   void theLookUpFindsTheOneThatRanksFirst(@ForAll int seed) {
     Random random = new Random(seed);
-    OverrideTable book = new OverrideTable(OverrideLimits.USUAL);
+    OverrideTable book = new OverrideTable(OverrideLimits.DEFAULTS);
     List<TrafficOverride> all = new ArrayList<>();
     for (int i = 0; i < 1 + random.nextInt(30); i++) {
       String kind = some(random, "", "look", "order");
@@ -66,29 +66,29 @@
                   Set.of(some(random, "n1", "n2")), Set.of(some(random, "one", "two")), Set.of());
       TrafficOverride one = made(i, ABOUT[random.nextInt(2)], kind, tenant, random.nextInt(3), on);
       all.add(one);
-      assertEquals(OverrideTable.UpdateResult.NEW, book.make(5, one));
+      assertEquals(OverrideTable.UpdateResult.APPLIED, book.create(5, one));
     }
     EffectiveOverrides effect =
-        new EffectiveOverrides(book.acting(6), "n1", "one", "rack", book.actingUntil(6));
-    for (TrafficOverride.What what : ABOUT) {
+        new EffectiveOverrides(book.inEffect(6), "n1", "one", "rack", book.inEffectUntil(6));
+    for (TrafficOverride.Action what : ABOUT) {
       for (String kind : List.of("look", "order", "save")) {
         for (String tenant : List.of("a", "b", "c", "")) {
           TrafficOverride wanted =
               all.stream()
                   .filter(
                       one ->
-                          one.what() == what
-                              && one.on().has("n1", "one", "rack")
-                              && (one.kind().isEmpty() || one.kind().equals(kind))
+                          one.action() == what
+                              && one.selector().matches("n1", "one", "rack")
+                              && (one.requestClass().isEmpty() || one.requestClass().equals(kind))
                               && (one.tenant().isEmpty() || one.tenant().equals(tenant)))
-                  .min(TrafficOverride.RANK)
+                  .min(TrafficOverride.PRECEDENCE)
                   .orElse(null);
-          assertEquals(wanted, effect.on(what, kind, tenant));
+          assertEquals(wanted, effect.find(what, kind, tenant));
         }
       }
     }
-    assertTrue(effect.holds(59 * SECOND));
-    assertFalse(effect.holds(60 * SECOND + 5));
+    assertTrue(effect.isValid(59 * SECOND));
+    assertFalse(effect.isValid(60 * SECOND + 5));
   }
 
   @Example
@@ -97,15 +97,15 @@
         new TrafficOverride.Selector(Set.of(), Set.of("one"), Set.of("rack"));
     List<TrafficOverride> all =
         List.of(
-            made(1, TrafficOverride.What.DRAIN, "", "", 0, rooms),
-            made(2, TrafficOverride.What.WITHOUT, "", "", 0, rooms));
+            made(1, TrafficOverride.Action.DRAIN, "", "", 0, rooms),
+            made(2, TrafficOverride.Action.WITHOUT, "", "", 0, rooms));
     EffectiveOverrides here = new EffectiveOverrides(all, "n1", "one", "rack", Long.MAX_VALUE);
     EffectiveOverrides there = new EffectiveOverrides(all, "n1", "one", "till-box", Long.MAX_VALUE);
-    assertEquals("o1", here.drains().id());
-    assertTrue(here.isWithout("hedge") && !here.isWithout("spill"));
-    assertEquals(null, there.drains());
-    assertFalse(there.isWithout("hedge"));
-    assertEquals(null, EffectiveOverrides.NONE.refuses("look", "a", 0));
+    assertEquals("o1", here.drain().id());
+    assertTrue(here.isDisabled("hedge") && !here.isDisabled("spill"));
+    assertEquals(null, there.drain());
+    assertFalse(there.isDisabled("hedge"));
+    assertEquals(null, EffectiveOverrides.NONE.refusalFor("look", "a", 0));
   }
 
   /**
@@ -118,29 +118,31 @@
     OverrideTable book = new OverrideTable(few);
     for (int i = 0; i < 3; i++) {
       assertEquals(
-          OverrideTable.UpdateResult.NEW,
-          book.make(
+          OverrideTable.UpdateResult.APPLIED,
+          book.create(
               1,
-              made(i, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+              made(i, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
     }
     assertEquals(
         OverrideTable.UpdateResult.FULL,
-        book.make(
-            1, made(3, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+        book.create(
+            1,
+            made(3, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
     for (int i = 0; i < 3; i++) {
-      assertEquals(OverrideTable.UpdateResult.NEW, book.revoke(2, "o" + i));
+      assertEquals(OverrideTable.UpdateResult.APPLIED, book.revoke(2, "o" + i));
     }
     assertEquals(
-        OverrideTable.UpdateResult.KNOWN,
-        book.make(
-            3, made(0, TrafficOverride.What.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
-    assertEquals(OverrideTable.UpdateResult.NEW, book.revoke(3, "x1"));
-    assertEquals(OverrideTable.UpdateResult.NEW, book.revoke(3, "x2"));
+        OverrideTable.UpdateResult.IGNORED,
+        book.create(
+            3,
+            made(0, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+    assertEquals(OverrideTable.UpdateResult.APPLIED, book.revoke(3, "x1"));
+    assertEquals(OverrideTable.UpdateResult.APPLIED, book.revoke(3, "x2"));
     assertEquals(OverrideTable.UpdateResult.FULL, book.revoke(3, "x3"));
-    assertEquals(OverrideStatus.REVOKED, book.standing(60 * SECOND, "o1"));
-    assertEquals(null, book.standing(60 * SECOND + 3, "o1"), "remembered for its lifetime");
+    assertEquals(OverrideStatus.REVOKED, book.status(60 * SECOND, "o1"));
+    assertEquals(null, book.status(60 * SECOND + 3, "o1"), "remembered for its lifetime");
     assertThrows(
         IllegalArgumentException.class,
-        () -> made(9, TrafficOverride.What.REFUSE, "", "", 0, TrafficOverride.Selector.ALL));
+        () -> made(9, TrafficOverride.Action.REFUSE, "", "", 0, TrafficOverride.Selector.ALL));
   }
 }
