--- a/src/main/java/mothwing/control/Settings.java
+++ b/src/main/java/mothwing/control/Settings.java
@@ -16,8 +16,8 @@
  *     tenant's quota keep
  * @param cacheLifetime microseconds for which the answer to a read may serve other requests; 0
  *     where answers are not cached
- * @param goal the weights of the service objective
- * @param rules the limits that the server must keep
+ * @param objectiveWeights the weights of the service objective
+ * @param limits the limits that the server must keep
  * @param dependency the dependency that all servers share
  * @param machine the machine that the server runs on
  * @param signals what callers understand
@@ -32,8 +32,8 @@
     boolean weightByWork,
     double overQuotaWeightRatio,
     long cacheLifetime,
-    Goal goal,
-    Rules rules,
+    ObjectiveWeights objectiveWeights,
+    ServerLimits limits,
     Dependency dependency,
     Machine machine,
     Signals signals) {}
--- a/src/test/java/mothwing/overload/Fixtures.java
+++ b/src/test/java/mothwing/overload/Fixtures.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -33,8 +33,8 @@
         true,
         0.1,
         0,
-        new Goal(0.5, 0.2, 0.2, 0.1),
-        new Rules(60_000, 2 * SECOND, 4, SECOND, 0.25, 10 * SECOND),
+        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
+        new ServerLimits(60_000, 2 * SECOND, 4, SECOND, 0.25, 10 * SECOND),
         new Dependency(1, 5 * SECOND, SECOND / 5),
         new Machine(CORES, 1_000, 8, 100, true, List.of(), StopMode.ABORT),
         new Signals(FreeValue.SHARE, SECOND, true, SECOND, true, 30 * SECOND));
@@ -42,7 +42,7 @@
 
   private static RequestClass requestClass(String name, double weight, boolean callsDependency) {
     return new RequestClass(
-        name, SECOND, 4 * SECOND, weight, 0.2, Idempotency.SAFE, 0, callsDependency, 0);
+        name, SECOND, 4 * SECOND, weight, 0.2, Idempotency.ALWAYS, 0, callsDependency, 0);
   }
 
   static ControllerContext context() {
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -44,18 +44,18 @@
         1,
         5_000,
         List.of(
-            new RequestClass("read", SECOND, 4 * SECOND, 1, 0.2, Idempotency.SAFE, 0, true, 0),
-            new RequestClass("save", SECOND, 4 * SECOND, 2, 0, Idempotency.SAFE, 0, false, 0),
+            new RequestClass("read", SECOND, 4 * SECOND, 1, 0.2, Idempotency.ALWAYS, 0, true, 0),
+            new RequestClass("save", SECOND, 4 * SECOND, 2, 0, Idempotency.ALWAYS, 0, false, 0),
             new RequestClass(
-                "commit", SECOND, 4 * SECOND, 5, 0.2, Idempotency.GUARDED, 10 * SECOND, true, 0)),
+                "commit", SECOND, 4 * SECOND, 5, 0.2, Idempotency.WITH_KEY, 10 * SECOND, true, 0)),
         List.of(new Tenant("one", 100), new Tenant("two", 100)),
         10,
         callers,
         true,
         0.1,
         0,
-        new Goal(0.5, 0.2, 0.2, 0.1),
-        new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
+        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
+        new ServerLimits(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
         new Dependency(callQuota, 5 * SECOND, 200_000),
         new Machine(2, memory, 8, KEY_KB, coldStart, List.of("cpu_busy", "runnable"), stopMode),
         new Signals(FreeValue.SHARE, SECOND, true, SECOND, true, 30 * SECOND));
@@ -715,7 +715,7 @@
               (patient ? 40 : 4) * SECOND,
               read.priorityWeight(),
               0.2,
-              Idempotency.SAFE,
+              Idempotency.ALWAYS,
               0,
               true,
               0));
@@ -862,7 +862,7 @@
                         kind.idempotency(),
                         kind.idempotencyWindow(),
                         kind.callsDependency(),
-                        kind.idempotency() == Idempotency.GUARDED ? 0 : 0.5))
+                        kind.idempotency() == Idempotency.WITH_KEY ? 0 : 0.5))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
@@ -988,7 +988,15 @@
       classes.set(
           READ,
           new RequestClass(
-              same ? "read" : "other", SECOND, 4 * SECOND, 100, 0.2, Idempotency.SAFE, 0, true, 0));
+              same ? "read" : "other",
+              SECOND,
+              4 * SECOND,
+              100,
+              0.2,
+              Idempotency.ALWAYS,
+              0,
+              true,
+              0));
       host.changeSettings(withClasses(host.settings(), classes));
       host.read(request(host, "next", SAVE));
       assertEquals(
