--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -170,13 +170,13 @@
    * @param now whether it is to be out of rotation
    * @return false once a shutdown was requested, in which case nothing has changed
    */
-  public boolean outOfRotation(boolean now) {
-    return parts.shutdown.outOfRotation(now);
+  public boolean setOutOfRotation(boolean now) {
+    return parts.shutdown.setOutOfRotation(now);
   }
 
   /** Whether the server was taken out of rotation and not put back. */
-  public boolean outOfRotation() {
-    return parts.shutdownState.outOfRotation();
+  public boolean isOutOfRotation() {
+    return parts.shutdownState.isOutOfRotation();
   }
 
   /** Whether requests are decided: the pool was connected, and no shutdown was requested. */
--- a/src/main/java/mothwing/broker/ShutdownSequence.java
+++ b/src/main/java/mothwing/broker/ShutdownSequence.java
@@ -25,9 +25,9 @@
   }
 
   /** Takes the server out of rotation or puts it back; false once a shutdown was requested. */
-  boolean outOfRotation(boolean now) {
-    boolean before = state.outOfRotation();
-    if (!state.outOfRotation(now)) {
+  boolean setOutOfRotation(boolean now) {
+    boolean before = state.isOutOfRotation();
+    if (!state.setOutOfRotation(now)) {
       return false;
     }
     if (now != before) {
--- a/src/main/java/mothwing/broker/ShutdownState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -23,7 +23,7 @@
   private long grace;
 
   /** Takes the server out of rotation or puts it back; false once a shutdown was requested. */
-  boolean outOfRotation(boolean now) {
+  boolean setOutOfRotation(boolean now) {
     if (isDraining()) {
       return false;
     }
@@ -31,7 +31,7 @@
     return true;
   }
 
-  boolean outOfRotation() {
+  boolean isOutOfRotation() {
     return outOfRotation;
   }
 
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -91,7 +91,7 @@
         new LoadReporter(
             connector(config.announce()),
             config.name(),
-            () -> !broker.isDraining() && !broker.outOfRotation(),
+            () -> !broker.isDraining() && !broker.isOutOfRotation(),
             scheduler,
             counters,
             log);
--- a/src/main/java/mothwing/server/ServerAdmin.java
+++ b/src/main/java/mothwing/server/ServerAdmin.java
@@ -55,6 +55,6 @@
 
   @Override
   public boolean setOutOfRotation(boolean outOfRotation) {
-    return broker.outOfRotation(outOfRotation);
+    return broker.setOutOfRotation(outOfRotation);
   }
 }
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -469,8 +469,8 @@
     List<Boolean> good = new ArrayList<>();
     stand.broker.setHealth(false, true);
     stand.broker.healthCheck(true, good::add); // under way at the call
-    boolean first = stand.broker.outOfRotation(true);
-    boolean repeated = first && stand.broker.outOfRotation(true);
+    boolean first = stand.broker.setOutOfRotation(true);
+    boolean repeated = first && stand.broker.setOutOfRotation(true);
     assertTrue(first && repeated);
     stand.pass(5_000);
     stand.broker.healthCheck(true, good::add);
@@ -480,16 +480,16 @@
     stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     assertEquals(List.of("served"), answers);
     assertTrue(!decisions.told.contains("drain") && stand.broker.isServing());
-    boolean calledBack = stand.broker.outOfRotation(false);
-    boolean calledBackAgain = calledBack && stand.broker.outOfRotation(false);
+    boolean calledBack = stand.broker.setOutOfRotation(false);
+    boolean calledBackAgain = calledBack && stand.broker.setOutOfRotation(false);
     assertTrue(calledBack && calledBackAgain);
     stand.broker.healthCheck(false, good::add);
     assertEquals(List.of(false, false, false, true), good);
-    stand.broker.outOfRotation(true);
+    stand.broker.setOutOfRotation(true);
     stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
     assertTrue(
-        !stand.broker.outOfRotation(false)
-            && stand.broker.outOfRotation()
+        !stand.broker.setOutOfRotation(false)
+            && stand.broker.isOutOfRotation()
             && !stand.broker.isServing());
   }
 
--- a/src/test/java/mothwing/witness/FrontWitness.java
+++ b/src/test/java/mothwing/witness/FrontWitness.java
@@ -55,8 +55,8 @@
       case "refuse-last" -> stand.broker.rejectRequest(rest, true, 0);
       case "fail" -> stand.broker.failRequest(rest);
       case "say" -> stand.broker.publishFreeValue(Double.parseDouble(rest));
-      case "leave" -> stand.broker.outOfRotation(true);
-      case "join" -> stand.broker.outOfRotation(false);
+      case "leave" -> stand.broker.setOutOfRotation(true);
+      case "join" -> stand.broker.setOutOfRotation(false);
       case "drain" -> stand.broker.drain(stand.now(), stand.now() + 3_000_000, false);
       default -> throw new AssertionError("no step " + word);
     }
