--- a/src/main/java/mothwing/dns/server/DnsDecisions.java
+++ b/src/main/java/mothwing/dns/server/DnsDecisions.java
@@ -3,11 +3,11 @@
 import java.util.List;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -45,17 +45,16 @@
         seed,
         ROUND,
         List.of(
-            new RequestClass(QUERY, 400 * MILLI, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0),
-            new RequestClass(
-                UPDATE, SECOND, 5 * SECOND, 10, 0, Idempotency.SINGLE_SHOT, 0, false, 0)),
+            new RequestClass(QUERY, 400 * MILLI, 2 * SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0),
+            new RequestClass(UPDATE, SECOND, 5 * SECOND, 10, 0, Idempotency.NEVER, 0, false, 0)),
         List.of(),
         1,
         1,
         false,
         1,
         0,
-        new Goal(1, 0, 0, 0),
-        new Rules(100 * MILLI, 2 * SECOND, CROWD, 2 * SECOND, 1, 0),
+        new ObjectiveWeights(1, 0, 0, 0),
+        new ServerLimits(100 * MILLI, 2 * SECOND, CROWD, 2 * SECOND, 1, 0),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
             AT_ONCE, Runtime.getRuntime().maxMemory() >> 10, 2, 0, false, GAUGES, StopMode.NONE),
--- a/src/main/java/mothwing/trial/BrokerFixture.java
+++ b/src/main/java/mothwing/trial/BrokerFixture.java
@@ -20,12 +20,12 @@
 import mothwing.control.ControllerHost;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -107,16 +107,16 @@
         7,
         2_000,
         List.of(
-            new RequestClass(LOOK, aim, deadline, 1, 0, Idempotency.SAFE, 0, false, 0),
-            new RequestClass(ORDER, aim, deadline, 10, 0, Idempotency.SINGLE_SHOT, 0, false, 0)),
+            new RequestClass(LOOK, aim, deadline, 1, 0, Idempotency.ALWAYS, 0, false, 0),
+            new RequestClass(ORDER, aim, deadline, 10, 0, Idempotency.NEVER, 0, false, 0)),
         List.of(new Tenant("one", 1e6)),
         10,
         3,
         false,
         0.05,
         0,
-        new Goal(0.5, 0.1, 0.3, 0.1),
-        new Rules(100_000, 2 * SECOND, 8, 2 * SECOND, 0.3, 10 * SECOND),
+        new ObjectiveWeights(0.5, 0.1, 0.3, 0.1),
+        new ServerLimits(100_000, 2 * SECOND, 8, 2 * SECOND, 0.3, 10 * SECOND),
         new Dependency(0, 5 * SECOND, 0),
         new Machine(
             cores,
