--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -147,7 +147,7 @@
   }
 
   @Override
-  protected long halfReadSince() {
+  protected long incompleteRequestSince() {
     return open != null && open.incomplete ? open.startedAt : NEVER;
   }
 
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -148,7 +148,7 @@
   }
 
   @Override
-  protected long halfReadSince() {
+  protected long incompleteRequestSince() {
     long oldest = NEVER;
     for (PendingRequest request : open.values()) {
       oldest = request.complete ? oldest : Math.min(oldest, request.startedAt);
--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -80,7 +80,7 @@
    *
    * @return a time of {@link #now}, or {@link #NEVER} where there is none
    */
-  protected long halfReadSince() {
+  protected long incompleteRequestSince() {
     return NEVER;
   }
 
@@ -148,12 +148,12 @@
 
   /** Why it has timed out, or null where it has not. */
   final CloseReason timeoutReason(long now, long timeout) {
-    return now <= timeoutAt(timeout) ? null : timeouts.reason(now, timeout, halfReadSince());
+    return now <= timeoutAt(timeout) ? null : timeouts.reason(now, timeout, incompleteRequestSince());
   }
 
   /** When it times out as things are, or {@link #NEVER} where nothing is awaited of its peer. */
   final long timeoutAt(long timeout) {
-    return timeouts.expiresAt(timeout, !closing && !awaitingBudget, halfReadSince());
+    return timeouts.expiresAt(timeout, !closing && !awaitingBudget, incompleteRequestSince());
   }
 
   /**
