--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    protected void rejected(String code) {
+    protected void countInvalid(String code) {
       count("rejected-" + code);
     }
 
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    protected void rejected(String code) {
+    protected void countInvalid(String code) {
       count("rejected-" + code);
     }
 
--- a/src/main/java/mothwing/net/FrontRequest.java
+++ b/src/main/java/mothwing/net/FrontRequest.java
@@ -48,7 +48,7 @@
    *
    * @param code the reason
    */
-  protected abstract void rejected(String code);
+  protected abstract void countInvalid(String code);
 
   /**
    * Hands a complete request to the broker, or answers it here.
@@ -87,7 +87,7 @@
    * @param code the reason
    */
   protected final void reject(String code) {
-    rejected(code);
+    countInvalid(code);
     answer(
         code.startsWith("oversized") ? CONTENT_TOO_LARGE : BAD_REQUEST,
         List.of(),
