--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -67,7 +67,7 @@
       open = null;
       boolean reuse = !broker.isDraining();
       ByteBuf out = allocate(512 + content.length);
-      Ajp.sendHeaders(out, status, Headers.phrase(status), headers);
+      Ajp.sendHeaders(out, status, Headers.reasonPhrase(status), headers);
       Ajp.sendBody(out, content);
       Ajp.endResponse(out, reuse);
       count("answered-" + status);
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -81,7 +81,7 @@
           new StringBuilder("Status: ")
               .append(status)
               .append(' ')
-              .append(Headers.phrase(status))
+              .append(Headers.reasonPhrase(status))
               .append("\r\n");
       headers.forEach(
           header -> head.append(header.name()).append(": ").append(header.value()).append("\r\n"));
--- a/src/main/java/mothwing/net/Headers.java
+++ b/src/main/java/mothwing/net/Headers.java
@@ -68,7 +68,7 @@
    * @param status its number
    * @return its words
    */
-  public static String phrase(int status) {
+  public static String reasonPhrase(int status) {
     return switch (status) {
       case 200 -> "OK";
       case 400 -> "Bad Request";
