--- a/src/main/java/mothwing/dns/server/DnsFront.java
+++ b/src/main/java/mothwing/dns/server/DnsFront.java
@@ -114,7 +114,7 @@
   }
 
   private int connections() {
-    return tcp.open();
+    return tcp.connectionCount();
   }
 
   private static DomainName name(String text) throws InvalidInputException {
@@ -305,7 +305,7 @@
   public boolean drained(boolean last) {
     tcp.trim(last ? 0 : LATER_MS * MICROS, CloseReason.DRAIN);
     return broker.pendingCount() == 0
-        && tcp.open() == 0
+        && tcp.connectionCount() == 0
         && engine.zones().stream().noneMatch(ZoneKeeper::busy);
   }
 
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -252,7 +252,7 @@
    *
    * @return their number
    */
-  public int open() {
+  public int connectionCount() {
     return table.descriptors();
   }
 
--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -175,7 +175,7 @@
         listener -> listener.trim(finalPhase ? 0 : STEP_PERIOD_MICROS, CloseReason.DRAIN));
     if (now >= finalPhaseEndsAt
         || (broker.pendingCount() == 0
-            && listeners.stream().allMatch(listener -> listener.open() == 0))) {
+            && listeners.stream().allMatch(listener -> listener.connectionCount() == 0))) {
       log.write("shutdown-complete pending=" + broker.pendingCount());
       loop.execute(done); // after the answers of this turn
     } else {
