--- a/src/bench/java/mothwing/net/IdleConnections.java
+++ b/src/bench/java/mothwing/net/IdleConnections.java
@@ -63,7 +63,7 @@
   /** A look at the wheel. Nothing is due in the first span, as each is armed for its own end. */
   public void wheel() {
     now += STEP;
-    table.trim(SPAN, CloseReason.IDLE);
+    table.closeExpired(SPAN, CloseReason.IDLE);
   }
 
   /** How many would have been closed, so that the work is not dropped. */
--- a/src/main/java/mothwing/dns/server/DnsFront.java
+++ b/src/main/java/mothwing/dns/server/DnsFront.java
@@ -209,7 +209,7 @@
 
   private void trim() {
     loop.schedule(this::trim, LATER_MS, TimeUnit.MILLISECONDS);
-    loop.execute(() -> tcp.trim(site.limits().idleMs() * MICROS, CloseReason.IDLE));
+    loop.execute(() -> tcp.closeExpired(site.limits().idleMs() * MICROS, CloseReason.IDLE));
   }
 
   /**
@@ -303,7 +303,7 @@
    * @return true if so
    */
   public boolean drained(boolean last) {
-    tcp.trim(last ? 0 : LATER_MS * MICROS, CloseReason.DRAIN);
+    tcp.closeExpired(last ? 0 : LATER_MS * MICROS, CloseReason.DRAIN);
     return broker.pendingCount() == 0
         && tcp.connectionCount() == 0
         && engine.zones().stream().noneMatch(ZoneKeeper::busy);
--- a/src/main/java/mothwing/net/ConnectionTable.java
+++ b/src/main/java/mothwing/net/ConnectionTable.java
@@ -233,7 +233,7 @@
    * @param reason why idle connections are closed; in a shutdown they are closed right after their
    *     last answer
    */
-  void trim(long limit, CloseReason reason) {
+  void closeExpired(long limit, CloseReason reason) {
     long now = scheduler.now();
     stalled = hasStalled(now);
     lastPassAt = now;
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -263,8 +263,8 @@
    * @param idleLimit microseconds; 0 closes all without an open request
    * @param reason why idle connections are closed
    */
-  public void trim(long idleLimit, CloseReason reason) {
-    table.trim(idleLimit, reason);
+  public void closeExpired(long idleLimit, CloseReason reason) {
+    table.closeExpired(idleLimit, reason);
   }
 
   /**
--- a/src/main/java/mothwing/server/ClientFronts.java
+++ b/src/main/java/mothwing/server/ClientFronts.java
@@ -151,7 +151,7 @@
     }
     listening.forEach(Listener::pollSharedPort);
     if (idleLimit > 0) {
-      listening.forEach(listener -> listener.trim(idleLimit, CloseReason.IDLE));
+      listening.forEach(listener -> listener.closeExpired(idleLimit, CloseReason.IDLE));
     }
   }
 }
--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -172,7 +172,7 @@
       broker.failPending();
     }
     listeners.forEach(
-        listener -> listener.trim(finalPhase ? 0 : STEP_PERIOD_MICROS, CloseReason.DRAIN));
+        listener -> listener.closeExpired(finalPhase ? 0 : STEP_PERIOD_MICROS, CloseReason.DRAIN));
     if (now >= finalPhaseEndsAt
         || (broker.pendingCount() == 0
             && listeners.stream().allMatch(listener -> listener.connectionCount() == 0))) {
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -318,7 +318,7 @@
   private void supervise() {
     scheduler.schedule(scheduler.now() + SUPERVISION_PERIOD_MICROS, this::supervise);
     if (adminListener != null) {
-      adminListener.trim(ADMIN_TIMEOUT_MICROS, CloseReason.IDLE);
+      adminListener.closeExpired(ADMIN_TIMEOUT_MICROS, CloseReason.IDLE);
     }
     fronts.supervise(idleLimit);
   }
--- a/src/test/java/mothwing/net/ConnectionTableTest.java
+++ b/src/test/java/mothwing/net/ConnectionTableTest.java
@@ -55,7 +55,7 @@
   private void pass(long span) {
     for (long left = span; left > 0; left -= SECOND / 10) {
       stand.pass(Math.min(left, SECOND / 10));
-      table.trim(30 * SECOND, CloseReason.IDLE);
+      table.closeExpired(30 * SECOND, CloseReason.IDLE);
     }
   }
 
@@ -83,15 +83,15 @@
       EmbeddedChannel channel = open(fastCgi());
       byte[] ping = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
       stand.send(channel, new Gateway.FastCgi(), ping);
-      table.trim(20_000, why);
+      table.closeExpired(20_000, why);
       stand.pass(3 * SECOND); // nobody looked: it stood still
-      table.trim(20_000, why);
+      table.closeExpired(20_000, why);
       assertTrue(channel.isOpen(), "its socket may hold a request");
       stand.send(channel, new Gateway.FastCgi(), ping);
       assertTrue(channel.isOpen(), "and another one behind that");
       for (int i = 0; i < 3; i++) {
         stand.pass(20_000);
-        table.trim(20_000, why);
+        table.closeExpired(20_000, why);
       }
       assertFalse(channel.isOpen(), "read, answered and quiet since");
     }
@@ -111,15 +111,15 @@
     stand.send(idle, new Gateway.FastCgi(), ping);
     EmbeddedChannel newcomer = open(fastCgi());
     stand.pass(SECOND / 10);
-    table.trim(SECOND / 50, CloseReason.DRAIN);
+    table.closeExpired(SECOND / 50, CloseReason.DRAIN);
     assertTrue(begun.isOpen() && newcomer.isOpen());
     assertFalse(idle.isOpen());
     for (int i = 0; i < 2; i++) {
       stand.pass(SECOND / 10);
-      table.trim(SECOND / 50, CloseReason.DRAIN);
+      table.closeExpired(SECOND / 50, CloseReason.DRAIN);
     }
     assertFalse(newcomer.isOpen());
-    table.trim(0, CloseReason.DRAIN);
+    table.closeExpired(0, CloseReason.DRAIN);
     assertTrue(begun.isOpen()); // it is ended as half sent, or by the process
   }
 
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -365,7 +365,7 @@
   private void pass(long span) {
     for (long left = span; left > 0; left -= 20_000) {
       stand.pass(Math.min(left, 20_000));
-      table.trim(leaving ? 20_000 : 30 * SECOND, leaving ? CloseReason.DRAIN : CloseReason.IDLE);
+      table.closeExpired(leaving ? 20_000 : 30 * SECOND, leaving ? CloseReason.DRAIN : CloseReason.IDLE);
       pool.turn();
       check();
     }
@@ -421,7 +421,7 @@
         case 8, 9, 10, 11 -> pool.end(step / 20, step % 7 > 0);
         case 12 -> line.abort(step / 80);
         case 13 -> line.reset();
-        case 14 -> table.trim(1, CloseReason.IDLE);
+        case 14 -> table.closeExpired(1, CloseReason.IDLE);
         case 15 -> stand.broker.applySettings(settings(step / 20));
         case 16 -> pool.lose(step % 40 == 16);
         case 17 -> pool.back();
