--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -375,7 +375,7 @@
    *
    * @return the addresses, with the ports that were given
    */
-  public List<InetSocketAddress> listening() {
+  public List<InetSocketAddress> clientAddresses() {
     return fronts.listening().stream().map(Listener::address).toList();
   }
 
@@ -384,7 +384,7 @@
    *
    * @return the address, with the port that was given
    */
-  public InetSocketAddress management() {
+  public InetSocketAddress adminAddress() {
     return adminListener.address();
   }
 
--- a/src/test/java/mothwing/cli/CommandsTest.java
+++ b/src/test/java/mothwing/cli/CommandsTest.java
@@ -226,7 +226,7 @@
               null,
               line -> {});
       server.start();
-      int port = server.listening().get(0).getPort();
+      int port = server.clientAddresses().get(0).getPort();
       assertEquals(0, run("counts", "--server", "127.0.0.1:" + port), err::toString);
       assertTrue(
           out.toString(StandardCharsets.UTF_8).startsWith("open=0 pending=0 "), out::toString);
--- a/src/test/java/mothwing/server/CrossingTest.java
+++ b/src/test/java/mothwing/server/CrossingTest.java
@@ -66,7 +66,7 @@
   }
 
   private Crossing connect() throws IOException {
-    return new Crossing(server.listening().get(0));
+    return new Crossing(server.clientAddresses().get(0));
   }
 
   /** A connection on which a check was answered and nothing is open. */
@@ -222,7 +222,7 @@
   void aRequestThatLiesUnreadBehindAFullSocketBufferAsTheNoticeToLeaveComesIsAnswered()
       throws Exception {
     start(1, 256);
-    try (Crossing one = new Crossing(server.listening().get(0), 4096)) {
+    try (Crossing one = new Crossing(server.clientAddresses().get(0), 4096)) {
       int asked = fill(one);
       holdAt("shutdown-requested ", server::drain);
       one.awaitUnread(1);
@@ -242,7 +242,7 @@
   @Test
   void whoWaitsToBeAcceptedAsTheNoticeComesIsAnswered() throws Exception {
     start(1, 256);
-    InetSocketAddress at = server.listening().get(0);
+    InetSocketAddress at = server.clientAddresses().get(0);
     holdLoop();
     server.drain();
     try (Crossing one = new Crossing(at);
@@ -317,7 +317,7 @@
     make(1, 256);
     server.drain();
     server.start();
-    InetSocketAddress had = server.listening().get(0);
+    InetSocketAddress had = server.clientAddresses().get(0);
     server.await();
     assertThrows(ConnectException.class, () -> new Crossing(had).close());
     assertTrue(log.lines().contains("shutdown-complete pending=0"), log.lines()::toString);
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -75,7 +75,7 @@
 
   private GatewayConnection till(Gateway gateway) throws IOException {
     return new GatewayConnection(
-        gateway, server.listening().get(gateway instanceof Gateway.Ajp ? 1 : 0));
+        gateway, server.clientAddresses().get(gateway instanceof Gateway.Ajp ? 1 : 0));
   }
 
   private int ping(GatewayConnection till) throws IOException {
@@ -249,7 +249,7 @@
   private String call(String line) throws IOException, InterruptedException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Commands.run(
-        new String[] {"manage", "--server", "127.0.0.1:" + server.management().getPort(), line},
+        new String[] {"manage", "--server", "127.0.0.1:" + server.adminAddress().getPort(), line},
         InputStream.nullInputStream(),
         new PrintStream(out),
         System.err);
@@ -267,7 +267,7 @@
     awaitLine("takes-clients ");
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      silent.add(new Socket(server.management().getAddress(), server.management().getPort()));
+      silent.add(new Socket(server.adminAddress().getAddress(), server.adminAddress().getPort()));
     }
     assertEquals("YES\n", call("health"));
     assertEquals("YES\n", call("LEAVE"));
--- a/src/test/java/mothwing/witness/AdminWitnessTest.java
+++ b/src/test/java/mothwing/witness/AdminWitnessTest.java
@@ -158,7 +158,7 @@
   }
 
   private static String reply(Server server, byte[] call) throws IOException {
-    InetSocketAddress door = server.management();
+    InetSocketAddress door = server.adminAddress();
     try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
       socket.getOutputStream().write(call);
       byte[] reply = socket.getInputStream().readAllBytes();
@@ -168,7 +168,7 @@
 
   private void ask(Server server, String[] words) throws IOException {
     try (GatewayConnection till =
-        new GatewayConnection(new Gateway.FastCgi(), server.listening().get(0))) {
+        new GatewayConnection(new Gateway.FastCgi(), server.clientAddresses().get(0))) {
       till.ask(1, words[0], words[1], new byte[] {1});
       golden.output("status=" + till.answer().status());
     }
