--- a/src/main/java/mothwing/cli/Foreground.java
+++ b/src/main/java/mothwing/cli/Foreground.java
@@ -18,7 +18,7 @@
    */
   private static void drain(Service service, AsyncLogWriter log) {
     try {
-      if (service.failed()) {
+      if (service.hasFailed()) {
         log.close();
         return;
       }
--- a/src/main/java/mothwing/cli/Serve.java
+++ b/src/main/java/mothwing/cli/Serve.java
@@ -39,7 +39,7 @@
     server.start();
     started.complete(new ConfigReloader(path, config, server));
     server.await();
-    return server.failed() ? 1 : 0;
+    return server.hasFailed() ? 1 : 0;
   }
 
   static int check(String path, PrintStream out) throws IOException {
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -355,7 +355,7 @@
   }
 
   @Override
-  public boolean failed() {
+  public boolean hasFailed() {
     return failed;
   }
 
--- a/src/main/java/mothwing/server/Service.java
+++ b/src/main/java/mothwing/server/Service.java
@@ -17,7 +17,7 @@
    *
    * @return true where the process is to end with an error status
    */
-  default boolean failed() {
+  default boolean hasFailed() {
     return false;
   }
 
