--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -148,7 +148,9 @@
 
   /** Why it has timed out, or null where it has not. */
   final CloseReason timeoutReason(long now, long timeout) {
-    return now <= timeoutAt(timeout) ? null : timeouts.reason(now, timeout, incompleteRequestSince());
+    return now <= timeoutAt(timeout)
+        ? null
+        : timeouts.reason(now, timeout, incompleteRequestSince());
   }
 
   /** When it times out as things are, or {@link #NEVER} where nothing is awaited of its peer. */
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -365,7 +365,8 @@
   private void pass(long span) {
     for (long left = span; left > 0; left -= 20_000) {
       stand.pass(Math.min(left, 20_000));
-      table.closeExpired(leaving ? 20_000 : 30 * SECOND, leaving ? CloseReason.DRAIN : CloseReason.IDLE);
+      table.closeExpired(
+          leaving ? 20_000 : 30 * SECOND, leaving ? CloseReason.DRAIN : CloseReason.IDLE);
       pool.turn();
       check();
     }
