--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -6,11 +6,11 @@
 import java.util.Set;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -33,7 +33,7 @@
    */
   public static Settings read(long seed, JsonFields options) throws InvalidInputException {
     JsonFields extra = options.object("Extra");
-    JsonFields goal = options.object("ScoreParts");
+    JsonFields objectiveWeights = options.object("ScoreParts");
     return new Settings(
         seed,
         options.integer("Round", 0),
@@ -44,12 +44,12 @@
         options.text("CountedBy", "request").equals("work"),
         options.number("OverShareWorth", 1),
         extra.integer("Fresh", 0),
-        new Goal(
-            goal.number("Whole", 0),
-            goal.number("WorstWindow", 0),
-            goal.number("WorstClass", 0),
-            goal.number("WorstTenant", 0)),
-        rules(options.object("Contract")),
+        new ObjectiveWeights(
+            objectiveWeights.number("Whole", 0),
+            objectiveWeights.number("WorstWindow", 0),
+            objectiveWeights.number("WorstClass", 0),
+            objectiveWeights.number("WorstTenant", 0)),
+        serverLimits(options.object("Contract")),
         dependency(extra),
         machine(extra),
         signals(extra, options.object("Limits")));
@@ -67,9 +67,9 @@
       int index = classes.size();
       Idempotency idempotency =
           switch (requestClass.text("Idempotency", "free")) {
-            case "free" -> Idempotency.SAFE;
-            case "guarded" -> Idempotency.GUARDED;
-            default -> Idempotency.SINGLE_SHOT;
+            case "free" -> Idempotency.ALWAYS;
+            case "guarded" -> Idempotency.WITH_KEY;
+            default -> Idempotency.NEVER;
           };
       classes.add(
           new RequestClass(
@@ -94,8 +94,8 @@
     return tenants;
   }
 
-  private static Rules rules(JsonFields contract) throws InvalidInputException {
-    return new Rules(
+  private static ServerLimits serverLimits(JsonFields contract) throws InvalidInputException {
+    return new ServerLimits(
         contract.integer("AnswerSlack", 0),
         contract.integer("DrainGrace", 0),
         contract.number("FallMultiple", 1),
--- a/src/test/java/mothwing/witness/SettingsWitnessTest.java
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -87,10 +87,10 @@
     assertTrue(settings.weightByWork());
     assertFalse(changed("\"work\"", "\"request\"").weightByWork());
     assertEquals(0.13, settings.overQuotaWeightRatio());
-    assertEquals(0.14, settings.goal().overallWeight());
-    assertEquals(0.15, settings.goal().worstWindowWeight());
-    assertEquals(0.16, settings.goal().worstClassWeight());
-    assertEquals(0.17, settings.goal().worstTenantWeight());
+    assertEquals(0.14, settings.objectiveWeights().overallWeight());
+    assertEquals(0.15, settings.objectiveWeights().worstWindowWeight());
+    assertEquals(0.16, settings.objectiveWeights().worstClassWeight());
+    assertEquals(0.17, settings.objectiveWeights().worstTenantWeight());
     assertEquals(2, settings.tenants().size());
     assertEquals("alder", settings.tenants().get(0).name());
     assertEquals(0.51, settings.tenants().get(0).requestsPerSecond());
@@ -108,7 +108,7 @@
     assertEquals(22, peek.deadline());
     assertEquals(0.23, peek.priorityWeight());
     assertEquals(0.24, peek.lateWeightRatio());
-    assertEquals(Idempotency.SAFE, peek.idempotency());
+    assertEquals(Idempotency.ALWAYS, peek.idempotency());
     assertEquals(25, peek.idempotencyWindow());
     assertFalse(peek.callsDependency());
     assertEquals(0.83, peek.degradedWeightRatio());
@@ -118,7 +118,7 @@
     assertEquals(32, stow.deadline());
     assertEquals(0.33, stow.priorityWeight());
     assertEquals(0.34, stow.lateWeightRatio());
-    assertEquals(Idempotency.GUARDED, stow.idempotency());
+    assertEquals(Idempotency.WITH_KEY, stow.idempotency());
     assertEquals(35, stow.idempotencyWindow());
     assertTrue(stow.callsDependency());
     assertEquals(0.84, stow.degradedWeightRatio());
@@ -128,7 +128,7 @@
     assertEquals(42, mint.deadline());
     assertEquals(0, mint.priorityWeight());
     assertEquals(0, mint.lateWeightRatio());
-    assertEquals(Idempotency.SINGLE_SHOT, mint.idempotency());
+    assertEquals(Idempotency.NEVER, mint.idempotency());
     assertEquals(0, mint.idempotencyWindow());
     assertFalse(mint.callsDependency());
     assertEquals(0, mint.degradedWeightRatio());
@@ -137,12 +137,12 @@
   @Test
   void eachKeyOfTheRulesAndTheDependencySetsItsField() throws IOException {
     Settings settings = full();
-    assertEquals(61, settings.rules().answerSlack());
-    assertEquals(62, settings.rules().drainGracePeriod());
-    assertEquals(0.63, settings.rules().concurrencyPerCore());
-    assertEquals(64, settings.rules().concurrencyWindow());
-    assertEquals(0.65, settings.rules().coldSpeedRatio());
-    assertEquals(66, settings.rules().warmUpDuration());
+    assertEquals(61, settings.limits().answerSlack());
+    assertEquals(62, settings.limits().drainGracePeriod());
+    assertEquals(0.63, settings.limits().concurrencyPerCore());
+    assertEquals(64, settings.limits().concurrencyWindow());
+    assertEquals(0.65, settings.limits().coldSpeedRatio());
+    assertEquals(66, settings.limits().warmUpDuration());
     assertEquals(81, settings.callers());
     assertEquals(82, settings.cacheLifetime());
     assertEquals(0.85, settings.dependency().concurrencyQuota());
@@ -194,22 +194,22 @@
     assertFalse(settings.weightByWork());
     assertEquals(1, settings.overQuotaWeightRatio());
     assertEquals(0, settings.cacheLifetime());
-    assertEquals(0, settings.goal().overallWeight());
-    assertEquals(0, settings.goal().worstWindowWeight());
-    assertEquals(0, settings.goal().worstClassWeight());
-    assertEquals(0, settings.goal().worstTenantWeight());
-    assertEquals(Idempotency.SAFE, settings.classes().get(0).idempotency());
+    assertEquals(0, settings.objectiveWeights().overallWeight());
+    assertEquals(0, settings.objectiveWeights().worstWindowWeight());
+    assertEquals(0, settings.objectiveWeights().worstClassWeight());
+    assertEquals(0, settings.objectiveWeights().worstTenantWeight());
+    assertEquals(Idempotency.ALWAYS, settings.classes().get(0).idempotency());
   }
 
   @Test
   void whatStandsForAnAbsentKeyFurtherDownIsHeld() throws IOException {
     Settings settings = least();
-    assertEquals(0, settings.rules().answerSlack());
-    assertEquals(0, settings.rules().drainGracePeriod());
-    assertEquals(1, settings.rules().concurrencyPerCore());
-    assertEquals(0, settings.rules().concurrencyWindow());
-    assertEquals(1, settings.rules().coldSpeedRatio());
-    assertEquals(0, settings.rules().warmUpDuration());
+    assertEquals(0, settings.limits().answerSlack());
+    assertEquals(0, settings.limits().drainGracePeriod());
+    assertEquals(1, settings.limits().concurrencyPerCore());
+    assertEquals(0, settings.limits().concurrencyWindow());
+    assertEquals(1, settings.limits().coldSpeedRatio());
+    assertEquals(0, settings.limits().warmUpDuration());
     assertEquals(0, settings.dependency().concurrencyQuota());
     assertEquals(0, settings.dependency().window());
     assertEquals(0, settings.dependency().abandonedCallDuration());
