--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -55,7 +55,7 @@
     }
 
     @Override
-    protected void rejected(String code) {
+    protected void countInvalid(String code) {
       count("rejected-" + code);
     }
 
@@ -67,7 +67,7 @@
       open = null;
       boolean reuse = !broker.isDraining();
       ByteBuf out = allocate(512 + content.length);
-      Ajp.sendHeaders(out, status, Headers.phrase(status), headers);
+      Ajp.sendHeaders(out, status, Headers.reasonPhrase(status), headers);
       Ajp.sendBody(out, content);
       Ajp.endResponse(out, reuse);
       count("answered-" + status);
@@ -147,7 +147,7 @@
   }
 
   @Override
-  protected long halfReadSince() {
+  protected long incompleteRequestSince() {
     return open != null && open.incomplete ? open.startedAt : NEVER;
   }
 
