--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -172,10 +172,10 @@
       broker.failPending();
     }
     listeners.forEach(
-        listener -> listener.trim(finalPhase ? 0 : STEP_PERIOD_MICROS, CloseReason.DRAIN));
+        listener -> listener.closeExpired(finalPhase ? 0 : STEP_PERIOD_MICROS, CloseReason.DRAIN));
     if (now >= finalPhaseEndsAt
         || (broker.pendingCount() == 0
-            && listeners.stream().allMatch(listener -> listener.open() == 0))) {
+            && listeners.stream().allMatch(listener -> listener.connectionCount() == 0))) {
       log.write("shutdown-complete pending=" + broker.pendingCount());
       loop.execute(done); // after the answers of this turn
     } else {
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -91,7 +91,7 @@
         new LoadReporter(
             connector(config.announce()),
             config.name(),
-            () -> !broker.isDraining() && !broker.outOfRotation(),
+            () -> !broker.isDraining() && !broker.isOutOfRotation(),
             scheduler,
             counters,
             log);
@@ -318,7 +318,7 @@
   private void supervise() {
     scheduler.schedule(scheduler.now() + SUPERVISION_PERIOD_MICROS, this::supervise);
     if (adminListener != null) {
-      adminListener.trim(ADMIN_TIMEOUT_MICROS, CloseReason.IDLE);
+      adminListener.closeExpired(ADMIN_TIMEOUT_MICROS, CloseReason.IDLE);
     }
     fronts.supervise(idleLimit);
   }
@@ -355,7 +355,7 @@
   }
 
   @Override
-  public boolean failed() {
+  public boolean hasFailed() {
     return failed;
   }
 
@@ -375,7 +375,7 @@
    *
    * @return the addresses, with the ports that were given
    */
-  public List<InetSocketAddress> listening() {
+  public List<InetSocketAddress> clientAddresses() {
     return fronts.listening().stream().map(Listener::address).toList();
   }
 
@@ -384,7 +384,7 @@
    *
    * @return the address, with the port that was given
    */
-  public InetSocketAddress management() {
+  public InetSocketAddress adminAddress() {
     return adminListener.address();
   }
 
