--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -69,8 +69,8 @@
         next.weightByWork(),
         next.overQuotaWeightRatio(),
         next.cacheLifetime(),
-        next.goal(),
-        next.rules(),
+        next.objectiveWeights(),
+        next.limits(),
         next.dependency(),
         machine,
         next.signals());
--- a/src/main/java/mothwing/broker/ShutdownSequence.java
+++ b/src/main/java/mothwing/broker/ShutdownSequence.java
@@ -25,9 +25,9 @@
   }
 
   /** Takes the server out of rotation or puts it back; false once a shutdown was requested. */
-  boolean outOfRotation(boolean now) {
-    boolean before = state.outOfRotation();
-    if (!state.outOfRotation(now)) {
+  boolean setOutOfRotation(boolean now) {
+    boolean before = state.isOutOfRotation();
+    if (!state.setOutOfRotation(now)) {
       return false;
     }
     if (now != before) {
@@ -41,7 +41,7 @@
     if (state.isDraining()) {
       return;
     }
-    long grace = context.settings().settings().rules().drainGracePeriod();
+    long grace = context.settings().settings().limits().drainGracePeriod();
     state.begin(noticeAt, stopAt, grace, handover);
     long leftMillis = (stopAt - noticeAt) / MICROS_PER_MILLI;
     log(EventNames.SHUTDOWN_REQUESTED, " stop_ms=" + leftMillis + " handover=" + handover);
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -8,13 +8,13 @@
 import java.util.Random;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.Request;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
 import mothwing.control.RunOutcome;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -42,23 +42,22 @@
                 4 * SECOND,
                 1,
                 late ? 0.2 : 0,
-                Idempotency.SAFE,
+                Idempotency.ALWAYS,
                 0,
                 true,
                 random.nextBoolean() ? 0.5 : 0),
-            new RequestClass("save", SECOND, 3 * SECOND, 2, 0, Idempotency.SAFE, 0, false, 0),
+            new RequestClass("save", SECOND, 3 * SECOND, 2, 0, Idempotency.ALWAYS, 0, false, 0),
             new RequestClass(
-                "order", SECOND, 4 * SECOND, 5, 0, Idempotency.GUARDED, 10 * SECOND, true, 0),
-            new RequestClass(
-                "once", SECOND, 4 * SECOND, 2, 0, Idempotency.SINGLE_SHOT, 0, true, 0)),
+                "order", SECOND, 4 * SECOND, 5, 0, Idempotency.WITH_KEY, 10 * SECOND, true, 0),
+            new RequestClass("once", SECOND, 4 * SECOND, 2, 0, Idempotency.NEVER, 0, true, 0)),
         List.of(new Tenant("one", 20), new Tenant("two", 20)),
         10,
         4,
         random.nextBoolean(),
         0.1,
         0,
-        new Goal(0.5, 0.2, 0.2, 0.1),
-        new Rules(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
+        new ObjectiveWeights(0.5, 0.2, 0.2, 0.1),
+        new ServerLimits(60_000, 2 * SECOND, 4, 1_500_000, 0.3, 10 * SECOND),
         new Dependency(0.3 + 3 * random.nextDouble(), 5 * SECOND, 200_000),
         new Machine(
             2,
@@ -137,8 +136,9 @@
   private static Settings changed(Settings one) {
     List<RequestClass> classes = new ArrayList<>(one.classes());
     classes.set(
-        1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.SAFE, 0, false, 0));
-    classes.add(new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Idempotency.SAFE, 0, false, 0));
+        1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0));
+    classes.add(
+        new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Idempotency.ALWAYS, 0, false, 0));
     List<Tenant> tenants = new ArrayList<>(one.tenants());
     tenants.add(new Tenant("three", 20));
     return new Settings(
@@ -151,8 +151,8 @@
         one.weightByWork(),
         0.1,
         0,
-        one.goal(),
-        one.rules(),
+        one.objectiveWeights(),
+        one.limits(),
         one.dependency(),
         one.machine(),
         one.signals());
--- a/src/test/java/mothwing/testing/SettingsVariants.java
+++ b/src/test/java/mothwing/testing/SettingsVariants.java
@@ -75,8 +75,8 @@
         one.weightByWork(),
         one.overQuotaWeightRatio(),
         one.cacheLifetime(),
-        one.goal(),
-        one.rules(),
+        one.objectiveWeights(),
+        one.limits(),
         one.dependency(),
         one.machine(),
         signals);
