--- a/src/main/java/mothwing/overload/AdmissionFilter.java
+++ b/src/main/java/mothwing/overload/AdmissionFilter.java
@@ -7,17 +7,18 @@
 import mothwing.overload.WeightedMaxMinAllocation.Demand;
 
 /**
- * The filter in force: a token bucket for the traffic of each class within and over quota. The rate
- * of the ladder's filter is divided among them by weighted max-min allocation.
+ * Admits or rejects requests by the current filter of the ladder. Each class has two token buckets,
+ * one for traffic within and one for traffic over its tenants' quotas; the rate of the current
+ * filter is divided among all buckets by weighted max-min allocation.
  */
 final class AdmissionFilter {
-  /** The two buckets of one class. */
+  /** The token buckets of one class. */
   private record ClassBuckets(TrafficBucket withinQuota, TrafficBucket overQuota) {}
 
   private final ControllerContext context;
   private final CostEstimator costs;
   private final FilterLadder ladder;
-  private List<ClassBuckets> classes = List.of();
+  private List<ClassBuckets> bucketsByClass = List.of();
   private List<TrafficBucket> buckets = List.of();
 
   AdmissionFilter(ControllerContext context, CostEstimator costs, FilterLadder ladder) {
@@ -26,45 +27,59 @@
     this.ladder = ladder;
   }
 
-  /** Takes the classes of new settings; the buckets of a class stay with its name. */
-  void apply(Settings before, Settings after) {
-    List<ClassBuckets> next = new ArrayList<>();
-    for (int i = 0; i < after.classes().size(); i++) {
-      String name = after.classes().get(i).name();
-      boolean known = i < classes.size() && name.equals(before.classes().get(i).name());
-      next.add(
-          known
-              ? classes.get(i)
+  /**
+   * Applies new settings. A class whose index and name are unchanged keeps its buckets; any other
+   * class starts with empty ones.
+   */
+  void apply(Settings oldSettings, Settings newSettings) {
+    List<ClassBuckets> newBuckets = new ArrayList<>();
+    for (int i = 0; i < newSettings.classes().size(); i++) {
+      String name = newSettings.classes().get(i).name();
+      boolean unchanged =
+          i < bucketsByClass.size() && name.equals(oldSettings.classes().get(i).name());
+      newBuckets.add(
+          unchanged
+              ? bucketsByClass.get(i)
               : new ClassBuckets(new TrafficBucket(i, false), new TrafficBucket(i, true)));
     }
-    classes = next;
+    bucketsByClass = newBuckets;
     buckets = new ArrayList<>();
-    for (ClassBuckets pair : classes) {
-      buckets.add(pair.withinQuota());
-      buckets.add(pair.overQuota());
+    for (ClassBuckets classBuckets : bucketsByClass) {
+      buckets.add(classBuckets.withinQuota());
+      buckets.add(classBuckets.overQuota());
     }
   }
 
-  /** The buckets of all classes, in the order of the classes, each within quota before over it. */
+  /**
+   * Returns the buckets of all classes in the order of the classes, the one within quota before the
+   * one over quota.
+   */
   List<TrafficBucket> buckets() {
     return buckets;
   }
 
-  /** Counts a request that was read as offered. */
+  /** Adds a request that was read to the offered work of its bucket. */
   void offer(TrackedRequest request) {
     bucketOf(request).offer(costs.expected(request), request.estimatedWork());
   }
 
-  /** Takes the tokens of a request; returns whether the filter in force admits it. */
+  /**
+   * Returns whether the current filter admits a request; if so, takes its expected core time from
+   * its bucket.
+   */
   boolean admit(TrackedRequest request) {
     int filter = ladder.filter();
     if (filter == 0) {
       return true;
     }
-    return filter <= FilterLadder.INNER_FILTERS && bucketOf(request).take(costs.expected(request));
+    return filter <= FilterLadder.INNER_FILTERS
+        && bucketOf(request).tryTake(costs.expected(request));
   }
 
-  /** Fills the buckets for some seconds. */
+  /**
+   * Divides the rate of the current filter among the buckets and refills them for the given number
+   * of seconds.
+   */
   void refill(double seconds) {
     List<Demand> demands = new ArrayList<>();
     for (TrafficBucket bucket : buckets) {
@@ -72,11 +87,14 @@
     }
     double[] rates = WeightedMaxMinAllocation.allocate(ladder.rate(), demands);
     for (int i = 0; i < rates.length; i++) {
-      buckets.get(i).advance(rates[i], seconds);
+      buckets.get(i).refill(rates[i], seconds);
     }
   }
 
-  /** The square of the priority weight for a unit of cost. */
+  /**
+   * Returns the weight of a bucket in the allocation: the square of its priority weight per unit of
+   * cost.
+   */
   private double weight(TrafficBucket bucket) {
     Settings settings = context.settings();
     RequestClass requestClass = settings.classes().get(bucket.classIndex());
@@ -90,7 +108,7 @@
   }
 
   private TrafficBucket bucketOf(TrackedRequest request) {
-    ClassBuckets pair = classes.get(request.classIndex());
-    return request.isOverQuota() ? pair.overQuota() : pair.withinQuota();
+    ClassBuckets classBuckets = bucketsByClass.get(request.classIndex());
+    return request.isOverQuota() ? classBuckets.overQuota() : classBuckets.withinQuota();
   }
 }
--- a/src/main/java/mothwing/overload/BackpressureSignal.java
+++ b/src/main/java/mothwing/overload/BackpressureSignal.java
@@ -6,46 +6,52 @@
 import mothwing.control.Settings;
 
 /**
- * Tells the callers how much traffic this server wants, by the free value, and closes idle
- * connections sooner where many callers hold them for few requests.
+ * Publishes, as the free value, how much traffic this server wants from its callers, and shortens
+ * the idle timeout of connections while many callers hold connections for few requests.
  */
 final class BackpressureSignal {
-  /** Share of the traffic that is wanted at least, so that a recovery shows. */
+  /** Lowest published share of the traffic; some has to arrive for a recovery to be noticed. */
   private static final double MIN_WANTED_RATIO = 0.1;
 
-  /** Steps of the published share: it is rounded to twentieths. */
+  /** Number of steps of the published share, which is rounded to twentieths. */
   private static final double WANTED_RATIO_STEPS = 20;
 
-  /** Decay of the read and rejected work with each sample: some fifty samples count. */
+  /** Decay of the read and the rejected work with each sample; about fifty samples count. */
   private static final double DECAY_RATIO = 0.98;
 
-  /** Further decay of the rejected work on idle cores, which have capacity for it. */
+  /** Additional decay of the rejected work on idle cores, which have capacity for it. */
   private static final double IDLE_DECAY_RATIO = 0.8;
 
-  /** Seconds between the requests of one caller above which an idle connection costs more. */
-  private static final double MAX_REUSE_SECONDS = 15;
+  /**
+   * Mean seconds between two requests of one caller above which keeping its idle connection costs
+   * more than reconnecting.
+   */
+  private static final double MAX_REUSE_INTERVAL_SECONDS = 15;
 
-  /** Rejected share above which trimming ends: reconnecting costs more than full tables. */
-  private static final double MAX_REJECTED_RATIO_TO_TRIM = 0.85;
+  /**
+   * Rejected share of the work above which the idle timeout is no longer shortened: reconnecting
+   * then costs more than full connection tables.
+   */
+  private static final double MAX_REJECTED_RATIO_TO_KEEP_SHORT = 0.85;
 
-  /** Rejected share above which trimming does not begin. */
-  private static final double MAX_REJECTED_RATIO_TO_BEGIN = 0.6;
+  /** Rejected share of the work above which shortening the idle timeout does not begin. */
+  private static final double MAX_REJECTED_RATIO_TO_SHORTEN = 0.6;
 
-  /** The shortest idle timeout that a host can keep. */
+  /** Shortest idle timeout that a host can apply, in microseconds. */
   private static final long MIN_IDLE_TIMEOUT_MICROS = 10_000;
 
-  /** The highest load level that a server publishes which wants any traffic. */
+  /** Highest load level that is published while the server wants any traffic. */
   private static final double MAX_LEVEL = 0.95;
 
-  private static final double NOTHING_PUBLISHED = -1;
+  private static final double NOT_PUBLISHED = -1;
 
   private final Supplier<Settings> settings;
   private final ControllerHost host;
   private double readWork;
   private double rejectedWork;
-  private double publishedRatio = NOTHING_PUBLISHED;
+  private double publishedRatio = NOT_PUBLISHED;
   private FreeValue publishedMeaning;
-  private boolean trimming;
+  private boolean timeoutShortened;
   private boolean draining;
   private int requestsRead;
 
@@ -60,37 +66,40 @@
     readWork += work;
   }
 
-  /** Counts a request that is rejected because there is too much work. */
+  /**
+   * Counts a request that is rejected for lack of capacity, with its expected core time in
+   * microseconds.
+   */
   void countRejected(double work) {
     rejectedWork += work;
   }
 
-  /** A graceful shutdown begins: no more traffic is wanted. */
+  /** Publishes that no more traffic is wanted, as a graceful shutdown begins. */
   void startDraining() {
     draining = true;
     publish(0);
   }
 
   /**
-   * Publishes what has changed since the sample before.
+   * Updates the published value and the idle timeout from a sample.
    *
-   * @param runsFail whether the runs of this server fail
+   * @param areRunsFailing whether the runs of this server fail
    * @param idle whether cores are idle
-   * @param ageMicros time since this server started
+   * @param uptimeMicros time since the server started, in microseconds
    */
-  void sample(boolean runsFail, boolean idle, long ageMicros) {
+  void sample(boolean areRunsFailing, boolean idle, long uptimeMicros) {
     rejectedWork *= idle ? IDLE_DECAY_RATIO : 1;
     if (draining) {
       publish(0);
-    } else if (runsFail) {
+    } else if (areRunsFailing) {
       publish(MIN_WANTED_RATIO);
     } else {
       publish(wantedRatio());
     }
-    trimConnections(ageMicros);
+    adjustIdleTimeout(uptimeMicros);
   }
 
-  /** The share of their traffic that callers should send here. */
+  /** Returns the share of their traffic that callers should send to this server. */
   private double wantedRatio() {
     double rejectedRatio = readWork > 0 ? rejectedWork / readWork : 0;
     readWork *= DECAY_RATIO;
@@ -114,17 +123,22 @@
     return wantedRatio >= 1 ? 0 : Math.min(MAX_LEVEL, 1 - wantedRatio);
   }
 
-  /** Shortens the idle timeout while many callers send few requests: they fill the table. */
-  private void trimConnections(long ageMicros) {
-    double measured = requestsRead * ControllerContext.SECOND_MICROS / ageMicros;
-    double rate = Math.max(2 * settings.get().machine().cores(), measured);
-    double stormRatio = trimming ? MAX_REJECTED_RATIO_TO_TRIM : MAX_REJECTED_RATIO_TO_BEGIN;
-    boolean retryStorm = rejectedWork > readWork * stormRatio;
-    boolean shouldTrim = settings.get().callers() > MAX_REUSE_SECONDS * rate && !retryStorm;
+  /**
+   * Shortens the idle timeout while many callers send few requests, since their connections fill
+   * the connection table, and restores it afterwards.
+   */
+  private void adjustIdleTimeout(long uptimeMicros) {
+    double measuredRate = requestsRead * ControllerContext.MICROS_PER_SECOND / uptimeMicros;
+    double rate = Math.max(2 * settings.get().machine().cores(), measuredRate);
+    double maxRejectedRatio =
+        timeoutShortened ? MAX_REJECTED_RATIO_TO_KEEP_SHORT : MAX_REJECTED_RATIO_TO_SHORTEN;
+    boolean retryStorm = rejectedWork > readWork * maxRejectedRatio;
+    boolean shouldShorten =
+        settings.get().callers() > MAX_REUSE_INTERVAL_SECONDS * rate && !retryStorm;
     long idleTimeout = settings.get().signals().idleTimeout();
-    if (idleTimeout > MIN_IDLE_TIMEOUT_MICROS && shouldTrim != trimming) {
-      trimming = shouldTrim;
-      host.closeIdleConnections(shouldTrim ? MIN_IDLE_TIMEOUT_MICROS : idleTimeout);
+    if (idleTimeout > MIN_IDLE_TIMEOUT_MICROS && shouldShorten != timeoutShortened) {
+      timeoutShortened = shouldShorten;
+      host.closeIdleConnections(shouldShorten ? MIN_IDLE_TIMEOUT_MICROS : idleTimeout);
     }
   }
 }
--- a/src/main/java/mothwing/overload/CallProgress.java
+++ b/src/main/java/mothwing/overload/CallProgress.java
@@ -1,51 +1,54 @@
 package mothwing.overload;
 
-/** The dependency calls of one run: how many it reached, and the attempts of the current one. */
+/**
+ * Counts the dependency calls that one run has reached and the attempts of its current call. Times
+ * are microseconds of the controller's clock.
+ */
 final class CallProgress {
   private int reached;
   private int attempts;
   private long nextAttemptAt;
   private long attemptStartedAt;
 
-  /** The run reaches a call, which may be attempted at once. */
+  /** Records that the run has reached a call, which may be attempted at once. */
   void reach(long now) {
     reached++;
     attempts = 0;
     nextAttemptAt = now;
   }
 
-  /** An attempt starts. */
+  /** Records the start of an attempt. */
   void startAttempt(long now) {
     attemptStartedAt = now;
     attempts++;
   }
 
-  /** The next attempt is made at the given time at the earliest. */
+  /** Sets the earliest start of the next attempt. */
   void retryAt(long at) {
     nextAttemptAt = at;
   }
 
-  /** Allows no further attempt. */
+  /** Uses up the remaining attempts of the current call. */
   void exhaust(int maxAttempts) {
     attempts = maxAttempts;
   }
 
-  /** Calls that the run has reached. */
+  /** Returns the number of calls that the run has reached. */
   int reached() {
     return reached;
   }
 
-  /** Attempts of the current call. */
+  /** Returns the number of attempts of the current call. */
   int attempts() {
     return attempts;
   }
 
-  /** When the next attempt may start, in microseconds. */
+  /** Returns the earliest start of the next attempt. */
   long nextAttemptAt() {
     return nextAttemptAt;
   }
 
-  /** When the last attempt started, in microseconds. */
+  /** Returns the start of the last attempt. */
   long attemptStartedAt() {
     return attemptStartedAt;
   }
--- a/src/main/java/mothwing/overload/ClassStatistics.java
+++ b/src/main/java/mothwing/overload/ClassStatistics.java
@@ -1,11 +1,14 @@
 package mothwing.overload;
 
-/** What was learned of the runs of one class of requests. */
+/** Averages the core time and the dependency calls of the successful runs of one class. */
 final class ClassStatistics {
-  /** Weight of one run in the averages: some ten runs count. The first runs count in full. */
+  /**
+   * Weight of a run in the averages after the first ten runs, so that about ten runs count. The
+   * first runs count in full: until then, the averages are plain means.
+   */
   private static final double RUN_WEIGHT = 0.1;
 
-  /** Latency objectives without a run after which the learned core time fades. */
+  /** Number of latency objectives without a run after which the learned core time fades. */
   private static final int STALE_OBJECTIVES = 2;
 
   private double coreTimeRatio;
@@ -14,9 +17,9 @@
   private long learnedAt;
 
   /**
-   * Makes the statistics of a class without runs.
+   * Creates the statistics of a class without runs.
    *
-   * @param coreTimeRatio core time for a unit of estimated work, as other classes show it
+   * @param coreTimeRatio core time per unit of estimated work, as measured for other classes
    * @param callsPerRun expected dependency calls of a run
    */
   ClassStatistics(double coreTimeRatio, double callsPerRun) {
@@ -24,7 +27,13 @@
     this.callsPerRun = callsPerRun;
   }
 
-  /** Takes the core time ratio and the calls of a run that succeeded. */
+  /**
+   * Updates the averages from a run that succeeded.
+   *
+   * @param observedRatio core time of the run per unit of estimated work
+   * @param calls number of dependency calls of the run
+   * @param now time of the controller's clock, in microseconds
+   */
   void learn(double observedRatio, int calls, long now) {
     runs++;
     double weight = weightAfter(runs);
@@ -33,22 +42,22 @@
     callsPerRun += (calls - callsPerRun) * weight;
   }
 
-  /** The weight of the last of a number of runs in an average over them. */
+  /** Returns the weight of the last of the given number of runs in an average over them. */
   static double weightAfter(int runs) {
     return Math.max(RUN_WEIGHT, 1.0 / runs);
   }
 
   /**
-   * Moves a core time without recent runs towards that of all classes: a class whose requests are
-   * all rejected would never be measured again.
+   * Moves the core time of a class without recent runs towards the average of all classes. Without
+   * this, a class whose requests are all rejected would never be measured again.
    */
-  void fade(double ratioOfAll, double objectiveMicros, double spanMicros, long now) {
+  void fade(double overallRatio, double objectiveMicros, double spanMicros, long now) {
     if (runs > 0 && now - learnedAt > STALE_OBJECTIVES * objectiveMicros) {
-      coreTimeRatio += (ratioOfAll - coreTimeRatio) * Math.min(1, spanMicros / objectiveMicros);
+      coreTimeRatio += (overallRatio - coreTimeRatio) * Math.min(1, spanMicros / objectiveMicros);
     }
   }
 
-  /** Core time for a unit of estimated work at the usual speed of the machine. */
+  /** Returns the core time per unit of estimated work at the usual speed of the machine. */
   double coreTimeRatio() {
     return coreTimeRatio;
   }
--- a/src/main/java/mothwing/overload/ConcurrencyCeiling.java
+++ b/src/main/java/mothwing/overload/ConcurrencyCeiling.java
@@ -3,11 +3,11 @@
 import mothwing.control.ServerLimits;
 
 /**
- * The number of running requests that the machine survives, which grows during slow start, and the
- * average number that runs.
+ * Computes how many running requests the machine tolerates, which grows during slow start, and
+ * compares it with the average number of running requests.
  */
 final class ConcurrencyCeiling {
-  /** Share of the survivable concurrency that is used. */
+  /** Share of the tolerated concurrency up to which runs are started. */
   private static final double USED_RATIO = 0.7;
 
   private final ControllerContext context;
@@ -18,39 +18,39 @@
   }
 
   /**
-   * Lets time pass.
+   * Updates the average concurrency.
    *
-   * @param spanMicros wall time in microseconds
-   * @param running requests that ran in it
+   * @param spanMicros elapsed wall time in microseconds
+   * @param running number of requests that ran during that time
    */
   void advance(double spanMicros, int running) {
     double window = Math.max(1, context.settings().limits().concurrencyWindow());
     averageRunning += (running - averageRunning) * (1 - Math.exp(-spanMicros / window));
   }
 
-  /** The concurrency that the machine survives now, in requests. */
-  double survivable() {
+  /** Returns the number of running requests that the machine tolerates now. */
+  double toleratedConcurrency() {
     double perCore = context.settings().limits().concurrencyPerCore();
     return (1 + (perCore - 1) * speed()) * context.cores();
   }
 
-  /** The concurrency up to which work is started, in requests. */
+  /** Returns the number of running requests up to which runs are started. */
   double ceiling() {
-    return survivable() * USED_RATIO;
+    return toleratedConcurrency() * USED_RATIO;
   }
 
-  /** Whether more ran of late than the ceiling allows. */
+  /** Returns whether the average concurrency exceeds the ceiling. */
   boolean isExceeded() {
     return averageRunning > ceiling();
   }
 
-  /** The share of full speed that the machine has reached. */
+  /** Returns the share of its full speed that the machine has reached. */
   private double speed() {
     ServerLimits limits = context.settings().limits();
     if (!context.settings().machine().coldStart() || limits.warmUpDuration() <= 0) {
       return 1;
     }
-    double age = (double) (context.now() - context.startedAt()) / limits.warmUpDuration();
-    return Math.min(1, limits.coldSpeedRatio() + (1 - limits.coldSpeedRatio()) * age);
+    double progress = (double) (context.now() - context.startedAt()) / limits.warmUpDuration();
+    return Math.min(1, limits.coldSpeedRatio() + (1 - limits.coldSpeedRatio()) * progress);
   }
 }
--- a/src/main/java/mothwing/overload/ConcurrencyLimit.java
+++ b/src/main/java/mothwing/overload/ConcurrencyLimit.java
@@ -1,21 +1,25 @@
 package mothwing.overload;
 
 /**
- * How many requests may run at once: at least one for each core, more while cores are idle though
- * work waits. Without gauges it does not grow, and after a while it shrinks to the cores.
+ * Limits how many requests run at once. The limit is at least the number of cores and grows while
+ * cores are idle although requests wait. Without gauges it does not grow, and after a while it
+ * shrinks to the number of cores.
  */
 final class ConcurrencyLimit {
   /** Utilization of the cores below which the limit may grow. */
   private static final double IDLE_UTILIZATION_RATIO = 0.9;
 
-  /** Sample periods without gauges after which it shrinks: a lost sample and a reconnect fit in. */
+  /**
+   * Sample periods without gauges after which the limit shrinks; long enough for a lost sample and
+   * a reconnect.
+   */
   private static final int MAX_PERIODS_WITHOUT_GAUGES = 5;
 
   private int limit;
   private boolean shrinking;
 
   /**
-   * Makes one at its minimum.
+   * Creates a limit at its minimum.
    *
    * @param cores the number of cores
    */
@@ -23,22 +27,23 @@
     limit = cores;
   }
 
-  /** The number of requests that may run. */
+  /** Returns the number of requests that may run. */
   int limit() {
     return limit;
   }
 
   /**
-   * Takes a sample: grows fast while cores are idle and work waits, falls slowly back to the cores.
+   * Updates the limit from a sample: raises it quickly while cores are idle and requests wait,
+   * lowers it slowly to the number of cores otherwise.
    *
-   * @param periods sample periods that this sample stands for
+   * @param periods number of sample periods that the sample covers
    * @param utilization share of the cores that is busy
    * @param waiting whether the limit alone keeps a request from running
    * @param ceiling the highest limit, in requests
    * @param cores the number of cores
-   * @param mayFall whether it is time to fall by one
+   * @param mayFall whether the limit may be lowered by one
    */
-  void sampled(
+  void updateFromSample(
       int periods, double utilization, boolean waiting, int ceiling, int cores, boolean mayFall) {
     shrinking = false;
     if (waiting && utilization < IDLE_UTILIZATION_RATIO) {
@@ -50,21 +55,21 @@
   }
 
   /**
-   * Takes the absence of a sample.
+   * Shrinks the limit if gauges have been missing for too long.
    *
-   * @param periods sample periods without one
-   * @param gaugeAge microseconds since gauges were known
+   * @param periods number of sample periods without gauges
+   * @param gaugeAge microseconds since gauges were last known
    * @param samplePeriod microseconds between samples
    * @param cores the number of cores
-   * @return whether it starts to shrink now
+   * @return whether the limit starts to shrink with this update
    */
-  boolean unsampled(int periods, long gaugeAge, long samplePeriod, int cores) {
+  boolean updateWithoutSample(int periods, long gaugeAge, long samplePeriod, int cores) {
     if (gaugeAge <= MAX_PERIODS_WITHOUT_GAUGES * samplePeriod || limit <= cores) {
       return false;
     }
-    boolean starts = !shrinking;
+    boolean startsToShrink = !shrinking;
     shrinking = true;
     limit = Math.max(cores, limit - periods);
-    return starts;
+    return startsToShrink;
   }
 }
--- a/src/main/java/mothwing/overload/ControllerContext.java
+++ b/src/main/java/mothwing/overload/ControllerContext.java
@@ -3,21 +3,24 @@
 import mothwing.control.Settings;
 
 /**
- * The state that the parts of one controller share: the settings in force, the clock and the phase
- * of the server's life cycle. The controller alone changes it; the parts only read it. Times and
+ * Holds the state that the components of one controller share: the current settings, the clock and
+ * the phase of the server's life cycle. Only {@link OverloadController} changes it. Times and
  * durations are microseconds.
  */
 final class ControllerContext {
-  /** Microseconds of one second. */
-  static final double SECOND_MICROS = 1e6;
+  /** Microseconds in one second. */
+  static final double MICROS_PER_SECOND = 1e6;
 
-  /** The shortest sample period: about 33 samples a second, as QGuard takes them. */
+  /** Shortest sample period, about 33 samples per second as in QGuard. */
   private static final long MIN_SAMPLE_PERIOD_MICROS = 30_000;
 
-  /** Sample periods between an answer and its due time: a late timer and one batch fit in. */
+  /**
+   * Number of sample periods by which an answer precedes its due time; enough for a late timer and
+   * one batch.
+   */
   private static final int DUE_MARGIN_SAMPLES = 2;
 
-  /** Sample periods between the last answer and the kill of the process. */
+  /** Number of sample periods between the last answer and the stop of the process. */
   private static final int STOP_MARGIN_SAMPLES = 8;
 
   private Settings settings;
@@ -33,7 +36,7 @@
     apply(settings);
   }
 
-  /** Takes new settings. */
+  /** Applies new settings. */
   void apply(Settings newSettings) {
     settings = newSettings;
     cores = Math.max(1, newSettings.machine().cores());
@@ -41,18 +44,20 @@
     samplePeriod = (MIN_SAMPLE_PERIOD_MICROS + batchInterval - 1) / batchInterval * batchInterval;
   }
 
-  /** The server starts at the given time. */
+  /** Records that the server starts at the given time. */
   void start(long at) {
     now = at;
     startedAt = at;
   }
 
-  /** Moves the clock. */
+  /** Moves the clock to the given time. */
   void moveTo(long at) {
     now = at;
   }
 
-  /** A graceful shutdown begins, after which the process is stopped at the given time. */
+  /**
+   * Records that a graceful shutdown begins, after which the process is stopped at the given time.
+   */
   void startDraining(long at, long processStopAt) {
     draining = true;
     drainingSince = at;
@@ -63,17 +68,17 @@
     return settings;
   }
 
-  /** The number of cores, at least 1. */
+  /** Returns the number of cores, at least 1. */
   int cores() {
     return cores;
   }
 
-  /** Time between two samples: a multiple of the batch interval. */
+  /** Returns the time between two samples, a multiple of the batch interval. */
   long samplePeriod() {
     return samplePeriod;
   }
 
-  /** How long before its due time a request is answered at the latest. */
+  /** Returns how long before its due time a request is answered at the latest. */
   long dueMargin() {
     return DUE_MARGIN_SAMPLES * samplePeriod;
   }
@@ -86,7 +91,7 @@
     return startedAt;
   }
 
-  /** Whether a freshly started server may still be in slow start. */
+  /** Returns whether a server that started cold may still be in slow start. */
   boolean isWarmingUp() {
     return settings.machine().coldStart() && now < startedAt + settings.limits().warmUpDuration();
   }
@@ -95,12 +100,17 @@
     return draining;
   }
 
-  /** Whether a request that arrived at the given time came after the notice of shutdown. */
-  boolean isAfterShutdownNotice(long arrivedAt) {
+  /**
+   * Returns whether a request that arrived at the given time arrived after the shutdown was
+   * requested.
+   */
+  boolean isAfterShutdownRequest(long arrivedAt) {
     return draining && arrivedAt > drainingSince;
   }
 
-  /** The due time, brought forward to the end of a graceful shutdown where one is under way. */
+  /**
+   * Returns the due time, brought forward to the end of a graceful shutdown if one is in progress.
+   */
   long boundedDueAt(long dueAt) {
     return draining ? Math.min(dueAt, stopAt) : dueAt;
   }
--- a/src/main/java/mothwing/overload/ControllerState.java
+++ b/src/main/java/mothwing/overload/ControllerState.java
@@ -3,9 +3,9 @@
 import mothwing.control.ControllerHost;
 
 /**
- * What every part that decides on requests works with.
+ * Groups the state that the components deciding on requests share.
  *
- * @param context settings, time and phase of the server
+ * @param context settings, clock and phase of the server
  * @param host carries out the actions
  * @param requests the open requests
  * @param memory the memory that they hold
--- a/src/main/java/mothwing/overload/CostEstimator.java
+++ b/src/main/java/mothwing/overload/CostEstimator.java
@@ -6,19 +6,22 @@
 import mothwing.control.Settings;
 import mothwing.overload.TrackedRequest.State;
 
-/** Estimates the core time of requests, in microseconds, from the runs that succeeded. */
+/** Estimates the core time of requests, in microseconds, from successful runs. */
 final class CostEstimator {
-  /** Share of its expected core time that is left in a run that has exceeded it. */
+  /**
+   * Lowest remaining core time of a run, as a share of its expected core time; applies to runs that
+   * have exceeded it.
+   */
   private static final double MIN_REMAINING_RATIO = 0.3;
 
-  /** Multiple of its usual core time past which a run counts as stuck. */
+  /** Multiple of its usual core time above which a run counts as stuck. */
   private static final double STUCK_RATIO = 4;
 
   private final ControllerContext context;
   private final ProcessorSharingClock clock;
   private final SlowdownEstimator slowdown = new SlowdownEstimator();
   private List<ClassStatistics> classes = List.of();
-  private double ratioOfAll = 1;
+  private double overallRatio = 1;
   private double completedWork;
 
   CostEstimator(ControllerContext context, ProcessorSharingClock clock) {
@@ -26,20 +29,23 @@
     this.clock = clock;
   }
 
-  /** Takes the classes of new settings; what was learned of a class stays with its name. */
-  void apply(Settings before, Settings after) {
-    List<ClassStatistics> next = new ArrayList<>();
-    for (int i = 0; i < after.classes().size(); i++) {
-      RequestClass requestClass = after.classes().get(i);
-      boolean known =
-          i < classes.size() && requestClass.name().equals(before.classes().get(i).name());
+  /**
+   * Applies new settings. A class whose index and name are unchanged keeps its statistics; any
+   * other class starts with the average of all classes.
+   */
+  void apply(Settings oldSettings, Settings newSettings) {
+    List<ClassStatistics> newStatistics = new ArrayList<>();
+    for (int i = 0; i < newSettings.classes().size(); i++) {
+      RequestClass requestClass = newSettings.classes().get(i);
+      boolean unchanged =
+          i < classes.size() && requestClass.name().equals(oldSettings.classes().get(i).name());
       double calls = requestClass.callsDependency() ? 1 : 0;
-      next.add(known ? classes.get(i) : new ClassStatistics(ratioOfAll, calls));
+      newStatistics.add(unchanged ? classes.get(i) : new ClassStatistics(overallRatio, calls));
     }
-    classes = next;
+    classes = newStatistics;
   }
 
-  /** Learns from a run that succeeded. */
+  /** Updates the estimates from a run that succeeded. */
   void learn(TrackedRequest request) {
     ClassStatistics statistics = classes.get(request.classIndex());
     slowdown.countSpent(request, request.settledCoreTime());
@@ -47,10 +53,10 @@
     completedWork += expected(request);
     double observed = request.settledCoreTime() / request.estimatedWork() / slowdown.slowdown();
     statistics.learn(observed, request.call().reached(), context.now());
-    ratioOfAll += (observed - ratioOfAll) * ClassStatistics.weightAfter(runsOfAll());
+    overallRatio += (observed - overallRatio) * ClassStatistics.weightAfter(totalRuns());
   }
 
-  /** Estimates the slowdown of the machine after some seconds have passed. */
+  /** Updates the slowdown of the machine after the given number of seconds. */
   void updateSlowdown(double seconds, Iterable<TrackedRequest> requests) {
     slowdown.fade(seconds);
     for (TrackedRequest request : requests) {
@@ -59,21 +65,21 @@
         slowdown.countSpent(request, Math.min(clock.used(request), limit));
       }
     }
-    slowdown.update(context.cores(), runsOfAll());
+    slowdown.update(context.cores(), totalRuns());
   }
 
-  /** Lets core times without recent runs fade. */
+  /** Fades the core times of classes without recent runs. */
   void fade(double seconds) {
     List<RequestClass> settings = context.settings().classes();
-    double span = seconds * ControllerContext.SECOND_MICROS;
+    double span = seconds * ControllerContext.MICROS_PER_SECOND;
     for (int i = 0; i < classes.size(); i++) {
       classes
           .get(i)
-          .fade(ratioOfAll, (double) settings.get(i).latencyObjective(), span, context.now());
+          .fade(overallRatio, (double) settings.get(i).latencyObjective(), span, context.now());
     }
   }
 
-  private int runsOfAll() {
+  private int totalRuns() {
     int runs = 0;
     for (ClassStatistics statistics : classes) {
       runs += statistics.runs();
@@ -81,53 +87,61 @@
     return runs;
   }
 
-  /** Core time for a unit of estimated work of a class at the usual speed of the machine. */
+  /**
+   * Returns the core time per unit of estimated work of a class at the usual speed of the machine.
+   */
   double coreTimeRatio(int classIndex) {
     return classes.get(classIndex).coreTimeRatio();
   }
 
-  /** Core time for a unit of estimated work of a class at the present speed of the machine. */
-  double presentCoreTimeRatio(int classIndex) {
+  /**
+   * Returns the core time per unit of estimated work of a class at the current speed of the
+   * machine.
+   */
+  double currentCoreTimeRatio(int classIndex) {
     return coreTimeRatio(classIndex) * slowdown.slowdown();
   }
 
-  /** Expected dependency calls of one run of a class. */
+  /** Returns the expected number of dependency calls of one run of a class. */
   double callsPerRun(int classIndex) {
     return classes.get(classIndex).callsPerRun();
   }
 
-  /** Core time of a request at the usual speed of the machine. */
+  /** Returns the core time of a request at the usual speed of the machine. */
   double usual(TrackedRequest request) {
     return request.estimatedWork() * coreTimeRatio(request.classIndex());
   }
 
-  /** Core time of a request at the present speed of the machine. */
+  /** Returns the core time of a request at the current speed of the machine. */
   double expected(TrackedRequest request) {
     return usual(request) * slowdown.slowdown();
   }
 
-  /** Core time that a request is still expected to need. */
+  /** Returns the core time that a request is still expected to need. */
   double remaining(TrackedRequest request) {
     double total = request.is(State.REPLAYING) ? 0 : expected(request);
     return Math.max(total - clock.used(request), total * MIN_REMAINING_RATIO);
   }
 
-  /** The wait behind the open requests, each as a share of the deadline of its class. */
+  /**
+   * Returns the wait that the open requests cause: the sum of their remaining core times per core,
+   * each as a share of the deadline of its class.
+   */
   double backlogRatio(Iterable<TrackedRequest> open) {
-    double shares = 0;
+    double deadlineRatios = 0;
     for (TrackedRequest request : open) {
       double deadline = request.requestClass().deadline();
-      shares += request.isAnswered() ? 0 : remaining(request) / deadline;
+      deadlineRatios += request.isAnswered() ? 0 : remaining(request) / deadline;
     }
-    return shares / context.cores();
+    return deadlineRatios / context.cores();
   }
 
-  /** Whether a run has used several times the core time that it usually needs. */
+  /** Returns whether a run has used several times its usual core time. */
   boolean isStuck(TrackedRequest request) {
     return clock.used(request) > STUCK_RATIO * usual(request);
   }
 
-  /** Returns the expected core time of what was completed since it was last taken. */
+  /** Returns the expected core time of the runs completed since the previous call. */
   double takeCompletedWork() {
     double work = completedWork;
     completedWork = 0;
--- a/src/main/java/mothwing/overload/DeadlineAdmission.java
+++ b/src/main/java/mothwing/overload/DeadlineAdmission.java
@@ -5,18 +5,21 @@
 import mothwing.control.Settings;
 import mothwing.overload.TrackedRequest.State;
 
-/** Rejects a request whose deadline cannot be met behind the queued work of higher priority. */
+/** Rejects requests whose deadline cannot be met behind the queued work of higher priority. */
 final class DeadlineAdmission {
-  /** Ratio to its expected core time that a run may need: work and sharing vary. */
+  /**
+   * Time reserved for a run on busy cores, as a multiple of its expected core time; the work and
+   * the sharing of cores vary.
+   */
   private static final double BUSY_TIME_RATIO = 1.3;
 
   /** The same on idle cores, where an attempt takes nothing from other requests. */
   private static final double IDLE_TIME_RATIO = 0.3;
 
-  /** Ratio of priority from which capacity is kept for requests that have not arrived. */
+  /** Priority ratio above which capacity is kept for requests that have not arrived yet. */
   private static final double RESERVED_PRIORITY_RATIO = 2;
 
-  /** Cores that a request can count on, however many are reserved for others. */
+  /** Number of cores that a request can count on, however many are reserved for others. */
   private static final double MIN_CORES = 0.5;
 
   private final ControllerContext context;
@@ -42,31 +45,37 @@
     this.calls = calls;
   }
 
-  /** Whether a request can be answered in time behind the work and the calls before it. */
+  /**
+   * Returns whether a request can be answered in time behind the work and the dependency calls that
+   * precede it.
+   */
   boolean canMeet(TrackedRequest request) {
-    double spare =
-        soughtUntil(request)
+    double spareMicros =
+        latestUsefulAnswerAt(request)
             - context.now()
             - remainingCallTime(request)
             - runTime(request)
             - context.dueMargin();
     double cores = Math.max(MIN_CORES, context.cores() - reservedCores(request));
-    double maxWork = spare * cores / BUSY_TIME_RATIO;
-    return !isWorkBeforeOver(request, maxWork) && spare >= 0 && areCallsInTime(request, spare);
+    double maxWork = spareMicros * cores / BUSY_TIME_RATIO;
+    return !isPrecedingWorkAbove(request, maxWork)
+        && spareMicros >= 0
+        && canMakeCallsInTime(request, spareMicros);
   }
 
-  /** Whether the core time of the work before a request is over a bound. */
-  private boolean isWorkBeforeOver(TrackedRequest request, double maxWork) {
+  /** Returns whether the core time of the work that precedes a request exceeds a bound. */
+  private boolean isPrecedingWorkAbove(TrackedRequest request, double maxWork) {
     double expected = costs.expected(request);
     double work = 0;
-    for (TrackedRequest other : requests.all()) {
-      if (other == request || other.isAnswered()) {
+    for (TrackedRequest open : requests.openRequests()) {
+      if (open == request || open.isAnswered()) {
         continue;
       }
-      if (precedes(other, request) || !other.is(State.HELD)) {
-        double remaining = costs.remaining(other);
-        // a run in progress shares the cores with the request: it takes no more than that does
-        work += other.is(State.RUNNING) ? Math.min(remaining, expected) : remaining;
+      if (precedes(open, request) || !open.is(State.HELD)) {
+        double remaining = costs.remaining(open);
+        // A run in progress shares the cores evenly with the request, so it delays the
+        // request by no more than the request's own core time.
+        work += open.is(State.RUNNING) ? Math.min(remaining, expected) : remaining;
         if (work > maxWork) {
           return true;
         }
@@ -75,52 +84,58 @@
     return false;
   }
 
-  /** Whether the dependency calls before those of a request leave it enough time. */
-  private boolean areCallsInTime(TrackedRequest request, double spare) {
-    if (!request.callsDependency() || request.mayLeaveCallOut()) {
+  /** Returns whether the dependency calls that precede those of a request leave it enough time. */
+  private boolean canMakeCallsInTime(TrackedRequest request, double spareMicros) {
+    if (!request.callsDependency() || request.maySkipCall()) {
       return true;
     }
     double callTime = -calls.admissionCallTime();
-    for (TrackedRequest other : requests.all()) {
-      if (precedes(other, request) && !other.isAnswered()) {
-        callTime += remainingCallTime(other);
+    for (TrackedRequest open : requests.openRequests()) {
+      if (precedes(open, request) && !open.isAnswered()) {
+        callTime += remainingCallTime(open);
       }
     }
-    return callTime / calls.steadyCalls() <= spare;
+    return callTime / calls.steadyCalls() <= spareMicros;
   }
 
   /**
-   * Whether the other request is not later in the order of priority; true of the request itself.
+   * Returns whether an open request is not later than a request in priority order; also true for
+   * the request itself.
    */
-  private static boolean precedes(TrackedRequest other, TrackedRequest request) {
-    return other.priority() == request.priority()
-        ? other.arrivedAt() <= request.arrivedAt()
-        : other.priority() > request.priority();
+  private static boolean precedes(TrackedRequest open, TrackedRequest request) {
+    return open.priority() == request.priority()
+        ? open.arrivedAt() <= request.arrivedAt()
+        : open.priority() > request.priority();
   }
 
-  /** Cores that requests of much higher priority will take if they keep arriving as of late. */
+  /**
+   * Returns the cores that requests of much higher priority will need if they keep arriving at
+   * their recent rate.
+   */
   private double reservedCores(TrackedRequest request) {
     double work = 0;
     for (TrafficBucket bucket : filter.buckets()) {
-      double cost = costs.presentCoreTimeRatio(bucket.classIndex());
+      double cost = costs.currentCoreTimeRatio(bucket.classIndex());
       boolean reserved =
           priority(bucket, cost, request) > RESERVED_PRIORITY_RATIO * request.priority();
       work += reserved ? bucket.arrivingWork() * cost : 0;
     }
-    // regular arrivals show in the utilization of the cores
+    // Traffic that arrives regularly is part of the utilization, which therefore bounds the rate.
     return Math.min(TrafficBucket.arrivalRate(work), monitor.utilization() * context.cores());
   }
 
-  /** The priority that the traffic of a bucket has for work like that of a request. */
+  /**
+   * Returns the priority that the traffic of a bucket has for work of the same size as a request.
+   */
   private double priority(TrafficBucket bucket, double cost, TrackedRequest request) {
     Settings settings = context.settings();
     List<RequestClass> classes = settings.classes();
     double quotaRatio = bucket.isOverQuota() ? settings.overQuotaWeightRatio() : 1;
-    double value = classes.get(bucket.classIndex()).priorityWeight() * quotaRatio;
-    return settings.weightByWork() ? value : value / (request.estimatedWork() * cost);
+    double weight = classes.get(bucket.classIndex()).priorityWeight() * quotaRatio;
+    return settings.weightByWork() ? weight : weight / (request.estimatedWork() * cost);
   }
 
-  /** Dependency call time that a request is still expected to take, in microseconds. */
+  /** Returns the dependency call time that a request is still expected to take, in microseconds. */
   private double remainingCallTime(TrackedRequest request) {
     boolean atCall = request.is(State.AWAITING_CALL) || request.is(State.CALLING);
     int current = atCall ? 1 : 0;
@@ -130,19 +145,25 @@
         : calls.expectedCallTime() * Math.max(current, remaining);
   }
 
-  /** Time that is reserved for a run, in microseconds: little of it where cores are idle. */
+  /**
+   * Returns the time that is reserved for a run, in microseconds; it is short if cores are idle.
+   */
   double runTime(TrackedRequest request) {
-    double load =
-        ladder.filter() > 0 ? 1 : Math.min(1, monitor.steadyUtilization() / LoadIndex.idleCores());
-    double ratio = IDLE_TIME_RATIO + (BUSY_TIME_RATIO - IDLE_TIME_RATIO) * load;
+    double loadRatio =
+        ladder.filter() > 0
+            ? 1
+            : Math.min(1, monitor.steadyUtilization() / LoadIndex.idleUtilization());
+    double ratio = IDLE_TIME_RATIO + (BUSY_TIME_RATIO - IDLE_TIME_RATIO) * loadRatio;
     return costs.expected(request) * ratio;
   }
 
   /**
-   * Until when an answer is sought: on busy cores a late one delays others beyond their objective.
+   * Returns the time until which an answer is worth running for. On busy cores this is the latency
+   * objective at most, as a late answer delays other requests beyond their objective.
    */
-  long soughtUntil(TrackedRequest request) {
-    boolean idle = ladder.filter() == 0 && monitor.steadyUtilization() < LoadIndex.idleCores();
+  long latestUsefulAnswerAt(TrackedRequest request) {
+    boolean idle =
+        ladder.filter() == 0 && monitor.steadyUtilization() < LoadIndex.idleUtilization();
     return idle ? request.valuableUntil() : Math.min(request.objectiveAt(), request.dueAt());
   }
 }
--- a/src/main/java/mothwing/overload/DeadlineEnforcer.java
+++ b/src/main/java/mothwing/overload/DeadlineEnforcer.java
@@ -23,7 +23,7 @@
     this.completion = completion;
   }
 
-  /** Checks all open requests. */
+  /** Checks the deadlines of all open requests. */
   void enforce() {
     for (TrackedRequest request : requests.snapshot()) {
       if (!request.isAnswered()) {
@@ -34,17 +34,18 @@
 
   private void enforce(TrackedRequest request) {
     long now = context.now();
-    boolean due = now + context.dueMargin() >= request.dueAt();
-    boolean neverRan = request.is(State.HELD) && !request.everRan();
-    boolean waits = request.is(State.AWAITING_CALL) || request.is(State.REPLAYING);
-    if (neverRan && (due || isOutOfReach(request))) {
+    boolean isDue = now + context.dueMargin() >= request.dueAt();
+    boolean neverStarted = request.is(State.HELD) && !request.hasStarted();
+    boolean isWaiting = request.is(State.AWAITING_CALL) || request.is(State.REPLAYING);
+    if (neverStarted && (isDue || cannotFinishInTime(request))) {
       completion.reject(request);
-    } else if (due || (waits && now > request.valuableUntil())) {
-      completion.fail(request); // a run that is late goes on: its end may still be in time
+    } else if (isDue || (isWaiting && now > request.valuableUntil())) {
+      // A late run is not failed here before it is due, as it may still end in time.
+      completion.fail(request);
     }
   }
 
-  private boolean isOutOfReach(TrackedRequest request) {
-    return context.now() + deadlines.runTime(request) > deadlines.soughtUntil(request);
+  private boolean cannotFinishInTime(TrackedRequest request) {
+    return context.now() + deadlines.runTime(request) > deadlines.latestUsefulAnswerAt(request);
   }
 }
--- a/src/main/java/mothwing/overload/DependencyCallLimiter.java
+++ b/src/main/java/mothwing/overload/DependencyCallLimiter.java
@@ -4,27 +4,27 @@
 import mothwing.control.Dependency;
 
 /**
- * Keeps the calls of this server within its quota of the dependency. A bucket of call time lets a
- * slow dependency get fewer calls; abandoned calls count until the dependency has ended them. Even
- * when every call hangs, the calls in flight stay within the quota over the dependency's window.
+ * Limits the dependency calls of this server to its quota. A token bucket of call time gives a slow
+ * dependency fewer calls; abandoned calls count until the dependency has ended them. Even if every
+ * call hangs, the calls in flight stay within the quota over the dependency's window.
  */
 final class DependencyCallLimiter {
-  /** Share of the quota that is used steadily: a dependency at its bound is slow already. */
+  /** Share of the quota that is used steadily: a dependency at its limit is already slow. */
   private static final double STEADY_RATIO = 0.4;
 
-  /** Share of the quota over the dependency's window that can be used at once after a calm. */
+  /** Share of the quota over the dependency's window that a burst after an idle period may use. */
   private static final double BURST_RATIO = 0.5;
 
-  /** Share of the burst below which no call starts: its timeout would come too soon. */
+  /** Share of the burst below which no call starts, as its timeout would be too short. */
   private static final double MIN_START_RATIO = 0.25;
 
-  /** Seconds of steady call time that are kept for admission. */
+  /** Capacity of the admission bucket, in seconds of steady call time. */
   private static final double ADMISSION_SECONDS = 1.5;
 
-  /** Weight of one call in the learned call time: some three calls count. */
+  /** Weight of one call in the average call duration, so that about three calls count. */
   private static final double CALL_WEIGHT = 0.3;
 
-  /** Calls where no quota is stated; its square stands for their time. */
+  /** Number of calls that stands for no quota; its square stands for their call time. */
   private static final double UNLIMITED_CALLS = 1e9;
 
   private final ControllerContext context;
@@ -37,7 +37,7 @@
   private double expectedCallTime;
   private int inFlight;
 
-  /** Makes one with full buckets. */
+  /** Creates a limiter with full buckets. */
   DependencyCallLimiter(ControllerContext context) {
     this.context = context;
     apply(context.settings().dependency());
@@ -45,24 +45,27 @@
     admissionCallTime = maxAdmissionCallTime();
   }
 
-  /** Takes the quota of new settings. */
+  /** Applies the quota of new settings. */
   void apply(Dependency dependency) {
     double quota = dependency.concurrencyQuota();
-    boolean limited = quota > 0;
-    maxCalls = limited ? Math.ceil(Math.max(1, 2 * quota)) : UNLIMITED_CALLS;
-    double window = limited ? quota * dependency.window() : UNLIMITED_CALLS * UNLIMITED_CALLS;
+    boolean hasQuota = quota > 0;
+    maxCalls = hasQuota ? Math.ceil(Math.max(1, 2 * quota)) : UNLIMITED_CALLS;
+    double window = hasQuota ? quota * dependency.window() : UNLIMITED_CALLS * UNLIMITED_CALLS;
     maxCallTime = BURST_RATIO * window;
-    steadyCalls = limited ? quota * STEADY_RATIO : UNLIMITED_CALLS;
+    steadyCalls = hasQuota ? quota * STEADY_RATIO : UNLIMITED_CALLS;
   }
 
-  /** Lets time pass, in microseconds; comes before {@link #expireAbandoned}. */
+  /**
+   * Refills the buckets for the given number of microseconds. Must be called before {@link
+   * #expireAbandoned}, so that abandoned calls count for the whole time span.
+   */
   void advance(double spanMicros) {
     double rate = steadyCalls - outstanding();
     callTimeLeft = Math.min(maxCallTime, callTimeLeft + rate * spanMicros);
     admissionCallTime = Math.min(maxAdmissionCallTime(), admissionCallTime + rate * spanMicros);
   }
 
-  /** Drops abandoned calls that the dependency has ended by now. */
+  /** Removes abandoned calls that the dependency has ended by now. */
   void expireAbandoned() {
     while (!abandonedUntil.isEmpty() && abandonedUntil.peek() <= context.now()) {
       abandonedUntil.remove();
@@ -70,70 +73,79 @@
   }
 
   private double maxAdmissionCallTime() {
-    return steadyCalls * ADMISSION_SECONDS * ControllerContext.SECOND_MICROS;
+    return steadyCalls * ADMISSION_SECONDS * ControllerContext.MICROS_PER_SECOND;
   }
 
-  /** Calls that the dependency has in hand: in flight, or abandoned and not ended. */
+  /**
+   * Returns the number of calls that the dependency works on: those in flight, and those abandoned
+   * but not ended.
+   */
   int outstanding() {
     return abandonedUntil.size() + inFlight;
   }
 
-  /** Calls in flight. */
+  /** Returns the number of calls in flight. */
   int inFlight() {
     return inFlight;
   }
 
-  /** Whether a call may start now. */
+  /** Returns whether a call may start now. */
   boolean mayStart() {
     return outstanding() < maxCalls
         && callTimeLeft >= maxCallTime * MIN_START_RATIO
         && admissionCallTime > 0;
   }
 
-  /** The longest duration of a call that starts now, in microseconds. */
-  long longestCall() {
+  /** Returns the longest duration of a call that starts now, in microseconds. */
+  long maxCallDuration() {
     return (long) (callTimeLeft / maxCalls);
   }
 
-  /** A call starts. */
-  void started() {
+  /** Counts a call that starts. */
+  void recordStart() {
     inFlight++;
   }
 
-  /** A call has ended; its duration is learned. */
-  void ended(long startedAt) {
+  /** Counts a call that has ended and updates the average call duration. */
+  void recordEnd(long startedAt) {
     inFlight--;
     expectedCallTime += (context.now() - startedAt - expectedCallTime) * CALL_WEIGHT;
   }
 
-  /** A call in flight is abandoned: the dependency goes on with it for a while. */
-  void abandoned() {
+  /** Counts a call in flight as abandoned; the dependency may work on it for a while. */
+  void recordAbandoned() {
     inFlight--;
-    lingers();
+    countAsOutstanding();
   }
 
-  /** A call that has ended here may still be in the dependency's hands. */
-  void lingers() {
+  /**
+   * Counts a call that has ended on this side as outstanding for as long as the dependency may work
+   * on it.
+   */
+  void countAsOutstanding() {
     abandonedUntil.add(context.now() + context.settings().dependency().abandonedCallDuration());
   }
 
-  /** Lets the learned call time fade where no call is in flight that would correct it. */
+  /** Fades the average call duration while no call is in flight that would correct it. */
   void fade(double seconds) {
     expectedCallTime *=
         inFlight > 0 ? 1 : Math.max(0, 1 - seconds / SlowdownEstimator.AVERAGING_SECONDS);
   }
 
-  /** The learned duration of a call, in microseconds. */
+  /** Returns the average duration of a call, in microseconds. */
   double expectedCallTime() {
     return expectedCallTime;
   }
 
-  /** Call time that can be admitted at once, in microseconds; negative where it is overdrawn. */
+  /**
+   * Returns the call time that can be admitted at once, in microseconds; negative if the admission
+   * bucket is overdrawn.
+   */
   double admissionCallTime() {
     return admissionCallTime;
   }
 
-  /** Calls in flight that the quota allows steadily. */
+  /** Returns the number of calls in flight that the quota allows steadily. */
   double steadyCalls() {
     return steadyCalls;
   }
--- a/src/main/java/mothwing/overload/DependencyCallScheduler.java
+++ b/src/main/java/mothwing/overload/DependencyCallScheduler.java
@@ -8,11 +8,11 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Makes dependency calls in the order of priority, retries those that may be repeated, and leaves a
- * call out where the answer without it still earns something.
+ * Starts dependency calls in priority order, retries those that may be repeated, and skips a call
+ * if an answer without it still earns part of the priority weight.
  */
 final class DependencyCallScheduler {
-  /** Attempts of one call. */
+  /** Maximum number of attempts of one call. */
   private static final int MAX_ATTEMPTS = 4;
 
   private final ControllerContext context;
@@ -42,7 +42,7 @@
     this.completion = completion;
   }
 
-  /** A run reaches a call. */
+  /** Handles a run that has reached a dependency call. */
   void awaited(TrackedRequest request) {
     clock.leave(request);
     request.awaitCall(context.now());
@@ -51,9 +51,9 @@
     }
   }
 
-  /** A call in flight has ended. */
+  /** Handles the end of a call in flight. */
   void ended(TrackedRequest request, RunOutcome outcome) {
-    limiter.ended(request.call().attemptStartedAt());
+    limiter.recordEnd(request.call().attemptStartedAt());
     faults.recordCall(outcome == RunOutcome.SUCCEEDED);
     if (outcome == RunOutcome.SUCCEEDED) {
       clock.enter(request);
@@ -61,21 +61,21 @@
     }
     boolean mayStillRun = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
     if (mayStillRun) {
-      limiter.lingers();
+      limiter.countAsOutstanding();
     }
     request.retryCallAt(context.now() + backoff(request));
     boolean isLastAttempt = !mayRepeat(request, outcome) || attemptsExhausted(request);
     if (!isLastAttempt || request.isAnswered()) {
       return;
     }
-    if (request.mayLeaveCallOut()) {
+    if (request.maySkipCall()) {
       request.call().exhaust(MAX_ATTEMPTS);
     } else {
       completion.fail(request);
     }
   }
 
-  /** The wait before the next attempt, which doubles with each. */
+  /** Returns the wait before the next attempt, which doubles with each attempt. */
   private long backoff(TrackedRequest request) {
     return context.samplePeriod() << Math.min(request.call().attempts(), 2 * MAX_ATTEMPTS);
   }
@@ -88,10 +88,10 @@
     return request.call().attempts() >= MAX_ATTEMPTS;
   }
 
-  /** Makes the calls that may be made now. */
-  void startWaiting() {
+  /** Starts or skips the waiting calls in priority order, as far as the limits allow. */
+  void startWaitingCalls() {
     List<TrackedRequest> waiting = new ArrayList<>();
-    for (TrackedRequest request : requests.all()) {
+    for (TrackedRequest request : requests.openRequests()) {
       boolean awaitsCall = request.is(State.AWAITING_CALL) && !request.isAnswered();
       if (awaitsCall && context.now() >= request.call().nextAttemptAt()) {
         waiting.add(request);
@@ -99,10 +99,10 @@
     }
     waiting.sort(PriorityOrder.HIGHEST_FIRST);
     for (TrackedRequest request : waiting) {
-      if (wouldCrowdCores()) {
+      if (wouldReachCeiling()) {
         return;
       }
-      if (request.mayLeaveCallOut() && isHopeless(request)) {
+      if (request.maySkipCall() && cannotSucceedInTime(request)) {
         host.skipCall(request.id());
         clock.enter(request);
       } else if (limiter.mayStart()) {
@@ -111,13 +111,16 @@
     }
   }
 
-  /** Whether the runs that return from their calls would be more than the machine survives. */
-  private boolean wouldCrowdCores() {
+  /**
+   * Returns whether the number of runs would reach the concurrency ceiling once all calls in flight
+   * return to the cores.
+   */
+  private boolean wouldReachCeiling() {
     return clock.running() + limiter.inFlight() >= Math.max(1, ceiling.ceiling());
   }
 
-  /** Whether a call has failed for good, or would leave the run too little time. */
-  private boolean isHopeless(TrackedRequest request) {
+  /** Returns whether a call has no attempts left, or would leave the run too little time. */
+  private boolean cannotSucceedInTime(TrackedRequest request) {
     double endsAt =
         context.now() + limiter.expectedCallTime() + costs.remaining(request) + context.dueMargin();
     return attemptsExhausted(request) || endsAt > request.valuableUntil();
@@ -126,9 +129,10 @@
   private void start(TrackedRequest request) {
     long now = context.now();
     request.startCall(now);
-    limiter.started();
-    long lastUse = Math.min(request.dueAt() - 2 * context.dueMargin(), request.valuableUntil());
-    long until = Math.min(lastUse, now + limiter.longestCall());
+    limiter.recordStart();
+    long latestUsefulEnd =
+        Math.min(request.dueAt() - 2 * context.dueMargin(), request.valuableUntil());
+    long until = Math.min(latestUsefulEnd, now + limiter.maxCallDuration());
     host.startCall(request.id(), Math.max(now + context.settings().batchInterval(), until));
   }
 }
--- a/src/main/java/mothwing/overload/FaultAdmission.java
+++ b/src/main/java/mothwing/overload/FaultAdmission.java
@@ -4,17 +4,17 @@
 import mothwing.control.Settings;
 
 /**
- * Holds back requests while runs or dependency calls fail. A server whose runs fail looks fast and
- * idle, and calls to a failing dependency waste core time: only a few attempts are made.
+ * Rejects most requests while runs or dependency calls fail. A server whose runs fail looks fast
+ * and idle, and calls to a failing dependency waste core time, so only a few attempts are made.
  */
 final class FaultAdmission {
   private final FaultBudget runs = new FaultBudget();
   private final FaultBudget calls = new FaultBudget();
-  private double maxCallingWeight;
+  private double maxCallingClassWeight;
 
-  /** Takes the classes of new settings. */
+  /** Applies new settings. */
   void apply(Settings settings) {
-    maxCallingWeight =
+    maxCallingClassWeight =
         settings.classes().stream()
             .filter(RequestClass::callsDependency)
             .mapToDouble(RequestClass::priorityWeight)
@@ -32,26 +32,29 @@
     calls.record(success);
   }
 
-  /** Lets both budgets recover. */
-  void forget(int cores, double seconds) {
-    runs.forget(cores, seconds);
-    calls.forget(cores, seconds);
+  /** Reduces the faults in both budgets for the given number of seconds. */
+  void recover(int cores, double seconds) {
+    runs.recover(cores, seconds);
+    calls.recover(cores, seconds);
   }
 
-  /** Whether the runs of this server fail. */
-  boolean runsFail() {
+  /** Returns whether the runs of this server fail. */
+  boolean areRunsFailing() {
     return runs.isExhausted();
   }
 
-  /** Whether a request is held back; calls are left to the classes of the highest weight. */
-  boolean holdsBack(TrackedRequest request) {
+  /**
+   * Returns whether a request is rejected; the last attempts at dependency calls are left to the
+   * classes of the highest weight.
+   */
+  boolean shouldReject(TrackedRequest request) {
     if (runs.isExhausted()) {
       return true;
     }
     if (!request.callsDependency()) {
       return false;
     }
-    boolean hasMaxWeight = request.requestClass().priorityWeight() >= maxCallingWeight;
-    return hasMaxWeight ? calls.isExhausted() : calls.isHalfSpent();
+    boolean hasMaxWeight = request.requestClass().priorityWeight() >= maxCallingClassWeight;
+    return hasMaxWeight ? calls.isExhausted() : calls.isHalfUsed();
   }
 }
--- a/src/main/java/mothwing/overload/FaultBudget.java
+++ b/src/main/java/mothwing/overload/FaultBudget.java
@@ -2,44 +2,48 @@
 
 /**
  * Counts recent faults of one kind, such as failed runs. Every success takes one fault off the
- * count, so the budget is used up where more than half of the outcomes are faults; time takes
- * faults off as well, which leaves a small rate of attempts that show a recovery.
+ * count, so the budget is exhausted if more than half of the outcomes are faults. Elapsed time
+ * takes faults off as well, which leaves a low rate of attempts that detect a recovery.
  */
 final class FaultBudget {
-  /** Faults that may be counted before the budget is exhausted. */
+  /** Number of faults that may be counted before the budget is exhausted. */
   private static final double MAX_FAULTS = 4;
 
-  /** Faults that a success takes off: half of the outcomes may be faults. */
-  private static final double FAULTS_REPAID_BY_SUCCESS = 1;
+  /** Faults that a success takes off; with 1, half of the outcomes may be faults. */
+  private static final double RECOVERED_FAULTS_PER_SUCCESS = 1;
 
-  /** Faults that time takes off: as many attempts are made while all fail. */
-  private static final double FAULTS_FORGOTTEN_PER_CORE_SECOND = 1;
+  /**
+   * Faults that each second takes off per core; as many attempts are made while all of them fail.
+   */
+  private static final double RECOVERED_FAULTS_PER_CORE_SECOND = 1;
 
   private double faults;
 
   /** Counts one outcome. */
   void record(boolean success) {
     faults =
-        success ? Math.max(0, faults - FAULTS_REPAID_BY_SUCCESS) : Math.min(MAX_FAULTS, faults) + 1;
+        success
+            ? Math.max(0, faults - RECOVERED_FAULTS_PER_SUCCESS)
+            : Math.min(MAX_FAULTS, faults) + 1;
   }
 
   /**
-   * Takes off what time repays.
+   * Reduces the faults for the elapsed time.
    *
-   * @param cores the number of cores, which sets how many attempts a second are affordable
-   * @param seconds the time that has passed
+   * @param cores the number of cores, which determines how many attempts per second are affordable
+   * @param seconds the elapsed time
    */
-  void forget(int cores, double seconds) {
-    faults = Math.max(0, faults - FAULTS_FORGOTTEN_PER_CORE_SECOND * cores * seconds);
+  void recover(int cores, double seconds) {
+    faults = Math.max(0, faults - RECOVERED_FAULTS_PER_CORE_SECOND * cores * seconds);
   }
 
-  /** Whether the budget is used up. */
+  /** Returns whether the budget is used up. */
   boolean isExhausted() {
     return faults > MAX_FAULTS;
   }
 
-  /** Whether more than half of the budget is used. */
-  boolean isHalfSpent() {
+  /** Returns whether more than half of the budget is used. */
+  boolean isHalfUsed() {
     return faults > MAX_FAULTS / 2;
   }
 }
--- a/src/main/java/mothwing/overload/FilterLadder.java
+++ b/src/main/java/mothwing/overload/FilterLadder.java
@@ -3,46 +3,56 @@
 import java.util.Arrays;
 
 /**
- * The ladder of filters of QGuard and the damped step through it: from the first filter, which
- * admits everything, to the last, which rejects everything. Each inner filter has a rate of
- * admitted work; the rates fall along the ladder and lie closer about a focal point, which is moved
- * to the mean rate of the filters that were in force.
+ * The filter ladder of QGuard, with damped steps. The first filter admits everything, the last one
+ * rejects everything. Each inner filter admits work at a certain rate; the rates decrease along the
+ * ladder and lie closer together around a focal point, which is moved to the mean rate of the
+ * filters recently in use.
  *
- * <p>Two steps are a sojourn apart at the least, or twice the learned lag between a step and its
- * effect; tightening needs several overloaded intervals for each underloaded one. Times are
+ * <p>Two steps are at least one sojourn apart, or twice the average lag between a step and its
+ * effect; tightening requires several overloaded intervals for each underloaded one. Times are
  * microseconds of one clock, rates are cores of expected work.
  */
 final class FilterLadder {
-  /** Filters between the one that admits and the one that rejects everything. */
+  /** Number of filters between the one that admits and the one that rejects everything. */
   static final int INNER_FILTERS = 12;
 
-  /** Overloaded intervals for each underloaded one that tightening needs. */
-  private static final double MODERATOR_RATIO = 3;
+  /** Overloaded intervals per underloaded one that are required to tighten the filter. */
+  private static final double TIGHTENING_RATIO = 3;
 
-  /** Samples between two steps: one full history of the load index. */
+  /** Number of samples between two steps: one full history of the load index. */
   private static final int SOJOURN_SAMPLES = 10;
 
-  /** The longest time between two steps: the lag of an outage must not freeze the ladder. */
+  /**
+   * Longest time between two steps, in sojourns; the lag caused by an outage must not freeze the
+   * ladder.
+   */
   private static final int MAX_WAIT_SOJOURNS = 6;
 
-  /** Rate of the first inner filter over the best completion rate: it hardly shapes traffic. */
+  /**
+   * Rate of the first inner filter as a multiple of the best completion rate; it hardly shapes
+   * traffic.
+   */
   private static final double TOP_RATE_RATIO = 1.25;
 
-  /** Rate of the last inner filter over the best completion rate. */
+  /** Rate of the last inner filter as a multiple of the best completion rate. */
   private static final double BOTTOM_RATE_RATIO = 0.2;
 
-  /** Exponent that puts the rates closer together about the focal point. */
+  /** Exponent that places the rates closer together around the focal point. */
   private static final double SPACING_EXPONENT = 1.6;
 
-  /** Sojourns between two moves of the focal point. */
+  /** Number of sojourns between two moves of the focal point. */
   private static final int REFINEMENT_SOJOURNS = 20;
 
-  /** Weight of one overload in the learned lag. */
+  /** Weight of one overload in the average lag. */
   private static final double LAG_WEIGHT = 0.1;
 
-  /** Seconds in which the best completion rate fades. */
+  /** Seconds over which the best completion rate fades. */
   private static final double BEST_RATE_SECONDS = 60;
 
+  /** Rate of the filter that admits everything; remains finite when converted to microseconds. */
+  private static final double UNLIMITED_RATE =
+      Double.MAX_VALUE / ControllerContext.MICROS_PER_SECOND / ControllerContext.MICROS_PER_SECOND;
+
   private double[] rates;
   private int filter;
   private double bestRate;
@@ -51,74 +61,75 @@
   private int overloadedIntervals;
   private int underloadedIntervals;
   private long overloadedSince;
-  private double lag;
+  private double averageLag;
   private long lastStepAt;
   private long refinedAt;
 
   /**
-   * Makes one that admits everything.
+   * Creates a ladder whose current filter admits everything.
    *
-   * @param cores the number of cores, the best completion rate until one is measured
+   * @param cores the number of cores, used as the best completion rate until one is measured
    */
   FilterLadder(int cores) {
     bestRate = cores;
     focalRate = cores;
-    rates = ladder();
+    rates = computeRates();
   }
 
-  /** The server has started at the given time. */
-  void started(long now) {
+  /** Records that the server starts at the given time. */
+  void start(long now) {
     lastStepAt = now;
     refinedAt = now;
   }
 
   /**
-   * The filter in force.
+   * Returns the index of the current filter.
    *
-   * @return 0 where everything is admitted, above {@link #INNER_FILTERS} where it is rejected
+   * @return 0 if everything is admitted, above {@link #INNER_FILTERS} if everything is rejected
    */
   int filter() {
     return filter;
   }
 
-  /** The rate of the filter in force, in cores of expected work. */
+  /** Returns the rate of the current filter, in cores of expected work. */
   double rate() {
     return rates[filter];
   }
 
   /**
-   * Takes the rate at which work was completed in an interval.
+   * Updates the best completion rate from an interval without overload.
    *
    * @param index the load index of the interval
    * @param rate cores of expected work that were completed
    * @param cores the number of cores, which bounds the rate
-   * @param span seconds of the interval
+   * @param seconds the duration of the interval
    */
-  void completed(int index, double rate, int cores, double span) {
-    if (index < LoadIndex.OVERLOADED) {
-      bestRate = Math.min(cores, Math.max(bestRate * (1 - span / BEST_RATE_SECONDS), rate));
+  void recordCompletionRate(int index, double rate, int cores, double seconds) {
+    if (index < LoadIndex.MIN_OVERLOADED_INDEX) {
+      bestRate = Math.min(cores, Math.max(bestRate * (1 - seconds / BEST_RATE_SECONDS), rate));
     }
   }
 
   /**
-   * Takes one interval, and takes a step where it is time.
+   * Counts one interval, and steps to the next or previous filter if it is time to.
    *
-   * @param now the clock
+   * @param now the current time
    * @param index the load index of the interval
-   * @param span seconds of the interval
-   * @param sample microseconds between samples
+   * @param seconds the duration of the interval
+   * @param samplePeriod microseconds between samples
    * @return whether this step reached the filter that rejects everything
    */
-  boolean step(long now, int index, double span, long sample) {
-    secondsInFilter[filter] += span;
-    count(now, index);
-    long sojourn = SOJOURN_SAMPLES * sample;
+  boolean step(long now, int index, double seconds, long samplePeriod) {
+    secondsInFilter[filter] += seconds;
+    countInterval(now, index);
+    long sojourn = SOJOURN_SAMPLES * samplePeriod;
     if (now - lastStepAt
-        < Math.max((double) sojourn, Math.min(2 * lag, (double) (MAX_WAIT_SOJOURNS * sojourn)))) {
+        < Math.max(
+            (double) sojourn, Math.min(2 * averageLag, (double) (MAX_WAIT_SOJOURNS * sojourn)))) {
       return false;
     }
     int next = filter;
-    if (overloadedIntervals > 0 && overloadedIntervals >= MODERATOR_RATIO * underloadedIntervals) {
+    if (overloadedIntervals > 0 && overloadedIntervals >= TIGHTENING_RATIO * underloadedIntervals) {
       next = Math.min(rates.length - 1, filter + 1);
     } else if (underloadedIntervals > overloadedIntervals) {
       next = Math.max(0, filter - 1);
@@ -134,32 +145,35 @@
     return rejectsAll;
   }
 
-  private void count(long now, int index) {
-    if (index >= LoadIndex.OVERLOADED) {
+  private void countInterval(long now, int index) {
+    if (index >= LoadIndex.MIN_OVERLOADED_INDEX) {
       overloadedIntervals++;
       overloadedSince = overloadedSince == 0 ? now : overloadedSince;
-    } else if (index <= LoadIndex.UNDERLOADED) {
+    } else if (index <= LoadIndex.MAX_UNDERLOADED_INDEX) {
       underloadedIntervals++;
       if (overloadedSince > 0) {
-        lag += ((now - overloadedSince) - lag) * LAG_WEIGHT;
+        averageLag += ((now - overloadedSince) - averageLag) * LAG_WEIGHT;
         overloadedSince = 0;
       }
     }
   }
 
-  /** Moves the focal point to the mean rate in force and the filter to the one of similar rate. */
+  /**
+   * Moves the focal point to the mean rate of the filters in use since the last move, and the
+   * current filter to the one of a similar rate.
+   */
   private void refine(long now) {
     refinedAt = now;
-    double time = 0;
-    double sum = 0;
+    double seconds = 0;
+    double weightedRate = 0;
     for (int i = 1; i <= INNER_FILTERS; i++) {
-      time += secondsInFilter[i];
-      sum += secondsInFilter[i] * rates[i];
+      seconds += secondsInFilter[i];
+      weightedRate += secondsInFilter[i] * rates[i];
     }
-    focalRate = time > 0 ? sum / time : bestRate;
+    focalRate = seconds > 0 ? weightedRate / seconds : bestRate;
     Arrays.fill(secondsInFilter, 0);
     double rate = rates[filter];
-    rates = ladder();
+    rates = computeRates();
     if (filter > 0 && filter <= INNER_FILTERS) {
       filter = 1;
       while (filter < INNER_FILTERS && rates[filter] > rate) {
@@ -168,19 +182,19 @@
     }
   }
 
-  /** The rates of all filters, closer together about the focal point. */
-  private double[] ladder() {
-    double[] all = new double[INNER_FILTERS + 2];
+  /** Computes the rates of all filters, closer together around the focal point. */
+  private double[] computeRates() {
+    double[] filterRates = new double[INNER_FILTERS + 2];
     double top = bestRate * TOP_RATE_RATIO;
     double bottom = bestRate * BOTTOM_RATE_RATIO;
     double middle = Math.max(bottom, Math.min(top, focalRate));
-    all[0] = Double.MAX_VALUE / ControllerContext.SECOND_MICROS / ControllerContext.SECOND_MICROS;
+    filterRates[0] = UNLIMITED_RATE;
     for (int i = 1; i <= INNER_FILTERS; i++) {
       double position = 1 - 2.0 * (i - 1) / (INNER_FILTERS - 1);
       double reach = position > 0 ? top - middle : middle - bottom;
       double spacing = Math.pow(Math.abs(position), SPACING_EXPONENT);
-      all[i] = middle + Math.signum(position) * spacing * reach;
+      filterRates[i] = middle + Math.signum(position) * spacing * reach;
     }
-    return all;
+    return filterRates;
   }
 }
--- a/src/main/java/mothwing/overload/IdempotencyKeyExpiry.java
+++ b/src/main/java/mothwing/overload/IdempotencyKeyExpiry.java
@@ -5,7 +5,7 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 
-/** The remembered idempotency keys, when each expires, and the memory that they hold. */
+/** Tracks the remembered idempotency keys, their expiry times and the memory that they hold. */
 final class IdempotencyKeyExpiry {
   private record Expiry(long at, String requestId) {}
 
@@ -22,7 +22,7 @@
    * Remembers the key of a request.
    *
    * @param requestId the request
-   * @param expiresAt when the key expires, in microseconds of the controller's clock
+   * @param expiresAt expiry time of the key, in microseconds of the controller's clock
    */
   void remember(String requestId, long expiresAt) {
     keys.add(requestId);
@@ -30,7 +30,7 @@
     memory.reserve(memory.keyKb());
   }
 
-  /** Forgets the key of a request; returns whether it was still remembered. */
+  /** Forgets the key of a request and returns whether it was still remembered. */
   boolean forget(String requestId) {
     boolean remembered = keys.remove(requestId);
     memory.release(remembered ? memory.keyKb() : 0);
--- a/src/main/java/mothwing/overload/LoadMonitor.java
+++ b/src/main/java/mothwing/overload/LoadMonitor.java
@@ -2,24 +2,30 @@
 
 import mothwing.control.GaugeSample;
 
-/** Takes the samples: the utilization of the cores, and the load index that moves the ladder. */
+/**
+ * Measures the utilization of the cores and computes the load index from samples, and steps the
+ * filter ladder accordingly.
+ */
 final class LoadMonitor {
-  /** Seconds over which the utilization of the cores is averaged: some ten runs. */
+  /** Seconds over which the utilization of the cores is averaged; about ten runs. */
   private static final double AVERAGING_SECONDS = 3;
 
   /**
-   * Sample periods between samples; a longer gap means that the process stood still, which is no
-   * evidence of load.
+   * Longest time between two samples, in sample periods; after a longer gap the process was not
+   * running, which is no evidence of load.
    */
   private static final int MAX_GAP_SAMPLES = 3;
 
+  /** Seconds over which the completion rate is averaged. */
+  private static final double COMPLETION_RATE_SECONDS = 2;
+
   private final ControllerContext context;
   private final ProcessorSharingClock clock;
   private final FilterLadder ladder;
   private final LoadIndex loadIndex = new LoadIndex();
   private long lastSampleAt;
   private double secondsSinceSample;
-  private boolean late;
+  private boolean followsGap;
   private boolean stalled;
   private double utilization;
   private double averageUtilization = 1;
@@ -31,35 +37,37 @@
     this.ladder = ladder;
   }
 
-  /** The server starts. */
+  /** Records that the server starts at the given time. */
   void start(long at) {
     lastSampleAt = at;
-    ladder.started(at);
+    ladder.start(at);
   }
 
-  /** A sample is due; returns the seconds since the one before. */
+  /** Begins a sample and returns the seconds since the previous one. */
   double beginSample(long at) {
     boolean gap = at - lastSampleAt > MAX_GAP_SAMPLES * context.samplePeriod();
-    stalled = gap && !late;
-    late = gap; // gap after gap is a lack of processor time
-    secondsSinceSample = (at - lastSampleAt) / ControllerContext.SECOND_MICROS;
+    stalled = gap && !followsGap;
+    // Consecutive gaps are caused by a lack of processor time, which is evidence of load.
+    followsGap = gap;
+    secondsSinceSample = (at - lastSampleAt) / ControllerContext.MICROS_PER_SECOND;
     lastSampleAt = at;
     return secondsSinceSample;
   }
 
-  /** Whether the sample follows a single gap, and so says nothing of load. */
+  /** Returns whether the sample follows a single gap and thus is no evidence of load. */
   boolean isStalled() {
     return stalled;
   }
 
-  /** The number of sample periods that the sample stands for. */
+  /** Returns the number of sample periods that the sample covers. */
   int samplePeriods() {
-    double periods = secondsSinceSample * ControllerContext.SECOND_MICROS / context.samplePeriod();
-    return (int) Math.max(1, Math.min(LoadIndex.HISTORY, periods));
+    double periods =
+        secondsSinceSample * ControllerContext.MICROS_PER_SECOND / context.samplePeriod();
+    return (int) Math.max(1, Math.min(LoadIndex.HISTORY_SAMPLES, periods));
   }
 
-  /** Takes the utilization of the cores. */
-  void measureCores(GaugeSample sample) {
+  /** Updates the utilization of the cores from a sample. */
+  void measureUtilization(GaugeSample sample) {
     double running = (double) clock.running() / context.cores();
     utilization = gauge(sample, "cpu_busy", Math.min(1, running));
     averageUtilization +=
@@ -67,53 +75,57 @@
   }
 
   /**
-   * Takes a sample into the load index and steps through the ladder.
+   * Adds a sample to the load index and steps through the ladder.
    *
    * @param sample the gauges
    * @param memoryRatio share of the memory in use
-   * @param survivable running requests that the machine survives
+   * @param toleratedConcurrency number of running requests that the machine tolerates
    * @param backlogRatio wait that the open requests cause, as a share of their deadlines
-   * @param completedWork microseconds of expected core time completed since the sample before
+   * @param completedWork expected core time completed since the previous sample, in microseconds
    * @return whether the ladder reached the filter that rejects everything
    */
   boolean observe(
       GaugeSample sample,
       double memoryRatio,
-      double survivable,
+      double toleratedConcurrency,
       double backlogRatio,
       double completedWork) {
-    double runQueue = gauge(sample, "runnable", clock.running()) / survivable;
+    double runQueue = gauge(sample, "runnable", clock.running()) / toleratedConcurrency;
     int index = loadIndex.add(utilization, memoryRatio, runQueue, backlogRatio);
-    double rate = completedWork / ControllerContext.SECOND_MICROS / secondsSinceSample;
-    completionRate += (rate - completionRate) * Math.min(1, secondsSinceSample / 2);
-    ladder.completed(index, completionRate, context.cores(), secondsSinceSample);
+    double rate = completedWork / ControllerContext.MICROS_PER_SECOND / secondsSinceSample;
+    completionRate +=
+        (rate - completionRate) * Math.min(1, secondsSinceSample / COMPLETION_RATE_SECONDS);
+    ladder.recordCompletionRate(index, completionRate, context.cores(), secondsSinceSample);
     return ladder.step(context.now(), index, secondsSinceSample, context.samplePeriod());
   }
 
-  /** A gauge of this moment, or the controller's own measure where the gauge is not known. */
-  private double gauge(GaugeSample sample, String name, double ownMeasure) {
+  /** Returns a gauge of the sample, or the controller's own measurement if the gauge is unknown. */
+  private double gauge(GaugeSample sample, String name, double ownMeasurement) {
     int index = context.settings().machine().gaugeNames().indexOf(name);
     boolean known = index >= 0 && index < sample.gauges().size();
-    return known ? sample.gauges().get(index) : ownMeasure;
+    return known ? sample.gauges().get(index) : ownMeasurement;
   }
 
-  /** Whether a full history of samples was taken since the history was last full. */
+  /** Returns whether another full history of samples has been added. */
   boolean isHistoryComplete() {
-    return loadIndex.samples() % LoadIndex.HISTORY == 0;
+    return loadIndex.samples() % LoadIndex.HISTORY_SAMPLES == 0;
   }
 
-  /** Share of the cores that is busy. */
+  /** Returns the share of the cores that is busy. */
   double utilization() {
     return utilization;
   }
 
-  /** The lower of the present and the average utilization: idle at once, busy after a while. */
+  /**
+   * Returns the lower of the current and the average utilization, so that the cores count as idle
+   * at once but as busy only after a while.
+   */
   double steadyUtilization() {
     return Math.min(utilization, averageUtilization);
   }
 
-  /** Whether cores are idle now. */
+  /** Returns whether cores are idle now. */
   boolean isIdle() {
-    return utilization < LoadIndex.idleCores();
+    return utilization < LoadIndex.idleUtilization();
   }
 }
--- a/src/main/java/mothwing/overload/MemoryBudget.java
+++ b/src/main/java/mothwing/overload/MemoryBudget.java
@@ -2,9 +2,9 @@
 
 import mothwing.control.Machine;
 
-/** The memory of requests and idempotency keys, in kilobytes, and the bound on planned use. */
+/** Tracks the memory of requests and idempotency keys, in kilobytes, and bounds its planned use. */
 final class MemoryBudget {
-  /** Share of the memory that is planned; the rest takes one batch of reads. */
+  /** Share of the memory that may be planned; the rest holds one batch of reads. */
   private static final double PLANNED_RATIO = 0.9;
 
   private double usedKb;
@@ -12,39 +12,39 @@
   private double keyKb;
   private double runMemoryFactor;
 
-  /** Takes the machine of new settings. */
+  /** Applies the machine of new settings. */
   void apply(Machine machine) {
     plannedKb = machine.memoryKb() * PLANNED_RATIO;
     keyKb = machine.keyMemoryKb();
     runMemoryFactor = machine.runMemoryFactor();
   }
 
-  /** The memory of one idempotency key, in kilobytes. */
+  /** Returns the memory of one idempotency key, in kilobytes. */
   double keyKb() {
     return keyKb;
   }
 
-  /** The memory that the run of a request takes beyond that of the held request, in kilobytes. */
+  /** Returns the memory that a run takes beyond that of the held request, in kilobytes. */
   double additionalRunKb(TrackedRequest request) {
     return request.request().memoryKb() * (runMemoryFactor - 1);
   }
 
-  /** Counts memory as used. */
+  /** Counts memory as used, in kilobytes. */
   void reserve(double kilobytes) {
     usedKb += kilobytes;
   }
 
-  /** Counts memory as free again. */
+  /** Counts memory as free again, in kilobytes. */
   void release(double kilobytes) {
     usedKb -= kilobytes;
   }
 
-  /** The memory in use, in kilobytes. */
+  /** Returns the memory in use, in kilobytes. */
   double usedKb() {
     return usedKb;
   }
 
-  /** The memory up to which work is planned, in kilobytes. */
+  /** Returns the memory up to which work is planned, in kilobytes. */
   double plannedKb() {
     return plannedKb;
   }
--- a/src/main/java/mothwing/overload/OverloadController.java
+++ b/src/main/java/mothwing/overload/OverloadController.java
@@ -10,13 +10,14 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * The overload controller of one server, after QGuard: wires the parts that decide and delivers the
- * events to them. One thread owns it; no part blocks or reads a clock of its own.
+ * Overload controller of one server, based on QGuard. Connects the components that make the
+ * decisions and passes the events to them. One thread owns it; no component blocks or reads a clock
+ * of its own.
  *
- * <p>A request that is read is admitted or rejected at once ({@link RequestAdmission}). What is
- * admitted is held and run in the order of priority ({@link RunScheduler}), its dependency calls
- * within this server's quota ({@link DependencyCallScheduler}). Every sample moves the load index
- * and through it the filter that admits requests ({@link LoadMonitor}).
+ * <p>A request that is read is admitted or rejected at once ({@link RequestAdmission}). Admitted
+ * requests are held and run in priority order ({@link RunScheduler}), and their dependency calls
+ * are kept within this server's quota ({@link DependencyCallScheduler}). Every sample updates the
+ * load index, which selects the filter that admits requests ({@link LoadMonitor}).
  */
 public final class OverloadController implements Controller {
   private static final String SAMPLE_TIMER = "sample";
@@ -42,10 +43,10 @@
   private final BackpressureSignal backpressure;
 
   /**
-   * Makes the controller of one incarnation of one server.
+   * Creates the controller of one incarnation of one server.
    *
-   * @param settings its settings
-   * @param host carries out its actions
+   * @param settings the initial settings
+   * @param host carries out the actions
    */
   public OverloadController(Settings settings, ControllerHost host) {
     this.host = host;
@@ -72,14 +73,17 @@
             state, keys, quotas, order, filter, faults, deadlines, runs, completion, backpressure);
   }
 
-  /** Hands settings that are in force to the parts. What they have learned stays with its name. */
-  private void apply(Settings before, Settings after) {
-    memory.apply(after.machine());
-    faults.apply(after);
-    callLimiter.apply(after.dependency());
-    costs.apply(before, after);
-    filter.apply(before, after);
-    quotas.apply(before, after);
+  /**
+   * Passes settings that the context already holds to the components. Statistics and quotas follow
+   * the names of their classes and tenants.
+   */
+  private void apply(Settings oldSettings, Settings newSettings) {
+    memory.apply(newSettings.machine());
+    faults.apply(newSettings);
+    callLimiter.apply(newSettings.dependency());
+    costs.apply(oldSettings, newSettings);
+    filter.apply(oldSettings, newSettings);
+    quotas.apply(oldSettings, newSettings);
   }
 
   @Override
@@ -91,11 +95,11 @@
   }
 
   @Override
-  public void settingsChanged(long at, Settings to) {
+  public void settingsChanged(long at, Settings newSettings) {
     advance(at);
-    Settings before = context.settings();
-    context.apply(to);
-    apply(before, to);
+    Settings oldSettings = context.settings();
+    context.apply(newSettings);
+    apply(oldSettings, newSettings);
   }
 
   @Override
@@ -144,10 +148,10 @@
       request.moveTo(resumable ? State.PAUSED : State.HELD);
       return;
     }
-    boolean replayed = request.is(State.REPLAYING);
+    boolean isReplay = request.is(State.REPLAYING);
     completion.close(request);
     request.correctCoreTime(durationMicros, context.samplePeriod());
-    if (!replayed) {
+    if (!isReplay) {
       learn(request, outcome);
     }
   }
@@ -165,8 +169,8 @@
   public void shutdownRequested(long at, long stopAt) {
     advance(at);
     context.startDraining(at, stopAt);
-    for (TrackedRequest request : requests.all()) {
-      request.dueBefore(context.boundedDueAt(request.dueAt()));
+    for (TrackedRequest request : requests.openRequests()) {
+      request.limitDueAt(context.boundedDueAt(request.dueAt()));
     }
     host.setHealth(true, false);
     backpressure.startDraining();
@@ -176,8 +180,8 @@
   public void batchEnded(long at) {
     advance(at);
     enforcer.enforce();
-    runs.startWaiting();
-    calls.startWaiting();
+    runs.startWaitingRuns();
+    calls.startWaitingCalls();
     requests.endBatch();
   }
 
@@ -188,35 +192,35 @@
     double seconds = monitor.beginSample(at);
     filter.refill(seconds);
     quotas.refill(seconds);
-    costs.updateSlowdown(seconds, requests.all());
+    costs.updateSlowdown(seconds, requests.openRequests());
     callLimiter.fade(seconds);
     costs.fade(seconds);
-    faults.forget(context.cores(), seconds);
-    monitor.measureCores(sample);
+    faults.recover(context.cores(), seconds);
+    monitor.measureUtilization(sample);
     if (!monitor.isStalled()) {
       observe(sample);
     }
-    runs.adaptLimit(monitor, sample);
+    runs.updateLimit(monitor, sample);
   }
 
-  /** Takes a sample into the load index, and tells callers how much traffic is wanted. */
+  /** Updates the load index from a sample and publishes how much traffic is wanted. */
   private void observe(GaugeSample sample) {
     double memoryKb = Math.max(1, context.settings().machine().memoryKb());
     boolean rejectsAll =
         monitor.observe(
             sample,
             memory.usedKb() / memoryKb,
-            ceiling.survivable(),
-            costs.backlogRatio(requests.all()),
+            ceiling.toleratedConcurrency(),
+            costs.backlogRatio(requests.openRequests()),
             costs.takeCompletedWork());
     if (rejectsAll) {
       host.log("refuse-all reached");
     }
-    long age = context.now() - context.startedAt();
-    backpressure.sample(faults.runsFail(), monitor.isIdle(), age);
+    long uptimeMicros = context.now() - context.startedAt();
+    backpressure.sample(faults.areRunsFailing(), monitor.isIdle(), uptimeMicros);
   }
 
-  /** Brings everything that depends on time to the time of an event. */
+  /** Advances all state that depends on time to the time of an event. */
   private void advance(long at) {
     double span = at - context.now();
     if (span <= 0) {
--- a/src/main/java/mothwing/overload/PriorityOrder.java
+++ b/src/main/java/mothwing/overload/PriorityOrder.java
@@ -4,11 +4,11 @@
 import mothwing.control.Settings;
 
 /**
- * Orders requests by the priority weight that they earn, for a unit of expected core time where the
- * weights count by request, then by arrival.
+ * Orders requests by priority, then by arrival. The priority of a request is its priority weight,
+ * divided by its expected core time if weights count by request.
  */
 final class PriorityOrder {
-  /** The highest priority first, then the earliest arrival. */
+  /** Orders by descending priority, then by arrival time. */
   static final Comparator<TrackedRequest> HIGHEST_FIRST =
       Comparator.comparingDouble((TrackedRequest request) -> -request.priority())
           .thenComparingLong(TrackedRequest::arrivedAt);
@@ -23,20 +23,22 @@
 
   /** Sets the priority of a request that was just read. */
   void assign(TrackedRequest request) {
-    request.setPriority(priorityInTime(request));
+    request.setPriority(basePriority(request));
   }
 
-  /** Sets the priority of a waiting request, which is lower once it misses its objective. */
+  /**
+   * Updates the priority of a waiting request, which is lower once it misses its latency objective.
+   */
   void update(TrackedRequest request) {
-    boolean inTime = context.now() + costs.expected(request) <= request.objectiveAt();
-    double lateness = inTime ? 1 : request.requestClass().lateWeightRatio();
-    request.setPriority(priorityInTime(request) * lateness);
+    boolean meetsObjective = context.now() + costs.expected(request) <= request.objectiveAt();
+    double lateRatio = meetsObjective ? 1 : request.requestClass().lateWeightRatio();
+    request.setPriority(basePriority(request) * lateRatio);
   }
 
-  private double priorityInTime(TrackedRequest request) {
+  private double basePriority(TrackedRequest request) {
     Settings settings = context.settings();
     double quotaRatio = request.isOverQuota() ? settings.overQuotaWeightRatio() : 1;
-    double value = request.requestClass().priorityWeight() * quotaRatio;
-    return settings.weightByWork() ? value : value / costs.expected(request);
+    double weight = request.requestClass().priorityWeight() * quotaRatio;
+    return settings.weightByWork() ? weight : weight / costs.expected(request);
   }
 }
--- a/src/main/java/mothwing/overload/RequestAdmission.java
+++ b/src/main/java/mothwing/overload/RequestAdmission.java
@@ -6,10 +6,10 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Admits or rejects each request when it is read, in this order: a repeat of a remembered request
- * waits for the result of the original; the due time must lie ahead; memory must suffice; the
- * filter in force must have tokens; runs and calls must not fail; the deadline must be within
- * reach.
+ * Admits or rejects each request when it is read. The checks, in this order: a repeat of a
+ * remembered request waits for the result of the original; the due time must be in the future;
+ * memory must suffice; the current filter must have tokens; runs and calls must not be failing; the
+ * deadline must be reachable.
  */
 final class RequestAdmission {
   private final ControllerContext context;
@@ -54,7 +54,7 @@
     this.backpressure = backpressure;
   }
 
-  /** Takes a request that was just read. */
+  /** Tracks a request that was just read, and admits, replays or rejects it. */
   void read(Request request) {
     TrackedRequest tracked = track(request);
     requests.add(tracked);
@@ -84,12 +84,12 @@
       replay(request);
       return;
     }
-    boolean tooLate = isAlmostDue(request) || context.isAfterShutdownNotice(request.arrivedAt());
-    if (tooLate || !hasMemory(request)) {
+    boolean isTooLate = isAlmostDue(request) || context.isAfterShutdownRequest(request.arrivedAt());
+    if (isTooLate || !hasMemory(request)) {
       completion.reject(request);
       return;
     }
-    if (!filter.admit(request) || faults.holdsBack(request) || !deadlines.canMeet(request)) {
+    if (!filter.admit(request) || faults.shouldReject(request) || !deadlines.canMeet(request)) {
       backpressure.countRejected(costs.expected(request));
       completion.reject(request);
       return;
@@ -104,7 +104,7 @@
     return context.now() + context.dueMargin() >= request.dueAt();
   }
 
-  /** Whether a request repeats one that is held or ran, and so must not run itself. */
+  /** Returns whether a request repeats one that is held or has run, and so must not run itself. */
   private boolean repeatsKnownRequest(TrackedRequest request) {
     String originalId = request.request().originalId();
     if (originalId == null || requests.wasRejectedInBatch(originalId)) {
@@ -116,7 +116,7 @@
   }
 
   private void replay(TrackedRequest request) {
-    // waiting repeats must not fill the memory
+    // Repeats that wait for a result must not fill the memory.
     if (isAlmostDue(request) || memory.usedKb() > memory.plannedKb()) {
       completion.fail(request);
     } else {
@@ -125,7 +125,10 @@
     }
   }
 
-  /** Whether memory is left for its run, for the planned runs and for one batch of reads. */
+  /**
+   * Returns whether memory is left for the request's run and key, the planned runs and one batch of
+   * reads.
+   */
   private boolean hasMemory(TrackedRequest request) {
     double keyKb = request.hasIdempotencyKey() ? memory.keyKb() : 0;
     double runsKb = runs.freeSlots() * memory.additionalRunKb(request);
@@ -133,9 +136,9 @@
   }
 
   private void rememberKey(TrackedRequest request) {
-    long sample = context.samplePeriod();
+    long samplePeriod = context.samplePeriod();
     long windowEnd = request.arrivedAt() + request.requestClass().idempotencyWindow();
-    long expiresAt = Math.max(context.now() + sample, windowEnd + sample);
+    long expiresAt = Math.max(context.now() + samplePeriod, windowEnd + samplePeriod);
     host.rememberKey(request.id(), expiresAt - context.now());
     keys.remember(request.id(), expiresAt);
   }
--- a/src/main/java/mothwing/overload/RequestCompletion.java
+++ b/src/main/java/mothwing/overload/RequestCompletion.java
@@ -5,7 +5,7 @@
 import mothwing.control.StopMode;
 import mothwing.overload.TrackedRequest.State;
 
-/** Ends requests: rejects, fails and closes them, and stops what runs for nobody. */
+/** Ends requests: rejects, fails and closes them, and stops runs whose result is not needed. */
 final class RequestCompletion {
   private final ControllerContext context;
   private final ControllerHost host;
@@ -37,15 +37,17 @@
   }
 
   /**
-   * Rejects a request that never ran. The answer is final where other servers are no better off;
-   * otherwise the caller tries another server and keeps away from this one for a while.
+   * Rejects a request that never ran. The rejection is final if other servers are unlikely to do
+   * better; otherwise the caller may retry at another server, and is advised to avoid this one for
+   * the longest Retry-After duration.
    */
   void reject(TrackedRequest request) {
     boolean onlyThisServer =
-        context.isDraining() || faults.runsFail() || context.isWarmingUp() || isStuck();
-    long longest = maxRetryAfter();
-    long byFilter = longest * ladder.filter() / (2 * FilterLadder.INNER_FILTERS);
-    host.rejectRequest(request.id(), !onlyThisServer, onlyThisServer ? longest : byFilter);
+        context.isDraining() || faults.areRunsFailing() || context.isWarmingUp() || isStuck();
+    long maxRetryAfter = maxRetryAfter();
+    long retryAfterByFilter = maxRetryAfter * ladder.filter() / (2 * FilterLadder.INNER_FILTERS);
+    host.rejectRequest(
+        request.id(), !onlyThisServer, onlyThisServer ? maxRetryAfter : retryAfterByFilter);
     requests.markRejected(request);
     if (keys.forget(request.id())) {
       host.forgetKey(request.id());
@@ -58,27 +60,27 @@
     return settings.signals().retryAfterHonoured() ? settings.signals().maxRetryAfter() : 0;
   }
 
-  /** Whether the cores are full of runs that all are far past their expected core time. */
+  /** Returns whether all cores are busy with runs that are far beyond their expected core time. */
   private boolean isStuck() {
     return clock.running() >= context.cores()
-        && requests.all().stream()
+        && requests.openRequests().stream()
             .allMatch(request -> !request.is(State.RUNNING) || costs.isStuck(request));
   }
 
-  /** Answers a request with a failure and stops its run where that is possible. */
+  /** Answers a request with a failure and stops its run if possible. */
   void fail(TrackedRequest request) {
     host.failRequest(request.id());
     request.markAnswered();
     stop(request);
     if (request.is(State.CALLING)) {
-      calls.abandoned();
+      calls.recordAbandoned();
       request.moveTo(State.AWAITING_CALL);
     } else if (!request.is(State.RUNNING) && !request.is(State.AWAITING_CALL)) {
       close(request);
     }
   }
 
-  /** Ends a request for which nobody waits any longer, at once where no run has to end first. */
+  /** Ends a request whose caller no longer waits; at once, unless its run has to end first. */
   void cancel(TrackedRequest request) {
     request.markAnswered();
     stop(request);
@@ -93,16 +95,20 @@
     }
   }
 
-  /** Removes a request that holds nothing any longer. */
+  /**
+   * Removes a request and releases the core and the memory that it holds. Has no effect on a
+   * request that was removed before.
+   */
   void close(TrackedRequest request) {
     if (!requests.remove(request)) {
       return;
     }
     clock.leave(request);
-    if (request.is(State.CALLING)) { // its run was cut off: the dependency does not know yet
-      calls.abandoned();
+    // A run that ends during a call leaves the call to the dependency, which does not know yet.
+    if (request.is(State.CALLING)) {
+      calls.recordAbandoned();
     }
-    double runKb = request.everRan() ? memory.additionalRunKb(request) : 0;
+    double runKb = request.hasStarted() ? memory.additionalRunKb(request) : 0;
     memory.release(request.request().memoryKb() + runKb);
   }
 }
--- a/src/main/java/mothwing/overload/RequestTable.java
+++ b/src/main/java/mothwing/overload/RequestTable.java
@@ -9,7 +9,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The open requests in the order in which they were read, and those rejected in this batch. */
+/**
+ * Holds the open requests in the order in which they were read, and the requests rejected in the
+ * current batch.
+ */
 final class RequestTable {
   private final Map<String, TrackedRequest> open = new LinkedHashMap<>();
   private final Set<String> rejectedInBatch = new HashSet<>();
@@ -18,7 +21,7 @@
     open.put(request.id(), request);
   }
 
-  /** Returns an open request, or null where it has ended or was never read. */
+  /** Returns an open request, or null if it has ended or was never read. */
   TrackedRequest find(String requestId) {
     return open.get(requestId);
   }
@@ -27,22 +30,22 @@
     return open.containsKey(requestId);
   }
 
-  /** Removes a request; returns whether it was open. */
+  /** Removes a request and returns whether it was open. */
   boolean remove(TrackedRequest request) {
     return open.remove(request.id()) != null;
   }
 
-  /** A view of the open requests. */
-  Collection<TrackedRequest> all() {
+  /** Returns a read-only view of the open requests. */
+  Collection<TrackedRequest> openRequests() {
     return Collections.unmodifiableCollection(open.values());
   }
 
-  /** A copy of the open requests, for loops that end some of them. */
+  /** Returns a copy of the open requests, for loops that end some of them. */
   List<TrackedRequest> snapshot() {
     return new ArrayList<>(open.values());
   }
 
-  /** Marks a request as rejected: a repeat of it in the same batch may run. */
+  /** Marks a request as rejected in this batch, so that a repeat in the same batch may run. */
   void markRejected(TrackedRequest request) {
     rejectedInBatch.add(request.id());
   }
@@ -51,7 +54,7 @@
     return rejectedInBatch.contains(requestId);
   }
 
-  /** Ends the batch. */
+  /** Ends the batch and clears its rejections. */
   void endBatch() {
     rejectedInBatch.clear();
   }
--- a/src/main/java/mothwing/overload/RunScheduler.java
+++ b/src/main/java/mothwing/overload/RunScheduler.java
@@ -6,7 +6,7 @@
 import mothwing.control.GaugeSample;
 import mothwing.overload.TrackedRequest.State;
 
-/** Starts and resumes runs in the order of priority, within the concurrency limit and memory. */
+/** Starts and resumes runs in priority order, within the concurrency limit and the memory. */
 final class RunScheduler {
   private final ControllerContext context;
   private final ControllerHost host;
@@ -34,10 +34,10 @@
     limit = new ConcurrencyLimit(context.cores());
   }
 
-  /** Starts what may run now. */
-  void startWaiting() {
+  /** Starts the waiting runs that may start now. */
+  void startWaitingRuns() {
     List<TrackedRequest> waiting = new ArrayList<>();
-    for (TrackedRequest request : requests.all()) {
+    for (TrackedRequest request : requests.openRequests()) {
       if (!request.isAnswered() && (request.is(State.HELD) || request.is(State.PAUSED))) {
         order.update(request);
         waiting.add(request);
@@ -45,17 +45,20 @@
     }
     waiting.sort(PriorityOrder.HIGHEST_FIRST);
     for (TrackedRequest request : waiting) {
-      if (isFull()) {
+      if (isAtLimit()) {
         return;
       }
-      if (request.everRan() || hasMemory(request)) {
+      if (request.hasStarted() || hasMemory(request)) {
         start(request);
       }
     }
   }
 
-  /** Whether no run may start; half of the runs at a call are taken to return to the cores soon. */
-  private boolean isFull() {
+  /**
+   * Returns whether no run may start; half of the runs at a call are expected to return to the
+   * cores soon.
+   */
+  private boolean isAtLimit() {
     return clock.running() + calls.outstanding() / 2 >= maxRunning();
   }
 
@@ -72,23 +75,26 @@
 
   private void start(TrackedRequest request) {
     host.startRun(request.id());
-    if (!request.everRan()) {
-      request.markRan();
+    if (!request.hasStarted()) {
+      request.markStarted();
       memory.reserve(memory.additionalRunKb(request));
     }
     clock.enter(request);
   }
 
-  /** Runs that the concurrency limit allows beyond those that run. */
+  /**
+   * Returns the number of runs that the concurrency limit allows in addition to the current ones.
+   */
   int freeSlots() {
     return Math.max(0, limit.limit() - clock.running());
   }
 
-  /** Adapts the concurrency limit to a sample that was taken. */
-  void adaptLimit(LoadMonitor monitor, GaugeSample sample) {
-    boolean measured = sample.isKnown() || context.settings().machine().gaugeNames().isEmpty();
-    if (measured) {
-      limit.sampled(
+  /** Updates the concurrency limit from a sample. */
+  void updateLimit(LoadMonitor monitor, GaugeSample sample) {
+    boolean hasMeasurement =
+        sample.isKnown() || context.settings().machine().gaugeNames().isEmpty();
+    if (hasMeasurement) {
+      limit.updateFromSample(
           monitor.samplePeriods(),
           monitor.utilization(),
           isRunWaiting(),
@@ -98,7 +104,7 @@
       return;
     }
     boolean startsToShrink =
-        limit.unsampled(
+        limit.updateWithoutSample(
             monitor.samplePeriods(), sample.age(), context.samplePeriod(), context.cores());
     if (startsToShrink) {
       host.log(
@@ -109,10 +115,10 @@
     }
   }
 
-  /** Whether the limit alone keeps a request from running. */
+  /** Returns whether the limit alone keeps a request from running. */
   private boolean isRunWaiting() {
     return clock.running() >= limit.limit()
-        && requests.all().stream()
+        && requests.openRequests().stream()
             .anyMatch(request -> request.is(State.HELD) && !request.isAnswered());
   }
 }
--- a/src/main/java/mothwing/overload/SlowdownEstimator.java
+++ b/src/main/java/mothwing/overload/SlowdownEstimator.java
@@ -1,57 +1,62 @@
 package mothwing.overload;
 
 /**
- * Estimates how much slower than usual the machine is: the core time spent of late over the core
- * time that the completed work usually costs. Runs in progress count as spent core time, so that a
- * machine that slows down is seen within seconds. All core times are microseconds.
+ * Estimates how much slower than usual the machine is: the ratio of the core time spent recently to
+ * the usual core time of the completed work. The core time of runs in progress counts as spent, so
+ * that a slowdown of the machine is detected within seconds. All core times are microseconds.
  */
 final class SlowdownEstimator {
-  /** Time over which core time is averaged; the learned call time fades over the same. */
+  /**
+   * Seconds over which core time is averaged; the average call duration fades over the same time.
+   */
   static final double AVERAGING_SECONDS = 3;
 
-  /** Core time for each core that is assumed at the usual speed, against single odd runs. */
+  /**
+   * Core time per core that is assumed at the usual speed, to limit the effect of single unusual
+   * runs.
+   */
   private static final double PRIOR_SECONDS = 0.5;
 
-  /** Ratio of present to usual core time below which a difference is taken for chance. */
+  /** Ratio of current to usual core time up to which the difference is attributed to chance. */
   private static final double MIN_SLOWDOWN_RATIO = 2;
 
-  /** Runs that the usual core time must rest on. */
+  /** Number of runs on which the usual core time must be based. */
   private static final int MIN_RUNS = 20;
 
   private double spent;
   private double completed;
   private double slowdown = 1;
 
-  /** Counts the core time of a run that was not counted before. */
+  /** Adds the core time of a run that was not counted before. */
   void countSpent(TrackedRequest request, double used) {
     spent += request.countCoreTime(used);
   }
 
-  /** Counts the usual core time of a run that succeeded. */
+  /** Adds the usual core time of a run that succeeded. */
   void countCompleted(double usual) {
     completed += usual;
   }
 
-  /** Lets what was counted fade. */
+  /** Fades the counted core times. */
   void fade(double seconds) {
-    double kept = Math.max(0, 1 - seconds / AVERAGING_SECONDS);
-    spent *= kept;
-    completed *= kept;
+    double retainedRatio = Math.max(0, 1 - seconds / AVERAGING_SECONDS);
+    spent *= retainedRatio;
+    completed *= retainedRatio;
   }
 
   /**
-   * Sets the slowdown from what is counted.
+   * Updates the slowdown from the counted core times.
    *
    * @param cores the number of cores
-   * @param runs successful runs of all classes
+   * @param runs number of successful runs of all classes
    */
   void update(int cores, int runs) {
-    double prior = PRIOR_SECONDS * ControllerContext.SECOND_MICROS * cores;
+    double prior = PRIOR_SECONDS * ControllerContext.MICROS_PER_SECOND * cores;
     double ratio = (spent + prior) / (completed + prior);
     slowdown = ratio > MIN_SLOWDOWN_RATIO && runs > MIN_RUNS ? ratio : 1;
   }
 
-  /** Present core time over usual core time, 1 where the machine is not slow. */
+  /** Returns the ratio of current to usual core time, 1 if the machine is not slow. */
   double slowdown() {
     return slowdown;
   }
--- a/src/main/java/mothwing/overload/TrackedRequest.java
+++ b/src/main/java/mothwing/overload/TrackedRequest.java
@@ -5,39 +5,39 @@
 import mothwing.control.RequestClass;
 
 /**
- * A request that has no answer yet, or whose run still holds a core or memory. Times are
+ * A request that is not answered yet, or whose run still holds a core or memory. Times are
  * microseconds of the controller's clock, core times are microseconds of one core.
  *
- * <p>Legal transitions of the state:
+ * <p>State transitions:
  *
  * <ul>
- *   <li>HELD to RUNNING when its run starts, to REPLAYING when it repeats a remembered request
+ *   <li>HELD to RUNNING when its run starts, to REPLAYING if it repeats a remembered request
  *   <li>RUNNING to AWAITING_CALL at a dependency call, to PAUSED or HELD when its run is stopped
  *   <li>PAUSED to RUNNING when its run is resumed
- *   <li>AWAITING_CALL to CALLING when the call is made, to RUNNING when the call is left out
+ *   <li>AWAITING_CALL to CALLING when the call starts, to RUNNING when the call is skipped
  *   <li>CALLING to RUNNING when the call succeeds, to AWAITING_CALL when it fails or is abandoned
  * </ul>
  *
- * <p>A request that was answered never leaves its state for a new run. Events are never rejected
- * for their state: what an unexpected event does is up to the part that takes it.
+ * <p>An answered request never starts another run. This class does not check transitions: the
+ * component that receives an unexpected event decides how to handle it.
  */
 final class TrackedRequest {
-  /** Share of the latency objective that a run is taken to need where no estimate came with it. */
+  /** Core time of a run without an estimate, as a share of its latency objective. */
   private static final double DEFAULT_WORK_RATIO = 0.15;
 
-  /** What a request is doing. */
+  /** The state of a request. */
   enum State {
-    /** It waits for its run to start. */
+    /** The request waits for its run to start. */
     HELD,
-    /** Its run holds a share of the cores. */
+    /** The run holds a share of the cores. */
     RUNNING,
-    /** Its run is suspended and can be resumed. */
+    /** The run is suspended and can be resumed. */
     PAUSED,
-    /** Its run waits for leave to call the dependency. */
+    /** The run waits for permission to call the dependency. */
     AWAITING_CALL,
-    /** Its dependency call is in flight. */
+    /** The dependency call is in flight. */
     CALLING,
-    /** It waits for the result of the request that it repeats. */
+    /** The request waits for the result of the request that it repeats. */
     REPLAYING
   }
 
@@ -51,7 +51,7 @@
   private long dueAt;
   private State state = State.HELD;
   private boolean answered;
-  private boolean everRan;
+  private boolean started;
   private double coreTimeUsed;
   private double coreClockAtEntry;
   private double coreTimeCounted;
@@ -91,32 +91,32 @@
     return arrivedAt;
   }
 
-  /** The end of the latency objective. */
+  /** Returns the end of the latency objective. */
   long objectiveAt() {
     return objectiveAt;
   }
 
-  /** When the answer must be written at the latest. */
+  /** Returns the time by which the answer must be written. */
   long dueAt() {
     return dueAt;
   }
 
-  /** Brings the due time forward to a time, unless it is earlier already. */
-  void dueBefore(long latest) {
+  /** Brings the due time forward to the given time, unless it is earlier already. */
+  void limitDueAt(long latest) {
     dueAt = Math.min(dueAt, latest);
   }
 
-  /** Until when an answer earns any of the priority weight. */
+  /** Returns the time until which an answer earns any of the priority weight. */
   long valuableUntil() {
     return requestClass.lateWeightRatio() > 0 ? dueAt : Math.min(objectiveAt, dueAt);
   }
 
-  /** Expected core time before it is corrected by what was learned of the class. */
+  /** Returns the estimated core time, not corrected by the statistics of the class. */
   double estimatedWork() {
     return estimatedWork;
   }
 
-  /** Whether its tenant had used up its quota when it was read. */
+  /** Returns whether the tenant had used up its quota when the request was read. */
   boolean isOverQuota() {
     return overQuota;
   }
@@ -129,8 +129,8 @@
     return requestClass.callsDependency();
   }
 
-  /** Whether an answer without its dependency call earns anything. */
-  boolean mayLeaveCallOut() {
+  /** Returns whether an answer without the dependency call earns any of the priority weight. */
+  boolean maySkipCall() {
     return requestClass.degradedWeightRatio() > 0;
   }
 
@@ -146,7 +146,7 @@
     state = next;
   }
 
-  /** Whether it has its answer, or nobody waits for one. */
+  /** Returns whether the request is answered, or its caller no longer waits for an answer. */
   boolean isAnswered() {
     return answered;
   }
@@ -155,17 +155,18 @@
     answered = true;
   }
 
-  /** Whether its run was ever started. */
-  boolean everRan() {
-    return everRan;
+  /** Returns whether the run was ever started. */
+  boolean hasStarted() {
+    return started;
   }
 
-  void markRan() {
-    everRan = true;
+  void markStarted() {
+    started = true;
   }
 
   /**
-   * The weight of an answer by which requests are ordered; set when it is read and when it waits.
+   * Returns the priority by which requests are ordered. It is set when the request is read, and
+   * updated while it waits.
    */
   double priority() {
     return priority;
@@ -175,60 +176,65 @@
     priority = newPriority;
   }
 
-  /** Core time of its run at a reading of the processor sharing clock. */
+  /** Returns the core time of the run at a reading of the processor sharing clock. */
   double coreTimeUsed(double coreClock) {
     return coreTimeUsed + (state == State.RUNNING ? coreClock - coreClockAtEntry : 0);
   }
 
-  /** Core time up to the last time that its run left the cores. */
+  /** Returns the core time up to the last time that the run left the cores. */
   double settledCoreTime() {
     return coreTimeUsed;
   }
 
-  /** Its run takes a share of the cores. */
+  /** Records that the run takes a share of the cores. */
   void enterCore(double coreClock) {
     state = State.RUNNING;
     coreClockAtEntry = coreClock;
   }
 
-  /** Adds the core time since its run took a share of the cores. */
+  /** Adds the core time since the run took a share of the cores. */
   void settleCoreTime(double coreClock) {
     coreTimeUsed += coreClock - coreClockAtEntry;
   }
 
-  /** Takes the measured duration of the run where the end of the run was reported late. */
+  /**
+   * Replaces the core time by the measured duration of the run if the end of the run was reported
+   * late.
+   */
   void correctCoreTime(long measuredMicros, long toleranceMicros) {
     if (measuredMicros > 0 && coreTimeUsed - measuredMicros > toleranceMicros) {
       coreTimeUsed = measuredMicros;
     }
   }
 
-  /** Returns the core time that was not counted before, and counts it. */
+  /** Returns the core time that was not counted before, and marks it as counted. */
   double countCoreTime(double used) {
     double uncounted = Math.max(0, used - coreTimeCounted);
     coreTimeCounted = Math.max(used, coreTimeCounted);
     return uncounted;
   }
 
-  /** Its run reaches a dependency call. */
+  /** Records that the run has reached a dependency call. */
   void awaitCall(long now) {
     state = State.AWAITING_CALL;
     call.reach(now);
   }
 
-  /** An attempt of its call starts. */
+  /** Records the start of an attempt of the current call. */
   void startCall(long now) {
     state = State.CALLING;
     call.startAttempt(now);
   }
 
-  /** An attempt of its call failed; the next one is made at the given time at the earliest. */
+  /**
+   * Records the failure of an attempt of the current call, and the earliest start of the next one.
+   */
   void retryCallAt(long at) {
     state = State.AWAITING_CALL;
     call.retryAt(at);
   }
 
-  /** Its dependency calls. */
+  /** Returns the progress of the dependency calls. */
   CallProgress call() {
     return call;
   }
--- a/src/main/java/mothwing/overload/TrafficBucket.java
+++ b/src/main/java/mothwing/overload/TrafficBucket.java
@@ -1,8 +1,8 @@
 package mothwing.overload;
 
 /**
- * The traffic of one class within, or over, its tenants' quotas: how much is offered, and the token
- * bucket that the filter in force fills. Work is expected core time in microseconds.
+ * Measures the traffic of one class within, or over, its tenants' quotas, and limits it by a token
+ * bucket. Work is expected core time in microseconds.
  */
 final class TrafficBucket {
   /** Seconds of rate that a full bucket holds: about one latency objective. */
@@ -11,7 +11,7 @@
   /** Seconds over which the offered work is averaged. */
   private static final double OFFERED_SECONDS = 8;
 
-  /** Seconds over which arrivals are averaged: as long as work waits at most. */
+  /** Seconds over which arrivals are averaged: the longest time that work waits. */
   private static final double ARRIVING_SECONDS = 1;
 
   private final int classIndex;
@@ -37,30 +37,33 @@
    * Counts a request that was read.
    *
    * @param expected its expected core time
-   * @param estimated its estimated work, before it is corrected by what was learned
+   * @param estimated its estimated core time, not corrected by the statistics of the class
    */
   void offer(double expected, double estimated) {
     offeredWork += expected;
     arrivingWork += estimated;
   }
 
-  /** Work offered, in cores. */
+  /** Returns the rate of the offered work, in cores. */
   double offeredRate() {
-    return offeredWork / OFFERED_SECONDS / ControllerContext.SECOND_MICROS;
+    return offeredWork / OFFERED_SECONDS / ControllerContext.MICROS_PER_SECOND;
   }
 
-  /** Estimated work that arrived of late. */
+  /** Returns the estimated work that arrived recently. */
   double arrivingWork() {
     return arrivingWork;
   }
 
-  /** Turns work that arrived of late into a rate of work, in cores. */
+  /** Converts recently arrived work into a rate, in cores. */
   static double arrivalRate(double arrivingWork) {
-    return arrivingWork / ARRIVING_SECONDS / ControllerContext.SECOND_MICROS;
+    return arrivingWork / ARRIVING_SECONDS / ControllerContext.MICROS_PER_SECOND;
   }
 
-  /** Takes tokens for work, into debt at most once; returns whether the bucket had any. */
-  boolean take(double work) {
+  /**
+   * Takes tokens for work if the bucket has any, and returns whether it had. A single request may
+   * leave the bucket in debt.
+   */
+  boolean tryTake(double work) {
     if (tokens <= 0) {
       return false;
     }
@@ -68,9 +71,11 @@
     return true;
   }
 
-  /** Fills the bucket at a rate in cores for some seconds, and lets the averages fade. */
-  void advance(double cores, double seconds) {
-    double rate = cores * ControllerContext.SECOND_MICROS;
+  /**
+   * Refills the bucket at a rate in cores for the given number of seconds, and fades the averages.
+   */
+  void refill(double cores, double seconds) {
+    double rate = cores * ControllerContext.MICROS_PER_SECOND;
     tokens = Math.min(rate * BUCKET_SECONDS, tokens + rate * seconds);
     offeredWork *= 1 - seconds / OFFERED_SECONDS;
     arrivingWork *= Math.max(0, 1 - seconds / ARRIVING_SECONDS);
--- a/src/main/java/mothwing/overload/WeightedMaxMinAllocation.java
+++ b/src/main/java/mothwing/overload/WeightedMaxMinAllocation.java
@@ -3,19 +3,19 @@
 import java.util.List;
 
 /**
- * The weighted max-min allocation of a rate: every demand gets its minimum, the rest goes by weight
- * up to what each demand wants, and what nobody wants is divided evenly.
+ * Weighted max-min allocation of a rate. Every demand gets its minimum; the remainder is shared by
+ * weight, up to the wanted rate of each demand; a surplus is divided evenly.
  */
 final class WeightedMaxMinAllocation {
-  /** Share of the rate that is divided into minimums before the weights count. */
+  /** Share of the rate that is divided into minimums before the weights apply. */
   private static final double MINIMUM_RATIO = 0.1;
 
   /**
-   * One demand.
+   * A demand for a part of the rate.
    *
    * @param wanted the rate that it could use
-   * @param weight its weight against the others
-   * @param hasMinimum whether it gets a minimum; half of all demands are taken to have one
+   * @param weight its weight relative to the other demands
+   * @param hasMinimum whether it gets a minimum; assumed to hold for half of all demands
    */
   record Demand(double wanted, double weight, boolean hasMinimum) {}
 
@@ -24,43 +24,44 @@
   /**
    * Allocates a rate.
    *
-   * @param rate what is allocated, in the unit of the demands
+   * @param rate the rate to allocate, in the unit of the demands
    * @param demands the demands
    * @return the rate of each demand, in their order
    */
   static double[] allocate(double rate, List<Demand> demands) {
-    double[] given = new double[demands.size()];
-    double rest = rate;
-    for (int i = 0; i < given.length; i++) {
+    double[] allocated = new double[demands.size()];
+    double remainder = rate;
+    for (int i = 0; i < allocated.length; i++) {
       Demand demand = demands.get(i);
-      double minimum = demand.hasMinimum() ? 2 * rate * MINIMUM_RATIO / given.length : 0;
-      given[i] = Math.min(demand.wanted(), minimum);
-      rest -= given[i];
+      double minimum = demand.hasMinimum() ? 2 * rate * MINIMUM_RATIO / allocated.length : 0;
+      allocated[i] = Math.min(demand.wanted(), minimum);
+      remainder -= allocated[i];
     }
-    for (int pass = 0; pass < given.length && rest > 0; pass++) {
-      rest = shareByWeight(rest, demands, given);
+    for (int pass = 0; pass < allocated.length && remainder > 0; pass++) {
+      remainder = shareByWeight(remainder, demands, allocated);
     }
-    for (int i = 0; i < given.length; i++) {
-      given[i] += Math.max(0, rest) / given.length;
+    for (int i = 0; i < allocated.length; i++) {
+      allocated[i] += Math.max(0, remainder) / allocated.length;
     }
-    return given;
+    return allocated;
   }
 
-  /** Shares the rest among the demands that want more; returns what is left of it. */
-  private static double shareByWeight(double rest, List<Demand> demands, double[] given) {
+  /** Shares the remainder among the demands that want more, and returns the unused part of it. */
+  private static double shareByWeight(double remainder, List<Demand> demands, double[] allocated) {
     double weights = 0;
-    for (int i = 0; i < given.length; i++) {
-      weights += given[i] < demands.get(i).wanted() ? demands.get(i).weight() : 0;
+    for (int i = 0; i < allocated.length; i++) {
+      weights += allocated[i] < demands.get(i).wanted() ? demands.get(i).weight() : 0;
     }
-    double left = rest;
-    for (int i = 0; i < given.length && weights > 0; i++) {
+    double unused = remainder;
+    for (int i = 0; i < allocated.length && weights > 0; i++) {
       Demand demand = demands.get(i);
-      if (given[i] < demand.wanted()) {
-        double more = Math.min(demand.wanted() - given[i], rest * demand.weight() / weights);
-        given[i] += more;
-        left -= more;
+      if (allocated[i] < demand.wanted()) {
+        double increment =
+            Math.min(demand.wanted() - allocated[i], remainder * demand.weight() / weights);
+        allocated[i] += increment;
+        unused -= increment;
       }
     }
-    return left;
+    return unused;
   }
 }
--- a/src/test/java/mothwing/overload/AdmissionFilterTest.java
+++ b/src/test/java/mothwing/overload/AdmissionFilterTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class AdmissionFilterTest {
-  private static final long SAMPLE = 30_000;
+  private static final long SAMPLE_PERIOD = 30_000;
 
   private final Settings settings = Fixtures.settings("save", "one");
   private final ControllerContext context = new ControllerContext(settings);
@@ -24,16 +24,16 @@
     return Fixtures.request(settings, "one", classIndex);
   }
 
-  /** Steps the ladder up, a sojourn apart. */
+  /** Steps the ladder to tighter filters, one sojourn apart. */
   private void tighten(int steps) {
     for (int i = 1; i <= steps; i++) {
-      context.moveTo(context.now() + 10 * SAMPLE);
-      ladder.step(context.now(), LoadIndex.OVERLOADED, 0.3, SAMPLE);
+      context.moveTo(context.now() + 10 * SAMPLE_PERIOD);
+      ladder.step(context.now(), LoadIndex.MIN_OVERLOADED_INDEX, 0.3, SAMPLE_PERIOD);
     }
   }
 
   @Test
-  void theFirstFilterAdmitsEverythingAndTheLastNothing() {
+  void firstFilterAdmitsEverythingAndLastFilterNothing() {
     for (int i = 0; i < 100; i++) {
       assertTrue(filter.admit(request(0)));
     }
@@ -43,7 +43,7 @@
   }
 
   @Test
-  void anEmptyBucketRejectsOnlyItsOwnClass() {
+  void emptyBucketRejectsOnlyItsOwnClass() {
     tighten(1);
     filter.refill(0.1);
     int admitted = 0;
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void theBucketsOfAClassStayWithItsName() {
+  void classKeepsItsBucketsWhileItsNameIsUnchanged() {
     tighten(1);
     filter.refill(0.1);
     filter.apply(settings, Fixtures.settings("other", "one"));
--- a/src/test/java/mothwing/overload/ConcurrencyCeilingTest.java
+++ b/src/test/java/mothwing/overload/ConcurrencyCeilingTest.java
@@ -11,16 +11,16 @@
   private final ConcurrencyCeiling ceiling = new ConcurrencyCeiling(context);
 
   @Test
-  void growsWithTheSpeedOfAServerInSlowStart() {
-    assertEquals((1 + 3 * 0.25) * Fixtures.CORES, ceiling.survivable(), 1e-9);
+  void growsWithServerSpeedDuringSlowStart() {
+    assertEquals((1 + 3 * 0.25) * Fixtures.CORES, ceiling.toleratedConcurrency(), 1e-9);
     context.moveTo(5 * Fixtures.SECOND);
-    assertEquals((1 + 3 * 0.625) * Fixtures.CORES, ceiling.survivable(), 1e-9);
+    assertEquals((1 + 3 * 0.625) * Fixtures.CORES, ceiling.toleratedConcurrency(), 1e-9);
     context.moveTo(20 * Fixtures.SECOND);
-    assertEquals(4 * Fixtures.CORES, ceiling.survivable(), 1e-9);
+    assertEquals(4 * Fixtures.CORES, ceiling.toleratedConcurrency(), 1e-9);
   }
 
   @Test
-  void isExceededByTheAverageNotByAMoment() {
+  void isExceededByAverageNotByMomentaryConcurrency() {
     ceiling.advance(1_000, 100);
     assertFalse(ceiling.isExceeded());
     ceiling.advance(Fixtures.SECOND, 100);
--- a/src/test/java/mothwing/overload/Parts.java
+++ b/src/test/java/mothwing/overload/ControllerFixture.java
@@ -6,8 +6,11 @@
 import mothwing.control.ControllerHost;
 import mothwing.control.Settings;
 
-/** The parts of a controller, wired for the test of one of them, with a host that keeps a list. */
-final class Parts {
+/**
+ * The components of a controller, connected for the tests of single components, with a host that
+ * records the actions.
+ */
+final class ControllerFixture {
   final List<String> actions = new ArrayList<>();
   final Settings settings = Fixtures.settings("save", "one");
   final ControllerContext context = new ControllerContext(settings);
@@ -33,18 +36,18 @@
       new DependencyCallScheduler(state, ceiling, limiter, faults, completion);
   final DeadlineEnforcer enforcer = new DeadlineEnforcer(context, requests, deadlines, completion);
 
-  Parts() {
+  ControllerFixture() {
     memory.apply(settings.machine());
     faults.apply(settings);
     costs.apply(settings, settings);
     filter.apply(settings, settings);
   }
 
-  /** A host that notes the name of each action and its first argument. */
+  /** Creates a host that records the name of each action and its first argument. */
   private ControllerHost host() {
     return (ControllerHost)
         Proxy.newProxyInstance(
-            Parts.class.getClassLoader(),
+            ControllerFixture.class.getClassLoader(),
             new Class<?>[] {ControllerHost.class},
             (proxy, method, arguments) -> {
               actions.add(method.getName() + " " + arguments[0]);
@@ -52,7 +55,9 @@
             });
   }
 
-  /** A held request of the class that calls (0) or the one that does not (1). */
+  /**
+   * Adds a held request of the class that calls the dependency (0) or of the one that does not (1).
+   */
   TrackedRequest hold(String id, int classIndex) {
     TrackedRequest request = Fixtures.request(settings, id, classIndex);
     order.assign(request);
@@ -61,7 +66,7 @@
     return request;
   }
 
-  /** A request whose run has reached a dependency call. */
+  /** Adds a request whose run has reached a dependency call. */
   TrackedRequest awaitCall(String id) {
     TrackedRequest request = hold(id, 0);
     clock.enter(request);
--- a/src/test/java/mothwing/overload/CostEstimatorTest.java
+++ b/src/test/java/mothwing/overload/CostEstimatorTest.java
@@ -33,14 +33,14 @@
   }
 
   @Test
-  void theFirstRunOfAClassCountsInFull() {
+  void firstRunOfClassCountsInFull() {
     run(0, 3 * ESTIMATED);
     assertEquals(3 * ESTIMATED, expected(0), 1);
     assertEquals(ESTIMATED, expected(1), 1, "the other class has no run yet");
   }
 
   @Test
-  void aNewClassStartsWithTheCostsOfAllAndAKnownOneKeepsItsOwn() {
+  void newClassStartsWithOverallCostsAndUnchangedClassKeepsItsOwn() {
     run(0, 3 * ESTIMATED);
     run(1, ESTIMATED);
     costs.apply(settings, Fixtures.settings("other", "one"));
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void runsInProgressShowASlowdownWithoutChangingTheUsualCost() {
+  void runsInProgressRevealSlowdownWithoutChangingUsualCost() {
     for (int i = 0; i < 30; i++) {
       run(1, ESTIMATED);
     }
@@ -61,11 +61,12 @@
     clock.advance(10 * 4 * ESTIMATED, Fixtures.CORES);
     costs.updateSlowdown(3, hanging);
     assertEquals(ESTIMATED, costs.usual(hanging.get(0)), 1);
-    assertEquals(9 * ESTIMATED, expected(1), 1, "8 s spent for nothing, beside a prior of 1 s");
+    assertEquals(
+        9 * ESTIMATED, expected(1), 1, "8 s spent without a completed run, and a prior of 1 s");
   }
 
   @Test
-  void aRunPastItsExpectedCoreTimeStillHasSomeLeft() {
+  void runBeyondItsExpectedCoreTimeHasRemainingCoreTime() {
     TrackedRequest request = Fixtures.request(settings, "long", 1);
     clock.enter(request);
     clock.advance(ESTIMATED / 2, Fixtures.CORES);
--- a/src/test/java/mothwing/overload/DeadlineAdmissionTest.java
+++ b/src/test/java/mothwing/overload/DeadlineAdmissionTest.java
@@ -9,42 +9,44 @@
 
 class DeadlineAdmissionTest {
   private static final int CALLING = 0;
-  private static final int OTHER = 1;
+  private static final int NOT_CALLING = 1;
 
-  private final Parts parts = new Parts();
+  private final ControllerFixture fixture = new ControllerFixture();
 
-  /** Makes the cores busy, so that only answers within the latency objective are sought. */
+  /**
+   * Occupies the cores, so that only answers within the latency objective are worth running for.
+   */
   private void fillCores() {
     for (int i = 0; i < Fixtures.CORES; i++) {
-      parts.clock.enter(Fixtures.request(parts.settings, "busy" + i, OTHER));
+      fixture.clock.enter(Fixtures.request(fixture.settings, "busy" + i, NOT_CALLING));
     }
-    parts.monitor.beginSample(10 * Fixtures.SECOND);
-    parts.monitor.measureCores(GaugeSample.absent(1));
+    fixture.monitor.beginSample(10 * Fixtures.SECOND);
+    fixture.monitor.measureUtilization(GaugeSample.absent(1));
   }
 
   @Test
-  void countsOnlyWorkOfNoLowerPriority() {
+  void countsOnlyWorkOfSameOrHigherPriority() {
     fillCores();
     for (int i = 0; i < 20; i++) {
-      parts.hold("low" + i, CALLING);
+      fixture.hold("low" + i, CALLING);
     }
-    assertTrue(parts.deadlines.canMeet(parts.hold("high", OTHER)));
-    assertFalse(parts.deadlines.canMeet(parts.hold("low", CALLING)));
+    assertTrue(fixture.deadlines.canMeet(fixture.hold("high", NOT_CALLING)));
+    assertFalse(fixture.deadlines.canMeet(fixture.hold("low", CALLING)));
   }
 
   @Test
-  void seeksLateAnswersOnlyOnIdleCores() {
-    TrackedRequest request = parts.hold("one", OTHER);
-    assertEquals(request.valuableUntil(), parts.deadlines.soughtUntil(request));
+  void runsForLateAnswersOnlyOnIdleCores() {
+    TrackedRequest request = fixture.hold("one", NOT_CALLING);
+    assertEquals(request.valuableUntil(), fixture.deadlines.latestUsefulAnswerAt(request));
     fillCores();
-    assertEquals(request.objectiveAt(), parts.deadlines.soughtUntil(request));
+    assertEquals(request.objectiveAt(), fixture.deadlines.latestUsefulAnswerAt(request));
   }
 
   @Test
-  void reservesMoreTimeForARunOnBusyCores() {
-    TrackedRequest request = parts.hold("one", OTHER);
-    assertEquals(0.3 * parts.costs.expected(request), parts.deadlines.runTime(request), 1);
+  void reservesMoreTimeForRunOnBusyCores() {
+    TrackedRequest request = fixture.hold("one", NOT_CALLING);
+    assertEquals(0.3 * fixture.costs.expected(request), fixture.deadlines.runTime(request), 1);
     fillCores();
-    assertEquals(1.3 * parts.costs.expected(request), parts.deadlines.runTime(request), 1);
+    assertEquals(1.3 * fixture.costs.expected(request), fixture.deadlines.runTime(request), 1);
   }
 }
--- a/src/test/java/mothwing/overload/DeadlineEnforcerTest.java
+++ b/src/test/java/mothwing/overload/DeadlineEnforcerTest.java
@@ -7,33 +7,33 @@
 import org.junit.jupiter.api.Test;
 
 class DeadlineEnforcerTest {
-  private final Parts parts = new Parts();
+  private final ControllerFixture fixture = new ControllerFixture();
 
   private void moveToMarginBefore(long dueAt) {
-    parts.context.moveTo(dueAt - parts.context.dueMargin());
+    fixture.context.moveTo(dueAt - fixture.context.dueMargin());
   }
 
   @Test
-  void rejectsWhatNeverRanAndFailsAndStopsWhatRuns() {
-    TrackedRequest held = parts.hold("held", 1);
-    TrackedRequest running = parts.hold("running", 1);
-    running.markRan();
-    parts.clock.enter(running);
+  void rejectsHeldRequestsAndFailsAndStopsRunningOnes() {
+    TrackedRequest held = fixture.hold("held", 1);
+    TrackedRequest running = fixture.hold("running", 1);
+    running.markStarted();
+    fixture.clock.enter(running);
     moveToMarginBefore(held.dueAt());
-    parts.enforcer.enforce();
+    fixture.enforcer.enforce();
     assertEquals(
-        List.of("rejectRequest held", "failRequest running", "stopRun running"), parts.actions);
-    assertTrue(parts.requests.contains("running"), "its run still holds a core");
-    parts.enforcer.enforce();
-    assertEquals(3, parts.actions.size(), "each is answered once");
+        List.of("rejectRequest held", "failRequest running", "stopRun running"), fixture.actions);
+    assertTrue(fixture.requests.contains("running"), "the run still holds a core");
+    fixture.enforcer.enforce();
+    assertEquals(3, fixture.actions.size(), "each request is answered once");
   }
 
   @Test
-  void leavesEverythingAloneBeforeItsMargin() {
-    TrackedRequest running = parts.hold("running", 1);
-    parts.clock.enter(running);
+  void leavesRequestsAloneBeforeDueMargin() {
+    TrackedRequest running = fixture.hold("running", 1);
+    fixture.clock.enter(running);
     moveToMarginBefore(running.dueAt() - 1);
-    parts.enforcer.enforce();
-    assertEquals(List.of(), parts.actions);
+    fixture.enforcer.enforce();
+    assertEquals(List.of(), fixture.actions);
   }
 }
--- a/src/test/java/mothwing/overload/DependencyCallLimiterTest.java
+++ b/src/test/java/mothwing/overload/DependencyCallLimiterTest.java
@@ -10,52 +10,52 @@
   private final ControllerContext context = Fixtures.context();
   private final DependencyCallLimiter limiter = new DependencyCallLimiter(context);
 
-  private void pass(long micros) {
+  private void advance(long micros) {
     limiter.advance((double) micros);
     context.moveTo(context.now() + micros);
     limiter.expireAbandoned();
   }
 
   @Test
-  void allowsTwiceTheQuotaAtOnce() {
+  void allowsTwiceTheQuotaInParallel() {
     assertTrue(limiter.mayStart());
-    limiter.started();
+    limiter.recordStart();
     assertTrue(limiter.mayStart());
-    limiter.started();
+    limiter.recordStart();
     assertFalse(limiter.mayStart());
   }
 
   @Test
-  void anAbandonedCallCountsUntilTheDependencyHasEndedIt() {
-    limiter.started();
-    limiter.abandoned();
+  void countsAbandonedCallUntilDependencyHasEndedIt() {
+    limiter.recordStart();
+    limiter.recordAbandoned();
     assertEquals(0, limiter.inFlight());
     assertEquals(1, limiter.outstanding());
-    pass(Fixtures.SECOND / 5);
+    advance(Fixtures.SECOND / 5);
     assertEquals(0, limiter.outstanding());
   }
 
   @Test
-  void callsThatHangUseUpTheCallTime() {
-    limiter.started();
-    pass(2 * Fixtures.SECOND);
+  void hangingCallsUseUpCallTime() {
+    limiter.recordStart();
+    advance(2 * Fixtures.SECOND);
     assertTrue(limiter.admissionCallTime() < 0);
     assertFalse(limiter.mayStart());
-    limiter.ended(0);
-    pass(5 * Fixtures.SECOND);
+    limiter.recordEnd(0);
+    advance(5 * Fixtures.SECOND);
     assertTrue(limiter.mayStart());
   }
 
   @Test
-  void learnsTheCallTimeAndForgetsItWhileNoCallIsInFlight() {
-    limiter.started();
-    pass(1_000);
-    limiter.ended(0);
+  void averagesCallDurationAndFadesItWhileNoCallIsInFlight() {
+    limiter.recordStart();
+    advance(1_000);
+    limiter.recordEnd(0);
     assertEquals(300, limiter.expectedCallTime(), 1e-9);
-    limiter.started();
+    limiter.recordStart();
     limiter.fade(1);
     assertEquals(300, limiter.expectedCallTime(), 1e-9);
-    limiter.ended(context.now());
+    limiter.recordEnd(context.now());
     limiter.fade(3);
     assertEquals(0, limiter.expectedCallTime(), 1e-9);
   }
--- a/src/test/java/mothwing/overload/DependencyCallSchedulerTest.java
+++ b/src/test/java/mothwing/overload/DependencyCallSchedulerTest.java
@@ -9,39 +9,39 @@
 import org.junit.jupiter.api.Test;
 
 class DependencyCallSchedulerTest {
-  private final Parts parts = new Parts();
+  private final ControllerFixture fixture = new ControllerFixture();
 
   @Test
-  void retriesACallAfterItsBackoffAndFailsTheRequestAfterFourAttempts() {
-    TrackedRequest request = parts.awaitCall("one");
+  void retriesCallAfterBackoffAndFailsRequestAfterFourAttempts() {
+    TrackedRequest request = fixture.awaitCall("one");
     for (int attempt = 1; attempt <= 4; attempt++) {
-      parts.calls.startWaiting();
+      fixture.calls.startWaitingCalls();
       assertTrue(request.is(State.CALLING));
-      parts.calls.ended(request, RunOutcome.REJECTED);
-      parts.calls.startWaiting();
-      assertEquals(attempt, request.call().attempts(), "not before the backoff");
-      long backoff = parts.context.samplePeriod() << attempt;
-      parts.context.moveTo(parts.context.now() + backoff);
+      fixture.calls.ended(request, RunOutcome.REJECTED);
+      fixture.calls.startWaitingCalls();
+      assertEquals(attempt, request.call().attempts(), "no attempt before the backoff has passed");
+      long backoff = fixture.context.samplePeriod() << attempt;
+      fixture.context.moveTo(fixture.context.now() + backoff);
     }
-    assertEquals("failRequest one", parts.actions.get(parts.actions.size() - 1));
+    assertEquals("failRequest one", fixture.actions.get(fixture.actions.size() - 1));
   }
 
   @Test
-  void aCallThatMayStillRunCountsAsOutstanding() {
-    TrackedRequest request = parts.awaitCall("one");
-    parts.calls.startWaiting();
-    parts.calls.ended(request, RunOutcome.TIMED_OUT);
-    assertEquals(1, parts.limiter.outstanding());
-    assertEquals(0, parts.limiter.inFlight());
+  void timedOutCallCountsAsOutstanding() {
+    TrackedRequest request = fixture.awaitCall("one");
+    fixture.calls.startWaitingCalls();
+    fixture.calls.ended(request, RunOutcome.TIMED_OUT);
+    assertEquals(1, fixture.limiter.outstanding());
+    assertEquals(0, fixture.limiter.inFlight());
   }
 
   @Test
-  void aSuccessfulCallReturnsItsRunToTheCores() {
-    TrackedRequest request = parts.awaitCall("one");
-    parts.calls.startWaiting();
-    parts.calls.ended(request, RunOutcome.SUCCEEDED);
+  void successfulCallReturnsItsRunToCores() {
+    TrackedRequest request = fixture.awaitCall("one");
+    fixture.calls.startWaitingCalls();
+    fixture.calls.ended(request, RunOutcome.SUCCEEDED);
     assertTrue(request.is(State.RUNNING));
-    assertEquals(1, parts.clock.running());
-    assertEquals(List.of("startCall one"), parts.actions);
+    assertEquals(1, fixture.clock.running());
+    assertEquals(List.of("startCall one"), fixture.actions);
   }
 }
--- a/src/test/java/mothwing/overload/FaultAdmissionTest.java
+++ b/src/test/java/mothwing/overload/FaultAdmissionTest.java
@@ -9,7 +9,7 @@
 class FaultAdmissionTest {
   private final Settings settings = Fixtures.settings("save", "one");
   private final TrackedRequest calling = Fixtures.request(settings, "calling", 0);
-  private final TrackedRequest other = Fixtures.request(settings, "other", 1);
+  private final TrackedRequest notCalling = Fixtures.request(settings, "notCalling", 1);
   private final FaultAdmission faults = new FaultAdmission();
 
   FaultAdmissionTest() {
@@ -17,23 +17,23 @@
   }
 
   @Test
-  void failingCallsHoldBackOnlyTheClassesThatCall() {
+  void failingCallsRejectOnlyClassesThatCall() {
     for (int i = 0; i < 5; i++) {
       faults.recordCall(false);
     }
-    assertTrue(faults.holdsBack(calling));
-    assertFalse(faults.holdsBack(other));
-    assertFalse(faults.runsFail());
+    assertTrue(faults.shouldReject(calling));
+    assertFalse(faults.shouldReject(notCalling));
+    assertFalse(faults.areRunsFailing());
   }
 
   @Test
-  void failingRunsHoldBackEveryClassUntilTheyRecover() {
+  void failingRunsRejectEveryClassUntilRecovery() {
     for (int i = 0; i < 5; i++) {
       faults.recordRun(false);
     }
-    assertTrue(faults.runsFail());
-    assertTrue(faults.holdsBack(other));
-    faults.forget(2, 1);
-    assertFalse(faults.holdsBack(other));
+    assertTrue(faults.areRunsFailing());
+    assertTrue(faults.shouldReject(notCalling));
+    faults.recover(2, 1);
+    assertFalse(faults.shouldReject(notCalling));
   }
 }
--- a/src/test/java/mothwing/overload/FaultBudgetTest.java
+++ b/src/test/java/mothwing/overload/FaultBudgetTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class FaultBudgetTest {
-  private static FaultBudget after(int faults) {
+  private static FaultBudget budgetAfter(int faults) {
     FaultBudget budget = new FaultBudget();
     for (int i = 0; i < faults; i++) {
       budget.record(false);
@@ -16,26 +16,26 @@
   }
 
   @Test
-  void isExhaustedByTheFifthFaultInARow() {
-    assertFalse(after(2).isHalfSpent());
-    assertTrue(after(3).isHalfSpent());
-    assertFalse(after(4).isExhausted());
-    assertTrue(after(5).isExhausted());
+  void isExhaustedByFifthConsecutiveFault() {
+    assertFalse(budgetAfter(2).isHalfUsed());
+    assertTrue(budgetAfter(3).isHalfUsed());
+    assertFalse(budgetAfter(4).isExhausted());
+    assertTrue(budgetAfter(5).isExhausted());
   }
 
   @Test
-  void oneSuccessAfterAnyNumberOfFaultsAllowsAnAttempt() {
-    FaultBudget budget = after(100);
+  void successAfterAnyNumberOfFaultsAllowsAnAttempt() {
+    FaultBudget budget = budgetAfter(100);
     budget.record(true);
     assertFalse(budget.isExhausted());
   }
 
   @Test
-  void timeRepaysOneFaultForEachCoreAndSecond() {
-    FaultBudget budget = after(5);
-    budget.forget(2, 0.5);
+  void recoversOneFaultPerCoreSecond() {
+    FaultBudget budget = budgetAfter(5);
+    budget.recover(2, 0.5);
     assertFalse(budget.isExhausted());
-    budget.forget(2, 1);
-    assertEquals(false, budget.isHalfSpent());
+    budget.recover(2, 1);
+    assertEquals(false, budget.isHalfUsed());
   }
 }
--- a/src/test/java/mothwing/overload/FilterLadderTest.java
+++ b/src/test/java/mothwing/overload/FilterLadderTest.java
@@ -7,47 +7,47 @@
 import org.junit.jupiter.api.Test;
 
 class FilterLadderTest {
-  private static final long SAMPLE = 30_000;
-  private static final long SOJOURN = 10 * SAMPLE;
+  private static final long SAMPLE_PERIOD = 30_000;
+  private static final long SOJOURN = 10 * SAMPLE_PERIOD;
 
   private final FilterLadder ladder = new FilterLadder(2);
   private long now = 0;
 
   private boolean step(long micros, int index) {
     now += micros;
-    return ladder.step(now, index, micros / 1e6, SAMPLE);
+    return ladder.step(now, index, micros / 1e6, SAMPLE_PERIOD);
   }
 
   @Test
-  void stepsOneFilterASojournAtTheMost() {
+  void stepsAtMostOneFilterPerSojourn() {
     for (int i = 0; i < 9; i++) {
-      step(SAMPLE, LoadIndex.OVERLOADED);
+      step(SAMPLE_PERIOD, LoadIndex.MIN_OVERLOADED_INDEX);
     }
     assertEquals(0, ladder.filter());
-    step(SAMPLE, LoadIndex.OVERLOADED);
+    step(SAMPLE_PERIOD, LoadIndex.MIN_OVERLOADED_INDEX);
     assertEquals(1, ladder.filter());
-    step(SAMPLE, LoadIndex.OVERLOADED);
+    step(SAMPLE_PERIOD, LoadIndex.MIN_OVERLOADED_INDEX);
     assertEquals(1, ladder.filter());
   }
 
   @Test
-  void tighteningNeedsThreeOverloadedIntervalsForEachUnderloadedOne() {
-    step(SAMPLE, LoadIndex.UNDERLOADED);
-    step(SAMPLE, LoadIndex.OVERLOADED);
-    step(SOJOURN, LoadIndex.OVERLOADED);
+  void tighteningRequiresThreeOverloadedIntervalsPerUnderloadedOne() {
+    step(SAMPLE_PERIOD, LoadIndex.MAX_UNDERLOADED_INDEX);
+    step(SAMPLE_PERIOD, LoadIndex.MIN_OVERLOADED_INDEX);
+    step(SOJOURN, LoadIndex.MIN_OVERLOADED_INDEX);
     assertEquals(0, ladder.filter());
   }
 
   @Test
-  void ratesFallAndTheLastFilterIsReportedOnce() {
+  void ratesDecreaseAndLastFilterIsReportedOnce() {
     double rate = ladder.rate();
     for (int filter = 1; filter <= FilterLadder.INNER_FILTERS; filter++) {
-      assertFalse(step(SOJOURN, LoadIndex.OVERLOADED));
+      assertFalse(step(SOJOURN, LoadIndex.MIN_OVERLOADED_INDEX));
       assertTrue(ladder.rate() < rate);
       rate = ladder.rate();
     }
-    assertTrue(step(SOJOURN, LoadIndex.OVERLOADED));
+    assertTrue(step(SOJOURN, LoadIndex.MIN_OVERLOADED_INDEX));
     assertEquals(0, ladder.rate());
-    assertFalse(step(SOJOURN, LoadIndex.OVERLOADED));
+    assertFalse(step(SOJOURN, LoadIndex.MIN_OVERLOADED_INDEX));
   }
 }
--- a/src/test/java/mothwing/overload/Fixtures.java
+++ b/src/test/java/mothwing/overload/Fixtures.java
@@ -14,14 +14,14 @@
 import mothwing.control.StopMode;
 import mothwing.control.Tenant;
 
-/** Settings and requests for the tests of single parts. */
+/** Settings and requests for the unit tests of the controller's components. */
 final class Fixtures {
   static final long SECOND = 1_000_000;
   static final int CORES = 2;
 
   private Fixtures() {}
 
-  /** Two classes, of which the first calls the dependency, and one tenant of the given name. */
+  /** Settings with two classes, of which the first calls the dependency, and one tenant. */
   static Settings settings(String secondClass, String tenant) {
     return new Settings(
         1,
--- a/src/test/java/mothwing/overload/IdempotencyKeyExpiryTest.java
+++ b/src/test/java/mothwing/overload/IdempotencyKeyExpiryTest.java
@@ -15,7 +15,7 @@
   }
 
   @Test
-  void aKeyHoldsMemoryUntilItExpires() {
+  void keyHoldsMemoryUntilExpiry() {
     keys.remember("late", 20);
     keys.remember("early", 10);
     assertEquals(200, memory.usedKb());
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void aForgottenKeyFreesItsMemoryOnce() {
+  void forgottenKeyReleasesItsMemoryOnce() {
     keys.remember("one", 10);
     assertTrue(keys.forget("one"));
     assertFalse(keys.forget("one"));
--- a/src/test/java/mothwing/overload/LoadMonitorTest.java
+++ b/src/test/java/mothwing/overload/LoadMonitorTest.java
@@ -14,7 +14,7 @@
       new LoadMonitor(context, clock, new FilterLadder(Fixtures.CORES));
 
   @Test
-  void onlyTheFirstOfSeveralGapsIsAStall() {
+  void onlyFirstOfConsecutiveGapsIsAStall() {
     long period = context.samplePeriod();
     monitor.beginSample(period);
     assertFalse(monitor.isStalled());
@@ -26,10 +26,10 @@
   }
 
   @Test
-  void countsRunsWhereTheGaugeIsNotKnown() {
+  void countsRunsIfGaugeIsUnknown() {
     clock.enter(Fixtures.request(context.settings(), "one", 0));
     monitor.beginSample(context.samplePeriod());
-    monitor.measureCores(GaugeSample.absent(1));
+    monitor.measureUtilization(GaugeSample.absent(1));
     assertEquals(0.5, monitor.utilization());
     assertTrue(monitor.isIdle());
   }
--- a/src/test/java/mothwing/overload/ProcessorSharingClockTest.java
+++ b/src/test/java/mothwing/overload/ProcessorSharingClockTest.java
@@ -10,7 +10,7 @@
   private final ProcessorSharingClock clock = new ProcessorSharingClock();
 
   @Test
-  void runsShareTheCoresEvenly() {
+  void runsShareCoresEvenly() {
     TrackedRequest first = Fixtures.request(settings, "first", 0);
     clock.enter(first);
     clock.advance(1_000, 1);
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void aRunThatLeftTheCoresUsesNoTime() {
+  void runThatLeftCoresUsesNoCoreTime() {
     TrackedRequest request = Fixtures.request(settings, "one", 0);
     clock.enter(request);
     clock.advance(1_000, 2);
--- a/src/test/java/mothwing/overload/RequestCompletionTest.java
+++ b/src/test/java/mothwing/overload/RequestCompletionTest.java
@@ -8,34 +8,34 @@
 import org.junit.jupiter.api.Test;
 
 class RequestCompletionTest {
-  private final Parts parts = new Parts();
+  private final ControllerFixture fixture = new ControllerFixture();
 
   @Test
-  void rejectingForgetsTheKeyAndFreesAllMemory() {
-    TrackedRequest request = parts.hold("one", 1);
-    parts.keys.remember("one", Fixtures.SECOND);
-    parts.completion.reject(request);
-    assertEquals(List.of("rejectRequest one", "forgetKey one"), parts.actions);
-    assertEquals(0, parts.memory.usedKb());
+  void rejectingForgetsKeyAndReleasesAllMemory() {
+    TrackedRequest request = fixture.hold("one", 1);
+    fixture.keys.remember("one", Fixtures.SECOND);
+    fixture.completion.reject(request);
+    assertEquals(List.of("rejectRequest one", "forgetKey one"), fixture.actions);
+    assertEquals(0, fixture.memory.usedKb());
   }
 
   @Test
-  void failingDuringACallLeavesTheCallOutstanding() {
-    TrackedRequest request = parts.awaitCall("one");
-    parts.calls.startWaiting();
-    parts.completion.fail(request);
-    assertEquals(1, parts.limiter.outstanding());
+  void failingDuringCallLeavesCallOutstanding() {
+    TrackedRequest request = fixture.awaitCall("one");
+    fixture.calls.startWaitingCalls();
+    fixture.completion.fail(request);
+    assertEquals(1, fixture.limiter.outstanding());
     assertEquals(State.AWAITING_CALL, request.state());
   }
 
   @Test
-  void closingTwiceReleasesOnce() {
-    TrackedRequest request = parts.hold("one", 1);
-    parts.runs.startWaiting();
-    parts.completion.close(request);
-    parts.completion.close(request);
-    assertEquals(0, parts.memory.usedKb());
-    assertEquals(0, parts.clock.running());
-    assertFalse(parts.requests.contains("one"));
+  void closingTwiceReleasesMemoryOnce() {
+    TrackedRequest request = fixture.hold("one", 1);
+    fixture.runs.startWaitingRuns();
+    fixture.completion.close(request);
+    fixture.completion.close(request);
+    assertEquals(0, fixture.memory.usedKb());
+    assertEquals(0, fixture.clock.running());
+    assertFalse(fixture.requests.contains("one"));
   }
 }
--- a/src/test/java/mothwing/overload/RequestTableTest.java
+++ b/src/test/java/mothwing/overload/RequestTableTest.java
@@ -15,7 +15,7 @@
   private final RequestTable requests = new RequestTable();
 
   @Test
-  void keepsTheOrderOfReadingAndRemovesOnce() {
+  void keepsReadOrderAndRemovesOnce() {
     requests.add(first);
     requests.add(second);
     assertEquals(List.of(first, second), requests.snapshot());
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void remembersARejectionUntilTheBatchEnds() {
+  void remembersRejectionUntilBatchEnds() {
     requests.markRejected(first);
     assertTrue(requests.wasRejectedInBatch("z"));
     requests.endBatch();
--- a/src/test/java/mothwing/overload/RunSchedulerTest.java
+++ b/src/test/java/mothwing/overload/RunSchedulerTest.java
@@ -8,36 +8,36 @@
 import org.junit.jupiter.api.Test;
 
 class RunSchedulerTest {
-  private final Parts parts = new Parts();
+  private final ControllerFixture fixture = new ControllerFixture();
 
   @Test
-  void startsTheHighestPriorityUpToTheLimit() {
-    parts.hold("low", 0);
-    parts.hold("high1", 1);
-    parts.hold("high2", 1);
-    parts.runs.startWaiting();
-    assertEquals(List.of("startRun high1", "startRun high2"), parts.actions);
-    assertEquals(0, parts.runs.freeSlots());
+  void startsHighestPrioritiesUpToLimit() {
+    fixture.hold("low", 0);
+    fixture.hold("high1", 1);
+    fixture.hold("high2", 1);
+    fixture.runs.startWaitingRuns();
+    assertEquals(List.of("startRun high1", "startRun high2"), fixture.actions);
+    assertEquals(0, fixture.runs.freeSlots());
   }
 
   @Test
-  void aRunTakesItsMemoryOnceAndResumesWithoutMore() {
-    TrackedRequest request = parts.hold("one", 1);
-    parts.runs.startWaiting();
-    double running = parts.memory.usedKb();
-    assertEquals(80, running);
-    parts.clock.leave(request);
+  void runReservesMemoryOnceAndResumesWithoutMore() {
+    TrackedRequest request = fixture.hold("one", 1);
+    fixture.runs.startWaitingRuns();
+    double runningKb = fixture.memory.usedKb();
+    assertEquals(80, runningKb);
+    fixture.clock.leave(request);
     request.moveTo(State.PAUSED);
-    parts.runs.startWaiting();
-    assertEquals(running, parts.memory.usedKb());
+    fixture.runs.startWaitingRuns();
+    assertEquals(runningKb, fixture.memory.usedKb());
     assertTrue(request.is(State.RUNNING));
   }
 
   @Test
-  void startsNothingThatMemoryDoesNotCover() {
-    parts.hold("one", 1);
-    parts.memory.reserve(821);
-    parts.runs.startWaiting();
-    assertEquals(List.of(), parts.actions);
+  void startsNoRunBeyondMemory() {
+    fixture.hold("one", 1);
+    fixture.memory.reserve(821);
+    fixture.runs.startWaitingRuns();
+    assertEquals(List.of(), fixture.actions);
   }
 }
--- a/src/test/java/mothwing/overload/TenantQuotasTest.java
+++ b/src/test/java/mothwing/overload/TenantQuotasTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 
 class TenantQuotasTest {
-  /** Eight seconds of 10 requests, with the leeway of 30 percent. */
+  /** Requests in a full bucket: eight seconds of 10 requests, enlarged by 30 percent. */
   private static final int FULL_BUCKET = 104;
 
   private final Settings settings = Fixtures.settings("save", "one");
@@ -18,14 +18,14 @@
     quotas.apply(settings, settings);
   }
 
-  private void useUp() {
+  private void exhaustQuota() {
     for (int i = 0; i <= FULL_BUCKET; i++) {
       quotas.charge(0);
     }
   }
 
   @Test
-  void aTenantIsOverQuotaOnceItsBucketIsInDebt() {
+  void tenantIsOverQuotaOnceItsBucketIsInDebt() {
     for (int i = 0; i < FULL_BUCKET; i++) {
       quotas.charge(0);
     }
@@ -37,16 +37,16 @@
   }
 
   @Test
-  void aDebtIsRepaidWithinOneSecond() {
-    useUp();
-    useUp();
+  void debtIsRepaidWithinOneSecond() {
+    exhaustQuota();
+    exhaustQuota();
     quotas.refill(1);
     assertFalse(quotas.isOverQuota(0));
   }
 
   @Test
-  void aDebtStaysWithTheNameOfItsTenant() {
-    useUp();
+  void debtStaysWithTenantName() {
+    exhaustQuota();
     quotas.apply(settings, Fixtures.settings("other", "one"));
     assertTrue(quotas.isOverQuota(0));
     quotas.apply(settings, Fixtures.settings("save", "two"));
@@ -54,7 +54,7 @@
   }
 
   @Test
-  void requestsWithoutATenantHaveNoQuota() {
+  void requestsWithoutTenantHaveNoQuota() {
     quotas.charge(-1);
     assertFalse(quotas.isOverQuota(-1));
   }
--- a/src/test/java/mothwing/overload/TrackedRequestTest.java
+++ b/src/test/java/mothwing/overload/TrackedRequestTest.java
@@ -11,7 +11,7 @@
   private final TrackedRequest request = Fixtures.request(settings, "one", 0);
 
   @Test
-  void goesThroughACallThatIsRetried() {
+  void tracksRetriedCall() {
     assertEquals(State.HELD, request.state());
     request.enterCore(0);
     assertEquals(State.RUNNING, request.state());
@@ -26,16 +26,16 @@
     assertEquals(2, request.call().attempts());
     request.enterCore(0);
     request.awaitCall(20);
-    assertEquals(0, request.call().attempts(), "of the next call");
+    assertEquals(0, request.call().attempts(), "the next call has no attempts yet");
     assertEquals(2, request.call().reached());
   }
 
   @Test
-  void takesTheMeasuredDurationOnlyWhereTheEndWasReportedLate() {
+  void usesMeasuredDurationOnlyIfEndWasReportedLate() {
     request.enterCore(0);
     request.settleCoreTime(1_000);
     request.correctCoreTime(0, 100);
-    assertEquals(1_000, request.settledCoreTime(), "unknown");
+    assertEquals(1_000, request.settledCoreTime(), "the measured duration is unknown");
     request.correctCoreTime(950, 100);
     assertEquals(1_000, request.settledCoreTime(), "within the tolerance");
     request.correctCoreTime(500, 100);
@@ -51,9 +51,9 @@
   }
 
   @Test
-  void isValuableUntilItIsDueWhereALateAnswerEarnsSomething() {
+  void isValuableUntilDueIfLateAnswerEarnsWeight() {
     assertEquals(4 * Fixtures.SECOND, request.valuableUntil());
-    request.dueBefore(Fixtures.SECOND / 2);
+    request.limitDueAt(Fixtures.SECOND / 2);
     assertEquals(Fixtures.SECOND / 2, request.valuableUntil());
   }
 }
