--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -23,7 +23,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Drives the controller with scripted events; the host asserts on every one what must always hold.
+ * Drives the controller with scripted events; the host asserts the invariants on each event and
+ * action.
  */
 class OverloadControllerTest {
   private static final int READ = 0;
@@ -96,7 +97,7 @@
   }
 
   @Test
-  void runsUpToTheCoresAndHoldsTheRest() {
+  void runsOneRequestPerCoreAndHoldsOtherRequests() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "third", SAVE));
@@ -107,13 +108,13 @@
   }
 
   @Test
-  void runsTheHighestPriorityFirst() {
+  void runsHighestPriorityFirst() {
     RecordingHost host = host();
     fillCores(host);
-    host.read(request(host, "cheap", READ), request(host, "dear", COMMIT));
+    host.read(request(host, "low", READ), request(host, "high", COMMIT));
     host.finish("busy1", RunOutcome.SUCCEEDED);
-    assertTrue(host.did("start dear"));
-    assertFalse(host.did("start cheap"));
+    assertTrue(host.did("start high"));
+    assertFalse(host.did("start low"));
   }
 
   @Test
@@ -121,51 +122,51 @@
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ), request(host, "guarded", COMMIT));
-    host.passUntil(START + 6 * SECOND);
+    host.advanceTo(START + 6 * SECOND);
     for (String id : List.of("busy1", "busy2", "held", "guarded")) {
       assertTrue(host.answered(id), id);
     }
   }
 
   @Test
-  void usesTheDeadlineOfTheClassWithoutACallerDeadline() {
+  void usesClassDeadlineWithoutCallerDeadline() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ, null, 0));
-    host.passUntil(START + 6 * SECOND);
+    host.advanceTo(START + 6 * SECOND);
     assertTrue(host.answered("held"));
   }
 
   @Test
-  void rejectsAtOnceARequestThatIsReadAfterItsDueTime() {
+  void rejectsRequestReadAfterItsDueTimeAtOnce() {
     RecordingHost host = host();
     host.read(request(host, "late", READ, null, -SECOND));
-    assertTrue(host.did("refuse late"));
+    assertTrue(host.did("reject late"));
   }
 
   @Test
-  void stopsARunInTheReplyThatFailsItsRequest() {
+  void stopsRunDirectlyAfterFailingItsRequest() {
     RecordingHost host = host();
     fillCores(host);
-    host.passUntil(START + 3 * SECOND);
+    host.advanceTo(START + 3 * SECOND);
     int failed = host.actions.indexOf("fail busy1");
     assertTrue(failed >= 0);
-    assertEquals("halt busy1", host.actions.get(failed + 1));
+    assertEquals("stop busy1", host.actions.get(failed + 1));
   }
 
   @Test
-  void stopsNoRunWhereRunsCannotBeStopped() {
+  void stopsNoRunIfRunsCannotBeStopped() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, false, 5), START);
     host.gauges(1.0, 3.0);
     fillCores(host);
     host.read(request(host, "next", SAVE));
-    host.passUntil(START + 6 * SECOND);
-    assertEquals(0, host.count("halt"));
-    assertFalse(host.did("start next"), "failed work still holds both cores");
+    host.advanceTo(START + 6 * SECOND);
+    assertEquals(0, host.count("stop"));
+    assertFalse(host.did("start next"), "the failed runs still hold both cores");
   }
 
   @Test
-  void remembersAnIdempotencyKeyBeforeTheRunStarts() {
+  void remembersIdempotencyKeyBeforeRunStarts() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
     int remembered = host.actions.indexOf("remember turn");
@@ -173,12 +174,12 @@
   }
 
   @Test
-  void aRepeatWaitsForTheResultOfItsOriginal() {
+  void repeatWaitsForResultOfItsOriginal() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "turn", COMMIT));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
-    assertTrue(host.did("replay again"), "also while the originalId is held");
+    assertTrue(host.did("replay again"), "also while the original is held");
     host.finish("busy1", RunOutcome.SUCCEEDED);
     host.finish("turn", RunOutcome.SUCCEEDED);
     host.read(request(host, "third", COMMIT, "turn", 3 * SECOND));
@@ -186,7 +187,7 @@
   }
 
   @Test
-  void aRepeatOfARequestThatRanIsFailedNotRejected() {
+  void failsRepeatOfRequestThatRanInsteadOfRejectingIt() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT));
     host.finish("turn", RunOutcome.SUCCEEDED);
@@ -195,17 +196,17 @@
   }
 
   @Test
-  void forgetsTheKeyOfARejectedRequest() {
+  void forgetsKeyOfRejectedRequest() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
     host.read(request(host, "turn", COMMIT));
-    host.passUntil(START + 4 * SECOND);
+    host.advanceTo(START + 4 * SECOND);
     assertTrue(host.did("forget turn") && !host.did("start turn"));
   }
 
   @Test
-  void rejectsIdempotencyKeysBeyondTheMemory() {
+  void rejectsRequestsWhoseKeysExceedMemory() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * KEY_KB, false, 5), START);
     for (int i = 0; i < 10; i++) {
       host.read(request(host, "turn" + i, COMMIT));
@@ -213,104 +214,104 @@
         host.finish("turn" + i, RunOutcome.SUCCEEDED);
       }
     }
-    assertTrue(host.count("refuse") > 0);
+    assertTrue(host.count("reject") > 0);
     assertTrue(host.count("remember") > 0);
   }
 
   @Test
-  void neverPlansMoreMemoryThanThereIs() {
+  void neverPlansMoreMemoryThanAvailable() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 400, false, 5), START);
     for (int i = 0; i < 30; i++) {
       host.read(request(host, "read" + i, READ));
     }
-    assertTrue(host.count("refuse") > 0);
+    assertTrue(host.count("reject") > 0);
     assertTrue(host.count("start") > 0);
   }
 
   @Test
-  void retriesACallOnlyAfterProofThatItHadNoEffect() {
+  void retriesCallOnlyIfItProvablyHadNoEffect() {
     RecordingHost host = host();
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
-    host.atCall("turn");
-    host.atCall("load");
+    host.reachCall("turn");
+    host.reachCall("load");
     host.callEnded("turn", RunOutcome.TIMED_OUT);
     assertTrue(host.did("fail turn"));
     host.callEnded("load", RunOutcome.REJECTED);
     assertEquals(1, host.actions.stream().filter("call load"::equals).count(), "not at once");
-    host.passUntil(host.now() + SECOND / 2);
+    host.advanceTo(host.now() + SECOND / 2);
     assertEquals(2, host.actions.stream().filter("call load"::equals).count());
   }
 
   @Test
-  void keepsCallsWithinItsQuotaOfTheDependency() {
+  void keepsCallsWithinDependencyQuota() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "one", READ), request(host, "two", READ));
-    host.atCall("one");
-    host.atCall("two");
+    host.reachCall("one");
+    host.reachCall("two");
     assertEquals(1, host.count("call"));
     host.callEnded("one", RunOutcome.SUCCEEDED);
     host.finish("one", RunOutcome.SUCCEEDED);
-    host.passUntil(host.now() + SECOND);
+    host.advanceTo(host.now() + SECOND);
     assertTrue(host.did("call two"));
   }
 
   @Test
-  void aShutdownAnswersEverythingAndRunsNothingAfterItsGracePeriod() {
+  void gracefulShutdownAnswersAllRequestsAndRunsNoneAfterGracePeriod() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ));
     host.drain(START + 3 * SECOND);
     assertTrue(host.did("health false"));
-    host.passUntil(START + 2_500_000);
+    host.advanceTo(START + 2_500_000);
     host.read(request(host, "late", READ));
-    assertTrue(host.did("refuse late"));
-    host.passUntil(START + 3 * SECOND);
+    assertTrue(host.did("reject late"));
+    host.advanceTo(START + 3 * SECOND);
     for (String id : List.of("busy1", "busy2", "held")) {
       assertTrue(host.answered(id), id);
     }
   }
 
   @Test
-  void aCancelledRequestGetsNoAnswer() {
+  void cancelledRequestGetsNoAnswer() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "held", READ));
     host.cancel("held");
     host.cancel("busy1");
-    assertTrue(host.did("halt busy1"));
-    host.passUntil(START + 6 * SECOND);
-    assertFalse(host.did("fail held") || host.did("refuse held") || host.did("fail busy1"));
+    assertTrue(host.did("stop busy1"));
+    host.advanceTo(START + 6 * SECOND);
+    assertFalse(host.did("fail held") || host.did("reject held") || host.did("fail busy1"));
   }
 
   @Test
-  void overloadTightensTheLadderAndRejectsOnRead() {
+  void overloadTightensLadderAndRejectsOnRead() {
     RecordingHost host = host();
     host.gauges(1.0, 7.0);
-    int refusedOnRead = 0;
+    int rejectedOnRead = 0;
     for (int i = 0; i < 400; i++) {
       String id = "r" + i;
       host.read(request(host, id, i % 2));
-      refusedOnRead += host.did("refuse " + id) ? 1 : 0;
-      host.passUntil(host.now() + 20_000);
+      rejectedOnRead += host.did("reject " + id) ? 1 : 0;
+      host.advanceTo(host.now() + 20_000);
     }
-    assertTrue(refusedOnRead > 40, "refused on read: " + refusedOnRead);
+    assertTrue(rejectedOnRead > 40, "rejected on read: " + rejectedOnRead);
   }
 
   @Test
-  void aGapInTheClockIsNoOverload() {
+  void clockGapIsNoOverload() {
     RecordingHost host = host();
     host.gauges(1.0, 7.0);
     for (int i = 0; i < 20; i++) {
       host.jump(SECOND / 2);
-      host.passUntil(host.now() + 1);
+      host.advanceTo(host.now() + 1);
     }
     host.read(request(host, "after", READ));
     assertTrue(host.did("start after"));
-    assertEquals(0, host.count("refuse"));
+    assertEquals(0, host.count("reject"));
   }
 
   @Test
-  void aFailingServerAdmitsOnlyATrickle() {
+  void serverWithFailingRunsAdmitsOnlyFewRequests() {
     RecordingHost host = host();
     for (int i = 0; i < 12; i++) {
       host.read(request(host, "f" + i, SAVE));
@@ -318,132 +319,138 @@
         host.finish("f" + i, RunOutcome.FAILED);
       }
     }
-    long before = host.count("start");
+    long startsBefore = host.count("start");
     for (int i = 0; i < 20; i++) {
       host.read(request(host, "g" + i, SAVE));
     }
-    assertTrue(host.count("start") - before <= 1);
-    host.passUntil(host.now() + SECOND);
+    assertTrue(host.count("start") - startsBefore <= 1);
+    host.advanceTo(host.now() + SECOND);
     host.read(request(host, "probe", SAVE));
     assertTrue(host.did("start probe"), "a few attempts are made");
   }
 
   @Test
-  void rejectsOnReadWhatCannotMeetItsDeadlineBehindHigherPriorities() {
+  void rejectsRequestThatCannotMeetItsDeadlineBehindHigherPriorities() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
     for (int i = 0; i < 20; i++) {
-      host.read(request(host, "dear" + i, COMMIT));
+      host.read(request(host, "high" + i, COMMIT));
     }
-    host.read(request(host, "cheap", SAVE));
-    assertTrue(host.did("refuse cheap last"), "and its caller should not retry elsewhere");
-    assertFalse(host.answered("dear0"));
+    host.read(request(host, "low", SAVE));
+    assertTrue(host.did("reject low final"), "and its caller should not retry at another server");
+    assertFalse(host.answered("high0"));
   }
 
   @Test
-  void slowStartLowersTheConcurrency() {
+  void slowStartLowersConcurrency() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 20_000, true, 5), START);
     for (int i = 0; i < 12; i++) {
       host.read(request(host, "r" + i, COMMIT));
     }
-    host.passUntil(START + SECOND / 2);
+    host.advanceTo(START + SECOND / 2);
     assertEquals(
         2,
         host.count("start"),
         "idle cores do not raise the limit above the ceiling of slow start");
-    RecordingHost warm = host();
+    RecordingHost warmHost = host();
     for (int i = 0; i < 12; i++) {
-      warm.read(request(warm, "r" + i, COMMIT));
+      warmHost.read(request(warmHost, "r" + i, COMMIT));
     }
-    warm.passUntil(START + SECOND / 2);
-    assertTrue(warm.count("start") > 2);
+    warmHost.advanceTo(START + SECOND / 2);
+    assertTrue(warmHost.count("start") > 2);
   }
 
   @Test
-  void theFreeValueFollowsTheRejectedShare() {
+  void freeValueFollowsRejectedShare() {
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     for (int i = 0; i < 100; i++) {
       host.read(request(host, "r" + i, SAVE));
-      host.passUntil(host.now() + 10_000);
+      host.advanceTo(host.now() + 10_000);
     }
-    assertTrue(host.actions.stream().anyMatch(action -> action.startsWith("say 0.")));
+    assertTrue(host.actions.stream().anyMatch(action -> action.startsWith("publish 0.")));
   }
 
-  /** A server short of processor time must not take its own lateness for the cost of the work. */
+  /**
+   * The cost of work must not include the delay with which a server short of processor time reports
+   * the end of a run.
+   */
   @Test
-  void usesTheMeasuredDurationOfARunWhoseEndWasReportedLate() {
-    for (long told : new long[] {SECOND / 10, 0}) {
+  void usesMeasuredDurationOfRunWhoseEndWasReportedLate() {
+    for (long reportedDuration : new long[] {SECOND / 10, 0}) {
       RecordingHost host = host();
       host.gauges(0.5, 1);
       for (int i = 0; i < 16; i++) {
         host.read(request(host, "late" + i, SAVE));
-        host.passUntil(host.now() + SECOND * 9 / 10);
-        host.finish("late" + i, RunOutcome.SUCCEEDED, told);
+        host.advanceTo(host.now() + SECOND * 9 / 10);
+        host.finish("late" + i, RunOutcome.SUCCEEDED, reportedDuration);
       }
       host.gauges(1, 2);
-      host.passUntil(host.now() + SECOND / 10);
+      host.advanceTo(host.now() + SECOND / 10);
       host.read(request(host, "next", SAVE, null, SECOND * 6 / 10));
-      assertEquals(told > 0, host.did("start next"), "told " + told);
+      assertEquals(
+          reportedDuration > 0, host.did("start next"), "reported duration: " + reportedDuration);
     }
   }
 
-  private static RecordingHost readsBehindEachOther(double busy) {
+  private static RecordingHost hostWithQueuedReads(double utilization) {
     RecordingHost host = host();
-    host.gauges(busy, 2);
-    host.passUntil(START + 8 * SECOND);
+    host.gauges(utilization, 2);
+    host.advanceTo(START + 8 * SECOND);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "late" + i, READ));
     }
     return host;
   }
 
-  /** On busy cores a late answer must not take the place of one within its latency objective. */
+  /** On busy cores a late answer must not displace one within its latency objective. */
   @Test
   void runsForLateAnswersOnlyOnIdleCores() {
     assertTrue(
-        readsBehindEachOther(1).count("refuse") >= 20,
+        hostWithQueuedReads(1).count("reject") >= 20,
         "2 s of work on two cores, an objective of 1 s");
-    assertEquals(0, readsBehindEachOther(0.3).count("refuse"));
+    assertEquals(0, hostWithQueuedReads(0.3).count("reject"));
   }
 
   @Test
   void sameEventsLeadToTheSameActions() {
-    assertEquals(script(), script());
+    assertEquals(actionsOfScript(), actionsOfScript());
   }
 
-  private static List<String> script() {
+  private static List<String> actionsOfScript() {
     RecordingHost host = new RecordingHost(settings(StopMode.SUSPEND, 2_000, true, 0.5), START);
     for (int i = 0; i < 60; i++) {
       host.read(request(host, "s" + i, i % 3));
-      host.passUntil(host.now() + 30_000);
+      host.advanceTo(host.now() + 30_000);
       if (host.did("start s" + (i / 2)) && !host.answered("s" + (i / 2)) && i % 2 == 0) {
         host.finish("s" + (i / 2), RunOutcome.SUCCEEDED);
       }
     }
-    host.passUntil(host.now() + 6 * SECOND);
+    host.advanceTo(host.now() + 6 * SECOND);
     return host.actions;
   }
 
   @Test
-  void closesIdleConnectionsWhereCallersReuseThemTooSeldom() {
-    RecordingHost many =
+  void closesIdleConnectionsThatCallersRarelyReuse() {
+    RecordingHost hostWithManyCallers =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 1_000), START);
-    many.passUntil(START + SECOND);
+    hostWithManyCallers.advanceTo(START + SECOND);
     assertTrue(
-        many.did("trim 10000"), "a table full of idle connections leaves no room for others");
-    RecordingHost few = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10), START);
-    few.passUntil(START + SECOND);
-    assertEquals(0, few.count("trim"), "few callers use theirs again");
+        hostWithManyCallers.did("idleTimeout 10000"),
+        "a table full of idle connections leaves no room for others");
+    RecordingHost hostWithFewCallers =
+        new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10), START);
+    hostWithFewCallers.advanceTo(START + SECOND);
+    assertEquals(0, hostWithFewCallers.count("idleTimeout"), "few callers reuse their connections");
   }
 
   @Test
-  void attemptsUnlikelyRunsOnlyOnIdleCores() {
-    for (double busy : new double[] {0, 1}) {
+  void attemptsRunsExpectedToMissTheirObjectiveOnlyOnIdleCores() {
+    for (double utilization : new double[] {0, 1}) {
       RecordingHost host = host();
-      host.gauges(busy, 0);
-      host.passUntil(START + 10 * SECOND);
+      host.gauges(utilization, 0);
+      host.advanceTo(START + 10 * SECOND);
       host.read(
           new Request(
               "large",
@@ -458,11 +465,13 @@
               host.now() + 3 * SECOND,
               true));
       assertEquals(
-          busy == 0, host.did("start large"), "expected to miss its objective, cores busy " + busy);
+          utilization == 0,
+          host.did("start large"),
+          "expected to miss its objective at utilization " + utilization);
     }
   }
 
-  /** A class that is rejected makes no calls: the learned call time must fade without them. */
+  /** A rejected class makes no calls, so the average call duration must fade without them. */
   @Test
   void admitsCallingClassesAgainAfterSlowCalls() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0), START);
@@ -470,107 +479,109 @@
       String id = "slow" + i;
       host.read(request(host, id, READ, null, 60 * SECOND));
       if (host.did("start " + id)) {
-        host.atCall(id);
-        host.passUntil(host.now() + 3 * SECOND);
+        host.reachCall(id);
+        host.advanceTo(host.now() + 3 * SECOND);
         host.callEnded(id, RunOutcome.SUCCEEDED);
         host.finish(id, RunOutcome.SUCCEEDED);
       }
     }
     host.read(request(host, "late", READ));
-    assertTrue(host.did("refuse late"), "a call takes as long as its caller waits");
-    host.passUntil(host.now() + 10 * SECOND);
+    assertTrue(host.did("reject late"), "a call is expected to take as long as the caller waits");
+    host.advanceTo(host.now() + 10 * SECOND);
     host.read(request(host, "again", READ));
     assertTrue(host.did("start again"));
   }
 
   @Test
-  void aFailingDependencyHoldsBackOnlyTheClassesThatCallIt() {
+  void failingDependencyRejectsOnlyClassesThatCallIt() {
     RecordingHost host = host();
     for (int i = 0; i < 8; i++) {
       String id = "call" + i;
       host.read(request(host, id, COMMIT));
       if (!host.answered(id)) {
-        host.atCall(id);
+        host.reachCall(id);
         host.callEnded(id, RunOutcome.FAILED);
         host.finish(id, RunOutcome.STOPPED);
       }
     }
     host.read(request(host, "turn", COMMIT));
-    assertTrue(host.did("refuse turn"), "its core time would be wasted");
+    assertTrue(host.did("reject turn"), "the core time of its run would be wasted");
     host.read(request(host, "draft", SAVE));
     assertTrue(host.did("start draft"), "it does not call");
-    host.passUntil(host.now() + 2 * SECOND);
-    host.read(request(host, "dear", COMMIT), request(host, "cheap", READ));
-    assertTrue(host.did("start dear"), "a try shows the recovery");
+    host.advanceTo(host.now() + 2 * SECOND);
+    host.read(request(host, "high", COMMIT), request(host, "low", READ));
+    assertTrue(host.did("start high"), "an attempt detects the recovery");
   }
 
   @Test
-  void aStuckServerLetsItsCallersRetryElsewhere() {
+  void stuckServerLetsCallersRetryAtAnotherServer() {
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "early", SAVE, null, 100_000));
-    host.passUntil(START + SECOND / 10);
-    assertTrue(host.did("refuse early last"), "runs within their guesses tell of no trouble");
-    host.passUntil(START + SECOND);
+    host.advanceTo(START + SECOND / 10);
+    assertTrue(
+        host.did("reject early final"),
+        "runs within their expected core time are no sign of a fault");
+    host.advanceTo(START + SECOND);
     host.read(request(host, "late", SAVE, null, 100_000));
-    host.passUntil(host.now() + SECOND / 10);
+    host.advanceTo(host.now() + SECOND / 10);
     assertTrue(
-        host.did("refuse late") && !host.did("refuse late last"), "another server can serve it");
+        host.did("reject late") && !host.did("reject late final"), "another server can serve it");
   }
 
   @Test
-  void aSlowdownIsSeenWithinSeconds() {
+  void detectsSlowdownWithinSeconds() {
     RecordingHost host = host();
     host.gauges(1, 2);
     for (int i = 0; i < 30; i++) {
       host.read(request(host, "usual" + i, SAVE));
-      host.passUntil(host.now() + SECOND / 10);
+      host.advanceTo(host.now() + SECOND / 10);
       host.finish("usual" + i, RunOutcome.SUCCEEDED);
     }
-    host.passUntil(host.now() + 3 * SECOND);
+    host.advanceTo(host.now() + 3 * SECOND);
     host.read(request(host, "before", SAVE, null, SECOND * 7 / 10));
     assertTrue(host.did("start before"));
     host.finish("before", RunOutcome.SUCCEEDED);
     for (int i = 0; i < 2; i++) {
       host.read(request(host, "left" + i, SAVE), request(host, "right" + i, SAVE));
-      host.passUntil(host.now() + SECOND * 4 / 5);
+      host.advanceTo(host.now() + SECOND * 4 / 5);
       host.finish("left" + i, RunOutcome.SUCCEEDED);
       host.finish("right" + i, RunOutcome.SUCCEEDED);
     }
     host.read(request(host, "after", SAVE, null, SECOND * 7 / 10));
-    assertTrue(host.did("refuse after"), "four runs show what work costs now");
+    assertTrue(host.did("reject after"), "four runs show the current cost of work");
   }
 
   /**
-   * A host whose cores were slow for a while, so that what was learned leaves a run of SAVE no
-   * time.
+   * Returns a host whose cores were slow for a while, so that by the averages a run of SAVE has no
+   * time left.
    */
-  private static RecordingHost afterASlowStretch() {
+  private static RecordingHost hostAfterSlowRuns() {
     RecordingHost host = host();
     host.gauges(1, 2);
     for (int i = 0; i < 16; i += 2) {
       host.read(request(host, "slow" + i, SAVE), request(host, "slow" + (i + 1), SAVE));
-      host.passUntil(host.now() + SECOND * 9 / 10);
+      host.advanceTo(host.now() + SECOND * 9 / 10);
       host.finish("slow" + i, RunOutcome.SUCCEEDED);
       host.finish("slow" + (i + 1), RunOutcome.SUCCEEDED);
     }
     return host;
   }
 
-  /** On idle cores a rejected class must be attempted: its cost is measured no other way. */
+  /** A rejected class must be attempted on idle cores, as its cost cannot be measured otherwise. */
   @Test
-  void idleCoresAttemptWhatWasSlow() {
-    RecordingHost host = afterASlowStretch();
+  void attemptsSlowClassOnIdleCores() {
+    RecordingHost host = hostAfterSlowRuns();
     host.gauges(0.3, 0);
-    host.passUntil(host.now() + SECOND / 10);
+    host.advanceTo(host.now() + SECOND / 10);
     host.read(request(host, "tried", SAVE));
-    assertTrue(host.did("start tried"), "nobody else has use for the core");
+    assertTrue(host.did("start tried"), "no other request needs the core");
   }
 
-  /** Cores that other classes keep busy must attempt a rejected class again, too. */
+  /** A rejected class must be attempted again also while other classes keep the cores busy. */
   @Test
-  void aRejectedClassTakesTheCostsOfOtherClassesAfterAWhile() {
-    RecordingHost host = afterASlowStretch();
+  void rejectedClassEventuallyTakesCostsOfOtherClasses() {
+    RecordingHost host = hostAfterSlowRuns();
     String[] running = {"", ""};
     for (int i = 0; i < 50; i++) {
       if (i > 1) {
@@ -578,31 +589,31 @@
       }
       running[i % 2] = "quick" + i;
       host.read(request(host, running[i % 2], COMMIT));
-      host.atCall(running[i % 2]);
+      host.reachCall(running[i % 2]);
       host.callEnded(running[i % 2], RunOutcome.SUCCEEDED);
       if (i == 4) {
         host.read(request(host, "early", SAVE));
-        assertTrue(host.did("refuse early"), "it is held for slow");
+        assertTrue(host.did("reject early"), "the class is still expected to be slow");
       }
-      host.passUntil(host.now() + SECOND / 10);
+      host.advanceTo(host.now() + SECOND / 10);
     }
     host.read(request(host, "again", SAVE));
-    assertFalse(host.did("refuse again"));
+    assertFalse(host.did("reject again"));
   }
 
   /** Low priorities must not take the cores that frequent arrivals of high priority will need. */
   @Test
   void reservesCapacityForArrivalsOfHigherPriority() {
-    for (boolean rush : new boolean[] {true, false}) {
+    for (boolean highPriorityTraffic : new boolean[] {true, false}) {
       RecordingHost host = host();
       host.gauges(1, 2);
       for (int i = 0; i < 20; i++) {
-        int kind = rush ? COMMIT : SAVE;
-        host.read(request(host, "one" + i, kind), request(host, "two" + i, kind));
-        host.passUntil(host.now() + SECOND / 10);
+        int classIndex = highPriorityTraffic ? COMMIT : SAVE;
+        host.read(request(host, "one" + i, classIndex), request(host, "two" + i, classIndex));
+        host.advanceTo(host.now() + SECOND / 10);
         for (String id : List.of("one" + i, "two" + i)) {
-          if (rush) {
-            host.atCall(id);
+          if (highPriorityTraffic) {
+            host.reachCall(id);
             host.callEnded(id, RunOutcome.SUCCEEDED);
           }
           host.finish(id, RunOutcome.SUCCEEDED);
@@ -611,8 +622,11 @@
       for (int i = 0; i < 4; i++) {
         host.read(request(host, "ahead" + i, SAVE));
       }
-      host.read(request(host, "cheap", READ, null, SECOND));
-      assertEquals(rush, host.did("refuse cheap"), "rush " + rush);
+      host.read(request(host, "low", READ, null, SECOND));
+      assertEquals(
+          highPriorityTraffic,
+          host.did("reject low"),
+          "high-priority traffic: " + highPriorityTraffic);
     }
   }
 
@@ -620,90 +634,95 @@
   @Test
   void idleCoresWantAllTrafficAgainAtOnce() {
     for (boolean idle : new boolean[] {true, false}) {
-      RecordingHost host = afterASlowStretch();
+      RecordingHost host = hostAfterSlowRuns();
       for (int i = 0; i < 20; i++) {
-        host.read(request(host, "refused" + i, SAVE, null, SECOND * 9 / 10));
-        host.passUntil(host.now() + SECOND / 100);
+        host.read(request(host, "rejected" + i, SAVE, null, SECOND * 9 / 10));
+        host.advanceTo(host.now() + SECOND / 100);
       }
       host.gauges(idle ? 0.3 : 1, 0);
-      host.passUntil(host.now() + SECOND);
-      List<String> says =
-          host.actions.stream().filter(action -> action.startsWith("say ")).toList();
-      assertEquals(idle, says.get(says.size() - 1).equals("say 1.0"), says::toString);
+      host.advanceTo(host.now() + SECOND);
+      List<String> publishedValues =
+          host.actions.stream().filter(action -> action.startsWith("publish ")).toList();
+      assertEquals(
+          idle,
+          publishedValues.get(publishedValues.size() - 1).equals("publish 1.0"),
+          publishedValues::toString);
     }
   }
 
   @Test
-  void aHangingDependencyNeverHoldsMoreThanTheQuota() {
-    double share = 0.6;
-    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, share), START);
-    long held = 0;
+  void hangingDependencyNeverExceedsQuota() {
+    double quota = 0.6;
+    RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, quota), START);
+    long heldMicros = 0;
     long calls = 0;
     for (int i = 0; host.now() < START + 5 * SECOND; i++) {
       String id = "read" + i;
       host.read(request(host, id, READ));
       if (host.did("start " + id)) {
-        host.atCall(id);
+        host.reachCall(id);
       }
       if (host.count("call") > calls) {
         calls = host.count("call");
-        long began = host.now();
-        host.passUntil(Math.min(host.lastCallTimeout(), START + 5 * SECOND));
+        long startedAt = host.now();
+        host.advanceTo(Math.min(host.lastCallTimeout(), START + 5 * SECOND));
         host.callEnded(id, RunOutcome.TIMED_OUT);
-        held += host.now() - began + 200_000;
+        heldMicros += host.now() - startedAt + 200_000;
       }
-      host.passUntil(host.now() + SECOND / 10);
+      host.advanceTo(host.now() + SECOND / 10);
     }
-    assertTrue(calls >= 2, "it goes on trying");
-    assertTrue(held <= share * 5 * SECOND, "held for " + held);
+    assertTrue(calls >= 2, "calls are still attempted");
+    assertTrue(heldMicros <= quota * 5 * SECOND, "microseconds of calls: " + heldMicros);
   }
 
   @Test
-  void aSlowDependencyGetsTheCallsOfTheHighestPriority() {
+  void slowDependencyGetsCallsOfHighestPriority() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.25), START);
     host.read(request(host, "slow", READ));
-    host.atCall("slow");
-    host.passUntil(host.now() + SECOND / 2);
+    host.reachCall("slow");
+    host.advanceTo(host.now() + SECOND / 2);
     host.callEnded("slow", RunOutcome.SUCCEEDED);
     host.finish("slow", RunOutcome.SUCCEEDED);
-    host.read(request(host, "cheap", READ));
-    assertTrue(host.did("refuse cheap"), "its call cannot be made in time: no core time is spent");
+    host.read(request(host, "low", READ));
+    assertTrue(
+        host.did("reject low"), "its call cannot be made in time, so it must take no core time");
     host.read(request(host, "free", SAVE));
     assertTrue(host.did("start free"), "it does not call");
     host.finish("free", RunOutcome.SUCCEEDED);
-    host.passUntil(host.now() + 8 * SECOND);
+    host.advanceTo(host.now() + 8 * SECOND);
     host.read(request(host, "less", READ), request(host, "more", COMMIT));
-    assertTrue(host.did("start less") && host.did("start more"), "call time has flowed in");
-    host.atCall("less");
-    host.atCall("more");
-    assertFalse(host.did("call more"), "one at a time");
-    host.passUntil(host.now() + SECOND / 4);
+    assertTrue(
+        host.did("start less") && host.did("start more"), "the bucket of call time is refilled");
+    host.reachCall("less");
+    host.reachCall("more");
+    assertFalse(host.did("call more"), "only one call at a time");
+    host.advanceTo(host.now() + SECOND / 4);
     host.callEnded("less", RunOutcome.FAILED);
-    host.passUntil(host.now() + 2 * SECOND);
-    assertTrue(host.did("call more"), "worth goes first");
+    host.advanceTo(host.now() + 2 * SECOND);
+    assertTrue(host.did("call more"), "the higher priority is called first");
     assertEquals(
-        1, host.actions.stream().filter("call less"::equals).count(), "what failed once waits");
+        1, host.actions.stream().filter("call less"::equals).count(), "the failed call waits");
   }
 
   @Test
-  void rejectedRequestsDoNotUseUpATenantsQuota() {
+  void rejectedRequestsDoNotUseUpTenantQuota() {
     RecordingHost host = host();
     fillCores(host);
     for (int i = 0; i < 400; i++) {
       host.read(request(host, "storm" + i, READ));
     }
-    assertTrue(host.count("refuse") > 300, "all but a few are turned away");
-    host.passUntil(host.now() + SECOND / 10);
-    host.read(request(host, "dear", COMMIT));
+    assertTrue(host.count("reject") > 300, "all but a few are rejected");
+    host.advanceTo(host.now() + SECOND / 10);
+    host.read(request(host, "high", COMMIT));
     host.finish("busy1", RunOutcome.SUCCEEDED);
     assertTrue(
-        host.did("start dear"),
-        "within its share, by what was admitted: the dear class goes first");
+        host.did("start high"),
+        "rejected requests do not count, so the tenant is within its quota");
   }
 
   @Test
-  void longDeadlinesDoNotTightenTheLadder() {
-    for (boolean patient : new boolean[] {true, false}) {
+  void longDeadlinesDoNotTightenLadder() {
+    for (boolean longDeadline : new boolean[] {true, false}) {
       Settings base = settings(StopMode.ABORT, 4_000, false, 5);
       List<RequestClass> classes = new ArrayList<>(base.classes());
       RequestClass read = classes.get(READ);
@@ -712,7 +731,7 @@
           new RequestClass(
               "read",
               3 * SECOND,
-              (patient ? 40 : 4) * SECOND,
+              (longDeadline ? 40 : 4) * SECOND,
               read.priorityWeight(),
               0.2,
               Idempotency.ALWAYS,
@@ -736,7 +755,7 @@
                 host.now() + 9 * SECOND,
                 false));
       }
-      host.passUntil(START + SECOND * 3 / 2);
+      host.advanceTo(START + SECOND * 3 / 2);
       host.read(
           new Request(
               "huge",
@@ -751,187 +770,193 @@
               host.now() + 3 * SECOND,
               false));
       assertEquals(
-          !patient, host.actions.contains("refuse huge last away"), "advice comes with the ladder");
+          !longDeadline,
+          host.actions.contains("reject huge final retryAfter"),
+          "Retry-After is advised once the ladder has tightened");
     }
   }
 
   @Test
-  void runsThatReturnFromCallsStayWithinTheConcurrency() {
+  void runsThatReturnFromCallsStayWithinConcurrencyBound() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 200_000, false, 0.5), START);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "read" + i, READ));
       if (host.did("start read" + i)) {
-        host.atCall("read" + i);
+        host.reachCall("read" + i);
       }
     }
     for (int round = 0; round < 40; round++) {
-      for (String id : host.callsOut()) {
+      for (String id : host.callsInFlight()) {
         host.callEnded(id, RunOutcome.SUCCEEDED);
       }
-      host.passUntil(host.now() + SECOND / 20);
+      host.advanceTo(host.now() + SECOND / 20);
     }
-    assertTrue(host.count("call") > 2, "the host asserts the crowd");
+    assertTrue(host.count("call") > 2, "the host asserts the concurrency bound");
   }
 
   @Test
-  void waitingRepeatsNeverFillTheMemory() {
+  void waitingRepeatsNeverFillMemory() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 400, false, 5), START);
     host.read(request(host, "turn", COMMIT));
     for (int i = 0; i < 60; i++) {
       host.read(request(host, "again" + i, COMMIT, "turn", 3 * SECOND));
     }
-    assertTrue(host.count("replay") > 2 && host.count("fail") > 20, "the host asserts the memory");
+    assertTrue(
+        host.count("replay") > 2 && host.count("fail") > 20, "the host asserts the memory bound");
   }
 
   @Test
-  void aCallOfACancelledRequestStillCounts() {
+  void callOfCancelledRequestCountsUntilItEnds() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
     host.read(request(host, "left", READ));
-    host.atCall("left");
+    host.reachCall("left");
     host.cancel("left");
     host.finish("left", RunOutcome.STOPPED);
     host.read(request(host, "next", READ));
-    host.atCall("next");
-    assertFalse(host.did("call next"), "the first is given up, not over");
-    host.passUntil(host.now() + SECOND / 2);
+    host.reachCall("next");
+    assertFalse(host.did("call next"), "the first call is abandoned but has not ended");
+    host.advanceTo(host.now() + SECOND / 2);
     assertTrue(host.did("call next"));
   }
 
   /** The dependency may still work on a call whose connection was lost. */
   @Test
-  void aCallOnALostConnectionStillCounts() {
-    for (RunOutcome end : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
+  void callOnLostConnectionCountsUntilItEnds() {
+    for (RunOutcome outcome : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
       RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
       host.read(request(host, "one", READ));
-      host.atCall("one");
-      host.callEnded("one", end);
+      host.reachCall("one");
+      host.callEnded("one", outcome);
       host.read(request(host, "next", READ));
-      host.atCall("next");
-      assertEquals(end == RunOutcome.REJECTED, host.did("call next"), "after " + end);
-      host.passUntil(host.now() + SECOND / 2);
-      assertTrue(host.count("call") > 1, "once it can be over, calls are made again");
+      host.reachCall("next");
+      assertEquals(outcome == RunOutcome.REJECTED, host.did("call next"), "after " + outcome);
+      host.advanceTo(host.now() + SECOND / 2);
+      assertTrue(host.count("call") > 1, "calls resume once the first one must have ended");
     }
   }
 
   @Test
-  void anAbandonedRequestIsAnsweredAtOnce() {
+  void answersWaitingRequestsOnceTheirAnswersEarnNothing() {
     Settings base = settings(StopMode.ABORT, 20_000, false, 0.5);
     List<RequestClass> classes =
         base.classes().stream()
             .map(
-                kind ->
+                requestClass ->
                     new RequestClass(
-                        kind.name(),
+                        requestClass.name(),
                         SECOND,
                         4 * SECOND,
-                        kind.priorityWeight(),
+                        requestClass.priorityWeight(),
                         0,
-                        kind.idempotency(),
-                        kind.idempotencyWindow(),
-                        kind.callsDependency(),
+                        requestClass.idempotency(),
+                        requestClass.idempotencyWindow(),
+                        requestClass.callsDependency(),
                         0))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
     host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
-    host.atCall("turn");
-    host.atCall("load");
+    host.reachCall("turn");
+    host.reachCall("load");
     host.read(
         request(host, "busy1", SAVE), request(host, "busy2", SAVE), request(host, "held", SAVE));
-    host.passUntil(START + SECOND * 6 / 5);
+    host.advanceTo(START + SECOND * 6 / 5);
     for (String id : List.of("load", "again", "held")) {
-      assertTrue(host.answered(id), id + " can earn nothing any longer");
+      assertTrue(host.answered(id), id + " earns nothing any more");
     }
-    assertFalse(host.answered("busy1"), "what runs is not given up: it is answered when it ends");
+    assertFalse(host.answered("busy1"), "a running request is answered when its run ends");
   }
 
   @Test
-  void leavesACallOutWhereADegradedAnswerEarnsMore() {
+  void skipsCallIfDegradedAnswerEarnsMore() {
     Settings base = settings(StopMode.NONE, 20_000, false, 0.5);
     List<RequestClass> classes =
         base.classes().stream()
             .map(
-                kind ->
+                requestClass ->
                     new RequestClass(
-                        kind.name(),
+                        requestClass.name(),
                         SECOND,
                         4 * SECOND,
-                        kind.priorityWeight(),
+                        requestClass.priorityWeight(),
                         0,
-                        kind.idempotency(),
-                        kind.idempotencyWindow(),
-                        kind.callsDependency(),
-                        kind.idempotency() == Idempotency.WITH_KEY ? 0 : 0.5))
+                        requestClass.idempotency(),
+                        requestClass.idempotencyWindow(),
+                        requestClass.callsDependency(),
+                        requestClass.idempotency() == Idempotency.WITH_KEY ? 0 : 0.5))
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
     host.read(request(host, "turn", COMMIT), request(host, "load", READ));
-    host.atCall("turn");
-    host.atCall("load");
+    host.reachCall("turn");
+    host.reachCall("load");
     assertTrue(host.did("call turn") && !host.did("call load"), "one call at a time");
-    host.passUntil(START + SECOND / 2);
-    assertFalse(host.did("skip load"), "there is time for the full answer");
-    host.passUntil(START + SECOND);
-    assertTrue(host.did("skip load"), "the poorer one still comes in time");
+    host.advanceTo(START + SECOND / 2);
+    assertFalse(host.did("skip load"), "there is time for the call");
+    host.advanceTo(START + SECOND);
+    assertTrue(host.did("skip load"), "the degraded answer still arrives in time");
     assertFalse(host.did("skip turn"));
   }
 
   @Test
-  void keepsIdleConnectionsInARetryStorm() {
+  void keepsIdleConnectionsDuringRetryStorm() {
     RecordingHost host =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10_000), START);
     host.gauges(1, 8);
-    host.passUntil(START + SECOND);
-    assertTrue(host.did("trim 10000"));
+    host.advanceTo(START + SECOND);
+    assertTrue(host.did("idleTimeout 10000"));
     for (int i = 0; i < 300; i++) {
       host.read(request(host, "one" + i, SAVE), request(host, "two" + i, SAVE));
-      host.passUntil(host.now() + 10_000);
+      host.advanceTo(host.now() + 10_000);
     }
-    assertTrue(host.did("trim 30000000"), "nearly all is refused: each handshake is lost");
+    assertTrue(
+        host.did("idleTimeout 30000000"),
+        "nearly all requests are rejected, so each reconnect would be wasted");
     host.gauges(0, 0);
-    host.passUntil(host.now() + 4 * SECOND);
-    host.consequences();
-    host.passUntil(host.now() + 40 * SECOND);
+    host.advanceTo(host.now() + 4 * SECOND);
+    host.deliverFollowUps();
+    host.advanceTo(host.now() + 40 * SECOND);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "calm" + i, SAVE));
       if (!host.answered("calm" + i)) {
         host.finish("calm" + i, RunOutcome.SUCCEEDED);
       }
-      host.passUntil(host.now() + SECOND / 2);
+      host.advanceTo(host.now() + SECOND / 2);
     }
     assertTrue(
-        host.actions.lastIndexOf("trim 10000") > host.actions.lastIndexOf("trim 30000000"),
-        "and over");
+        host.actions.lastIndexOf("idleTimeout 10000")
+            > host.actions.lastIndexOf("idleTimeout 30000000"),
+        "the timeout is shortened again after the storm");
   }
 
   @Test
-  void aShutdownAnswersWhatIsDueAfterTheKill() {
+  void gracefulShutdownAnswersRequestsDueAfterProcessStop() {
     for (StopMode stopMode : StopMode.values()) {
       RecordingHost host = new RecordingHost(settings(stopMode, 20_000, false, 5), START);
       host.gauges(1, 3);
       fillCores(host);
       host.read(request(host, "held", READ, null, 0), request(host, "turn", COMMIT, null, 0));
       host.drain(START + SECOND);
-      host.passUntil(START + SECOND);
+      host.advanceTo(START + SECOND);
       for (String id : List.of("busy1", "busy2", "held", "turn")) {
         assertTrue(host.answered(id), id + " is answered before the process is stopped");
       }
     }
   }
 
-  private static Request of(RecordingHost host, String id, int tenant) {
+  private static Request tenantRequest(RecordingHost host, String id, int tenant) {
     return new Request(
         id, SAVE, tenant, 100_000, 1_000, null, 10, null, 0.5, host.now() + 3 * SECOND, true);
   }
 
-  /** A tenant of new settings must not start with the debt of another at its index. */
+  /** A tenant of new settings must not start with the debt of another tenant at its index. */
   @Test
-  void aNewTenantAtTheSameIndexDoesNotInheritADebt() {
-    for (boolean same : new boolean[] {true, false}) {
+  void newTenantAtSameIndexDoesNotInheritDebt() {
+    for (boolean sameName : new boolean[] {true, false}) {
       RecordingHost host = host();
       for (int i = 0; i < 400; i++) {
-        host.read(of(host, "spent" + i, 0));
+        host.read(tenantRequest(host, "spent" + i, 0));
         host.finish("spent" + i, RunOutcome.SUCCEEDED);
       }
       Settings base = host.settings();
@@ -939,48 +964,49 @@
           SettingsVariants.parts(
               base,
               base.classes(),
-              List.of(new Tenant(same ? "one" : "three", 100), new Tenant("two", 100))));
-      host.read(of(host, "busy1", 1), of(host, "busy2", 1));
-      host.read(of(host, "first", 0), of(host, "second", 1));
+              List.of(new Tenant(sameName ? "one" : "three", 100), new Tenant("two", 100))));
+      host.read(tenantRequest(host, "busy1", 1), tenantRequest(host, "busy2", 1));
+      host.read(tenantRequest(host, "first", 0), tenantRequest(host, "second", 1));
       host.finish("busy1", RunOutcome.SUCCEEDED);
       assertTrue(
-          host.did(same ? "start second" : "start first"), "a debt is its maker's, and only its");
+          host.did(sameName ? "start second" : "start first"),
+          "the debt stays with the tenant that incurred it");
     }
   }
 
-  /** Callers must not read an old value in a new meaning. */
+  /** Callers must not apply a new meaning to an old value. */
   @Test
-  void publishesTheFreeValueAgainInANewMeaning() {
+  void publishesFreeValueAgainWhenItsMeaningChanges() {
     RecordingHost host = host();
     for (FreeValue meaning :
         List.of(
             FreeValue.SHARE, FreeValue.LEVEL, FreeValue.WINDOW, FreeValue.SHARE, FreeValue.NONE)) {
       host.changeSettings(SettingsVariants.meaning(host.settings(), meaning));
-      int before = host.actions.size();
-      host.passUntil(host.now() + SECOND / 5);
-      List<String> says =
-          host.actions.subList(before, host.actions.size()).stream()
-              .filter(action -> action.startsWith("say "))
+      int firstNewAction = host.actions.size();
+      host.advanceTo(host.now() + SECOND / 5);
+      List<String> publishedValues =
+          host.actions.subList(firstNewAction, host.actions.size()).stream()
+              .filter(action -> action.startsWith("publish "))
               .toList();
       assertEquals(
           meaning == FreeValue.SHARE
-              ? List.of("say 1.0")
-              : meaning == FreeValue.LEVEL ? List.of("say 0.0") : List.of(),
-          says,
+              ? List.of("publish 1.0")
+              : meaning == FreeValue.LEVEL ? List.of("publish 0.0") : List.of(),
+          publishedValues,
           () -> "as " + meaning);
     }
   }
 
-  /** Capacity must not be reserved for a new class by the arrivals of another at its index. */
+  /** The arrivals of another class at the same index must not reserve capacity for a new class. */
   @Test
-  void aNewClassAtTheSameIndexDoesNotInheritArrivals() {
-    for (boolean same : new boolean[] {true, false}) {
+  void newClassAtSameIndexDoesNotInheritArrivals() {
+    for (boolean sameName : new boolean[] {true, false}) {
       RecordingHost host = host();
       host.gauges(0.9, 2);
       fillCores(host);
       host.read(
           request(host, "held1", SAVE), request(host, "held2", SAVE), request(host, "held3", SAVE));
-      host.passUntil(START + SECOND / 5);
+      host.advanceTo(START + SECOND / 5);
       for (int i = 0; i < 30; i++) {
         host.read(request(host, "came" + i, READ));
       }
@@ -988,7 +1014,7 @@
       classes.set(
           READ,
           new RequestClass(
-              same ? "read" : "other",
+              sameName ? "read" : "other",
               SECOND,
               4 * SECOND,
               100,
@@ -1000,7 +1026,9 @@
       host.changeSettings(withClasses(host.settings(), classes));
       host.read(request(host, "next", SAVE));
       assertEquals(
-          same, host.answered("next"), "room is kept for what came of this class, and of no other");
+          sameName,
+          host.answered("next"),
+          "capacity is reserved only for arrivals of the same class");
     }
   }
 }
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -22,16 +22,17 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random sequences of events with fixed seeds; the host asserts what must always hold after each.
+ * Random sequences of events with fixed seeds; the host asserts the invariants on each event and
+ * action.
  */
 class RandomFaultTest {
   private static final long SECOND = 1_000_000;
   private static final int SEQUENCES = 60;
   private static final int STEPS = 400;
-  private static final int SUBJECTS = 12;
+  private static final int IDEMPOTENCY_KEYS = 12;
 
   private static Settings settings(Random random, StopMode stopMode) {
-    boolean late = random.nextBoolean();
+    boolean earnsWhenLate = random.nextBoolean();
     return new Settings(
         random.nextLong(),
         5_000,
@@ -41,7 +42,7 @@
                 SECOND,
                 4 * SECOND,
                 1,
-                late ? 0.2 : 0,
+                earnsWhenLate ? 0.2 : 0,
                 Idempotency.ALWAYS,
                 0,
                 true,
@@ -75,101 +76,110 @@
     long answered = 0;
     for (StopMode stopMode : StopMode.values()) {
       for (int seed = 0; seed < SEQUENCES; seed++) {
-        answered += play(new Random(seed * 31L + stopMode.ordinal()), stopMode);
+        answered += runSequence(new Random(seed * 31L + stopMode.ordinal()), stopMode);
       }
     }
-    assertTrue(answered > 10_000, "requests were played to their end: " + answered);
+    assertTrue(answered > 10_000, "requests with an outcome: " + answered);
   }
 
-  private static long play(Random random, StopMode stopMode) {
+  private static long runSequence(Random random, StopMode stopMode) {
     RecordingHost host = new RecordingHost(settings(random, stopMode), 77 * SECOND);
     boolean hasCallerDeadline = random.nextBoolean();
-    String[] last = new String[SUBJECTS];
-    long drainAt = random.nextInt(STEPS * 2);
-    int settingsChangeAt = random.nextInt(STEPS);
+    String[] lastOriginals = new String[IDEMPOTENCY_KEYS];
+    long drainStep = random.nextInt(STEPS * 2);
+    int settingsChangeStep = random.nextInt(STEPS);
     for (int step = 0; step < STEPS; step++) {
-      host.consequences();
+      host.deliverFollowUps();
       host.gauges(random.nextDouble(), random.nextInt(8));
-      if (step == drainAt) {
+      if (step == drainStep) {
         host.drain(host.now() + 4 * SECOND);
       }
-      if (step == settingsChangeAt) {
-        host.changeSettings(changed(host.settings()));
+      if (step == settingsChangeStep) {
+        host.changeSettings(changedSettings(host.settings()));
       }
-      double what = random.nextDouble();
-      if (what < 0.45) {
-        host.read(request(host, random, "r" + step, hasCallerDeadline, last));
-      } else if (what < 0.6) {
-        any(random, host.onCores())
+      double choice = random.nextDouble();
+      if (choice < 0.45) {
+        host.read(request(host, random, "r" + step, hasCallerDeadline, lastOriginals));
+      } else if (choice < 0.6) {
+        pick(random, host.onCores())
             .ifPresent(
                 id ->
                     host.finish(
                         id, random.nextInt(5) > 0 ? RunOutcome.SUCCEEDED : RunOutcome.FAILED));
-      } else if (what < 0.75) {
-        any(random, host.onCores().stream().filter(host::calls).toList()).ifPresent(host::atCall);
-      } else if (what < 0.88) {
-        RunOutcome[] ends = {
+      } else if (choice < 0.75) {
+        pick(random, host.onCores().stream().filter(host::calls).toList())
+            .ifPresent(host::reachCall);
+      } else if (choice < 0.88) {
+        RunOutcome[] outcomes = {
           RunOutcome.SUCCEEDED,
           RunOutcome.SUCCEEDED,
           RunOutcome.FAILED,
           RunOutcome.REJECTED,
           RunOutcome.CONNECTION_LOST
         };
-        any(random, host.callsOut()).ifPresent(id -> host.callEnded(id, ends[random.nextInt(5)]));
-      } else if (what < 0.91) {
-        any(random, host.pending()).ifPresent(host::cancel);
+        pick(random, host.callsInFlight())
+            .ifPresent(id -> host.callEnded(id, outcomes[random.nextInt(5)]));
+      } else if (choice < 0.91) {
+        pick(random, host.pending()).ifPresent(host::cancel);
       }
-      host.passUntil(host.now() + 5_000L * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 6)));
+      host.advanceTo(host.now() + 5_000L * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 6)));
     }
     for (int i = 0; i < 300 && !host.pending().isEmpty(); i++) {
-      host.consequences();
-      host.passUntil(host.now() + 20_000);
+      host.deliverFollowUps();
+      host.advanceTo(host.now() + 20_000);
     }
-    assertTrue(host.pending().isEmpty(), "all is answered");
-    return host.count("refuse") + host.count("fail") + host.count("start");
+    assertTrue(host.pending().isEmpty(), "all requests are answered");
+    return host.count("reject") + host.count("fail") + host.count("start");
   }
 
   /**
-   * A class and a tenant more, one class with less time, and the class "save" gone for another at
-   * its classIndex.
+   * Returns settings with an additional class and tenant, one class with a shorter deadline, and
+   * the class "save" replaced by another at its index.
    */
-  private static Settings changed(Settings one) {
-    List<RequestClass> classes = new ArrayList<>(one.classes());
+  private static Settings changedSettings(Settings base) {
+    List<RequestClass> classes = new ArrayList<>(base.classes());
     classes.set(
         1, new RequestClass("look", SECOND, 2 * SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0));
     classes.add(
         new RequestClass("late", SECOND, 3 * SECOND, 3, 0, Idempotency.ALWAYS, 0, false, 0));
-    List<Tenant> tenants = new ArrayList<>(one.tenants());
+    List<Tenant> tenants = new ArrayList<>(base.tenants());
     tenants.add(new Tenant("three", 20));
     return new Settings(
-        one.seed(),
-        one.batchInterval(),
+        base.seed(),
+        base.batchInterval(),
         classes,
         tenants,
         12,
         4,
-        one.weightByWork(),
+        base.weightByWork(),
         0.1,
         0,
-        one.objectiveWeights(),
-        one.limits(),
-        one.dependency(),
-        one.machine(),
-        one.signals());
+        base.objectiveWeights(),
+        base.limits(),
+        base.dependency(),
+        base.machine(),
+        base.signals());
   }
 
-  private static Optional<String> any(Random random, List<String> ids) {
+  private static Optional<String> pick(Random random, List<String> ids) {
     return ids.isEmpty() ? Optional.empty() : Optional.of(ids.get(random.nextInt(ids.size())));
   }
 
   private static Request request(
-      RecordingHost host, Random random, String id, boolean hasCallerDeadline, String[] last) {
+      RecordingHost host,
+      Random random,
+      String id,
+      boolean hasCallerDeadline,
+      String[] lastOriginals) {
     int classIndex = random.nextInt(host.settings().classes().size());
-    int subject = random.nextInt(SUBJECTS);
-    String before = null;
+    int keyIndex = random.nextInt(IDEMPOTENCY_KEYS);
+    String originalId = null;
     if (classIndex == 2) {
-      before = last[subject] != null && host.remembers(last[subject]) ? last[subject] : null;
-      last[subject] = before == null ? id : before;
+      originalId =
+          lastOriginals[keyIndex] != null && host.remembers(lastOriginals[keyIndex])
+              ? lastOriginals[keyIndex]
+              : null;
+      lastOriginals[keyIndex] = originalId == null ? id : originalId;
     }
     return new Request(
         id,
@@ -179,7 +189,7 @@
         random.nextInt(100_000),
         null,
         5 + random.nextInt(20),
-        before,
+        originalId,
         random.nextDouble(),
         hasCallerDeadline ? host.now() + 200_000 + random.nextInt(4_000_000) : 0,
         classIndex != 0);
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -19,20 +19,20 @@
 import mothwing.control.StopMode;
 
 /**
- * Feeds one controller with scripted events, records its actions and asserts on every one of them
- * what must always hold: each request is answered once and before it is due, nothing takes effect
- * twice, nothing that arrives after the grace period of a shutdown runs, and memory and concurrency
- * stay within their bounds.
+ * Delivers scripted events to one controller, records its actions and asserts the invariants on
+ * each of them: every request is answered once and before it is due, no effect occurs twice, no
+ * request that arrives after the grace period of a shutdown runs, and memory and concurrency stay
+ * within their bounds.
  */
 final class RecordingHost implements ControllerHost {
-  /** The state of a request as the server sees it. */
+  /** The state of a request from the server's point of view. */
   private static final class RequestState {
     Request request;
-    RequestClass kind;
-    long arrived;
-    long due;
+    RequestClass requestClass;
+    long arrivedAt;
+    long dueAt;
     boolean answered;
-    boolean over;
+    boolean ended;
     boolean ran;
     boolean aborted;
     boolean onCore;
@@ -40,8 +40,8 @@
     boolean calling;
     long callUntil;
     boolean replaying;
-    boolean halted;
-    RunOutcome lastCall;
+    boolean stopRequested;
+    RunOutcome lastCallOutcome;
   }
 
   private Settings settings;
@@ -64,10 +64,10 @@
     startedAt = start;
     controller = new OverloadController(settings, this);
     controller.serverStarted(now);
-    settle();
+    endBatch();
   }
 
-  // ---- events
+  // Events
 
   void gauges(double... values) {
     gauges = values;
@@ -77,29 +77,29 @@
     return now;
   }
 
-  /** Lets time pass, firing timers as they fall due. */
-  void passUntil(long end) {
+  /** Advances the clock and fires the timers that fall due. */
+  void advanceTo(long end) {
     while (true) {
       long next = end;
       for (long timer : timers) {
         next = Math.min(next, Math.max(timer, now + 1));
       }
       step(next);
-      List<Long> due = timers.stream().filter(timer -> timer <= now).toList();
-      timers.removeAll(due);
-      for (int i = 0; i < due.size(); i++) {
+      List<Long> dueTimers = timers.stream().filter(timer -> timer <= now).toList();
+      timers.removeAll(dueTimers);
+      for (int i = 0; i < dueTimers.size(); i++) {
         controller.timerFired(now, "sample", GaugeSample.of(gauges));
       }
-      settle();
+      endBatch();
       if (now >= end) {
         return;
       }
     }
   }
 
-  /** Lets the clock jump without any event, as when the whole process stands still. */
-  void jump(long span) {
-    step(now + span);
+  /** Advances the clock without any event, as if the whole process had stopped for that time. */
+  void jump(long duration) {
+    step(now + duration);
   }
 
   private void step(long next) {
@@ -107,54 +107,57 @@
     double weight = 1 - Math.exp(-(double) (next - now) / settings.limits().concurrencyWindow());
     averageRunning += (running - averageRunning) * weight;
     now = next;
-    double cold = settings.limits().coldSpeedRatio();
+    double coldSpeedRatio = settings.limits().coldSpeedRatio();
     double speed =
         settings.machine().coldStart()
             ? Math.min(
-                1, cold + (1 - cold) * (now - startedAt) / settings.limits().warmUpDuration())
+                1,
+                coldSpeedRatio
+                    + (1 - coldSpeedRatio) * (now - startedAt) / settings.limits().warmUpDuration())
             : 1;
     double bound =
         (1 + (settings.limits().concurrencyPerCore() - 1) * speed) * settings.machine().cores();
-    assertTrue(averageRunning <= bound, "running " + averageRunning + " over " + bound);
+    assertTrue(
+        averageRunning <= bound, "average concurrency " + averageRunning + " exceeds " + bound);
   }
 
-  /** Reads requests in one batch. */
+  /** Delivers requests in one batch. */
   void read(Request... batch) {
     for (Request request : batch) {
       RequestState state = new RequestState();
       state.request = request;
-      state.kind = settings.classes().get(request.classIndex());
-      state.arrived = now - request.queueingDelay();
-      long due =
+      state.requestClass = settings.classes().get(request.classIndex());
+      state.arrivedAt = now - request.queueingDelay();
+      long dueAt =
           request.callerDeadline() > 0
               ? request.callerDeadline()
-              : state.arrived + state.kind.deadline();
-      state.due = Math.max(now, due);
+              : state.arrivedAt + state.requestClass.deadline();
+      state.dueAt = Math.max(now, dueAt);
       requests.put(request.id(), state);
     }
     for (Request request : batch) {
       controller.requestRead(now, request);
     }
-    settle();
+    endBatch();
   }
 
-  void atCall(String id) {
+  void reachCall(String id) {
     state(id).onCore = false;
     state(id).atCall = true;
-    state(id).lastCall = null;
+    state(id).lastCallOutcome = null;
     controller.callAwaited(now, id);
-    settle();
+    endBatch();
   }
 
   void callEnded(String id, RunOutcome outcome) {
-    state(id).lastCall = outcome;
+    state(id).lastCallOutcome = outcome;
     state(id).calling = false;
     if (outcome == RunOutcome.SUCCEEDED) {
       state(id).onCore = true;
       state(id).atCall = false;
     }
     controller.callEnded(now, id, outcome, 1);
-    settle();
+    endBatch();
   }
 
   void finish(String id, RunOutcome outcome) {
@@ -167,24 +170,24 @@
     state.atCall = false;
     state.calling = false;
     state.replaying = false;
-    state.over = true;
+    state.ended = true;
     state.answered |= outcome == RunOutcome.SUCCEEDED || outcome == RunOutcome.FAILED;
     controller.runEnded(now, id, outcome, durationMicros);
-    settle();
+    endBatch();
   }
 
   void cancel(String id) {
     state(id).answered = true;
-    state(id).over = !state(id).onCore && !state(id).atCall;
+    state(id).ended = !state(id).onCore && !state(id).atCall;
     state(id).replaying = false;
     controller.requestCancelled(now, id);
-    settle();
+    endBatch();
   }
 
   void changeSettings(Settings changed) {
     settings = changed;
     controller.settingsChanged(now, changed);
-    settle();
+    endBatch();
   }
 
   Settings settings() {
@@ -194,29 +197,30 @@
   void drain(long stopAt) {
     drainingSince = now;
     for (RequestState state : requests.values()) {
-      state.due = Math.min(state.due, stopAt);
+      state.dueAt = Math.min(state.dueAt, stopAt);
     }
     controller.shutdownRequested(now, stopAt);
-    settle();
+    endBatch();
   }
 
-  private void settle() {
+  private void endBatch() {
     controller.batchEnded(now);
-    double memory = 0;
+    double memoryKb = 0;
     for (RequestState state : requests.values()) {
-      boolean holds = !state.over;
+      boolean holdsMemory = !state.ended;
       double factor = state.ran ? settings.machine().runMemoryFactor() : 1;
-      memory += holds ? state.request.memoryKb() * factor : 0;
+      memoryKb += holdsMemory ? state.request.memoryKb() * factor : 0;
       assertTrue(
-          state.answered || now <= state.due + settings.limits().answerSlack(),
+          state.answered || now <= state.dueAt + settings.limits().answerSlack(),
           state.request.id() + " is overdue");
     }
     keys.values().removeIf(until -> until <= now);
-    memory += keys.size() * settings.machine().keyMemoryKb();
-    assertTrue(memory <= settings.machine().memoryKb(), "memory " + memory);
+    memoryKb += keys.size() * settings.machine().keyMemoryKb();
+    assertTrue(
+        memoryKb <= settings.machine().memoryKb(), "memory in use, in kilobytes: " + memoryKb);
   }
 
-  // ---- queries of the tests
+  // Queries
 
   boolean did(String action) {
     return actions.stream()
@@ -231,107 +235,112 @@
     return state(id).answered;
   }
 
-  /** When the last call is abandoned. */
+  /** Returns the time at which the last call is abandoned. */
   long lastCallTimeout() {
     return lastCallTimeout;
   }
 
   /**
-   * Plays what follows without a new event: runs that stop, calls abandoned at their timeout, and
-   * repeats whose original has ended.
+   * Delivers the events that follow from earlier actions: ends of stopped runs, calls abandoned at
+   * their timeout, and replays whose original has ended.
    */
-  void consequences() {
+  void deliverFollowUps() {
     for (Map.Entry<String, RequestState> entry : new ArrayList<>(requests.entrySet())) {
       RequestState state = entry.getValue();
-      if (state.over) {
+      if (state.ended) {
         continue;
       }
-      if ((state.halted && state.onCore) || (state.atCall && state.answered)) {
+      if ((state.stopRequested && state.onCore) || (state.atCall && state.answered)) {
         finish(entry.getKey(), RunOutcome.STOPPED);
       } else if (state.calling && state.callUntil <= now) {
         callEnded(entry.getKey(), RunOutcome.TIMED_OUT);
-      } else if (state.replaying && state(state.request.originalId()).over) {
+      } else if (state.replaying && state(state.request.originalId()).ended) {
         boolean ran = state(state.request.originalId()).ran;
         finish(entry.getKey(), ran ? RunOutcome.SUCCEEDED : RunOutcome.FAILED);
       }
     }
   }
 
-  /** Names of open requests on a core. */
+  /** Returns the ids of open requests whose runs hold a core. */
   List<String> onCores() {
-    return requests.keySet().stream().filter(id -> !state(id).over && state(id).onCore).toList();
+    return requests.keySet().stream().filter(id -> !state(id).ended && state(id).onCore).toList();
   }
 
-  /** Whether the class of a request may call. */
+  /** Returns whether the class of a request may call the dependency. */
   boolean calls(String id) {
-    return state(id).kind.callsDependency();
+    return state(id).requestClass.callsDependency();
   }
 
-  /** Names of open requests whose call is out. */
-  List<String> callsOut() {
-    return requests.keySet().stream().filter(id -> !state(id).over && state(id).calling).toList();
+  /** Returns the ids of open requests whose call is in flight. */
+  List<String> callsInFlight() {
+    return requests.keySet().stream().filter(id -> !state(id).ended && state(id).calling).toList();
   }
 
-  /** Names of open requests whose answer is pending. */
+  /** Returns the ids of open requests that are not answered. */
   List<String> pending() {
-    return requests.keySet().stream().filter(id -> !state(id).over && !state(id).answered).toList();
+    return requests.keySet().stream()
+        .filter(id -> !state(id).ended && !state(id).answered)
+        .toList();
   }
 
-  /** Whether a key is still remembered. */
+  /** Returns whether an idempotency key is still remembered. */
   boolean remembers(String id) {
     return keys.getOrDefault(id, 0L) > now;
   }
 
   private RequestState state(String id) {
     RequestState state = requests.get(id);
-    assertNotNull(state, id + " was never given");
+    assertNotNull(state, id + " was never read");
     return state;
   }
 
-  private RequestState takeAnswer(String id) {
+  private RequestState markAnswered(String id) {
     RequestState state = state(id);
     assertFalse(state.answered, id + " is answered twice");
     state.answered = true;
     return state;
   }
 
-  // ---- actions
+  // Actions
 
   @Override
   public void startRun(String id) {
     RequestState state = state(id);
-    assertFalse(state.over, id + " is over");
+    assertFalse(state.ended, id + " has ended");
     assertTrue(
-        state.arrived - settings.limits().drainGracePeriod() <= drainingSince,
-        id + " came after the grace");
+        state.arrivedAt - settings.limits().drainGracePeriod() <= drainingSince,
+        id + " arrived after the grace period");
     assertRepeatsNothingThatRan(state);
-    if (state.kind.idempotency() == Idempotency.WITH_KEY && !state.ran) {
-      assertTrue(keys.containsKey(id), id + " runs without its key");
+    if (state.requestClass.idempotency() == Idempotency.WITH_KEY && !state.ran) {
+      assertTrue(keys.containsKey(id), id + " runs without a remembered key");
     }
     assertFalse(
-        state.aborted && state.kind.idempotency() != Idempotency.ALWAYS, id + " runs again");
+        state.aborted && state.requestClass.idempotency() != Idempotency.ALWAYS,
+        id + " runs a second time");
     state.ran = true;
     state.onCore = true;
     actions.add("start " + id);
   }
 
-  /** A repeat of guarded work that ran must not run. */
+  /** Asserts that a request does not repeat one with an idempotency key that ran or is held. */
   private void assertRepeatsNothingThatRan(RequestState state) {
     String originalId = state.request.originalId();
-    if (originalId != null && state.kind.idempotency() == Idempotency.WITH_KEY) {
-      RequestState before = requests.get(originalId);
-      boolean refused = before != null && before.answered && !before.ran;
-      assertTrue(refused, state.request.id() + " repeats what ran or is held");
+    if (originalId != null && state.requestClass.idempotency() == Idempotency.WITH_KEY) {
+      RequestState original = requests.get(originalId);
+      boolean originalRejected = original != null && original.answered && !original.ran;
+      assertTrue(originalRejected, state.request.id() + " repeats a request that ran or is held");
     }
   }
 
   @Override
   public void startCall(String id, long until) {
     RequestState state = state(id);
-    assertTrue(state.atCall, id + " is at no call");
-    boolean proven = state.lastCall == null || state.lastCall.provesNoEffect();
-    assertTrue(proven || state.kind.idempotency() == Idempotency.ALWAYS, id + " calls again");
-    assertTrue(until > now, "a time-out in the past");
+    assertTrue(state.atCall, id + " awaits no call");
+    boolean mayCall = state.lastCallOutcome == null || state.lastCallOutcome.provesNoEffect();
+    assertTrue(
+        mayCall || state.requestClass.idempotency() == Idempotency.ALWAYS,
+        id + " repeats a call that may have had an effect");
+    assertTrue(until > now, "the call timeout is in the past");
     state.calling = true;
     state.callUntil = until;
     lastCallTimeout = until;
@@ -341,8 +350,9 @@
   @Override
   public void skipCall(String id) {
     RequestState state = state(id);
-    assertTrue(state.atCall && !state.calling, id + " is at no call");
-    assertTrue(state.kind.degradedWeightRatio() > 0, id + " earns nothing without its call");
+    assertTrue(state.atCall && !state.calling, id + " awaits no call");
+    assertTrue(
+        state.requestClass.degradedWeightRatio() > 0, id + " earns no weight without its call");
     state.atCall = false;
     state.onCore = true;
     actions.add("skip " + id);
@@ -350,42 +360,46 @@
 
   @Override
   public void stopRun(String id) {
-    assertTrue(settings.machine().stopMode() != StopMode.NONE, "halting is not allowed");
+    assertTrue(settings.machine().stopMode() != StopMode.NONE, "runs cannot be stopped");
     RequestState state = state(id);
-    state.halted = true;
+    state.stopRequested = true;
     state.aborted |= settings.machine().stopMode() == StopMode.ABORT;
-    actions.add("halt " + id);
+    actions.add("stop " + id);
   }
 
   @Override
   public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
-    RequestState state = takeAnswer(id);
+    RequestState state = markAnswered(id);
     assertFalse(
-        state.ran && state.kind.idempotency() != Idempotency.ALWAYS, id + " ran and is rejected");
-    if (state.request.originalId() != null && state.kind.idempotency() == Idempotency.WITH_KEY) {
-      RequestState before = requests.get(state.request.originalId());
-      assertTrue(before != null && !before.ran, id + " repeats what ran and is rejected");
+        state.ran && state.requestClass.idempotency() != Idempotency.ALWAYS,
+        id + " ran and is rejected");
+    if (state.request.originalId() != null
+        && state.requestClass.idempotency() == Idempotency.WITH_KEY) {
+      RequestState original = requests.get(state.request.originalId());
+      assertTrue(
+          original != null && !original.ran, id + " repeats a request that ran and is rejected");
     }
-    state.over = true;
-    actions.add("refuse " + id + (finalAnswer ? " last" : "") + (retryAfter > 0 ? " away" : ""));
+    state.ended = true;
+    actions.add(
+        "reject " + id + (finalAnswer ? " final" : "") + (retryAfter > 0 ? " retryAfter" : ""));
   }
 
   @Override
   public void failRequest(String id) {
-    // What was answered while it ran and reaches a call is ended there; that is no second answer.
-    RequestState state = state(id).answered && state(id).atCall ? state(id) : takeAnswer(id);
-    state.over = !state.onCore && !state.atCall;
+    // A run of an answered request ends when it reaches a call; this is not a second answer.
+    RequestState state = state(id).answered && state(id).atCall ? state(id) : markAnswered(id);
+    state.ended = !state.onCore && !state.atCall;
     state.replaying = false;
     actions.add("fail " + id);
   }
 
   @Override
-  public void rememberKey(String id, long span) {
+  public void rememberKey(String id, long duration) {
     RequestState state = state(id);
     assertTrue(
-        now + span >= state.arrived + state.kind.idempotencyWindow(),
+        now + duration >= state.arrivedAt + state.requestClass.idempotencyWindow(),
         id + " is forgotten within its window");
-    keys.put(id, now + span);
+    keys.put(id, now + duration);
     actions.add("remember " + id);
   }
 
@@ -411,7 +425,7 @@
   @Override
   public void publishFreeValue(double value) {
     assertTrue(value >= 0);
-    actions.add("say " + value);
+    actions.add("publish " + value);
   }
 
   @Override
@@ -420,8 +434,8 @@
   }
 
   @Override
-  public void closeIdleConnections(long span) {
-    actions.add("trim " + span);
+  public void closeIdleConnections(long idleTimeout) {
+    actions.add("idleTimeout " + idleTimeout);
   }
 
   @Override
