--- a/src/main/java/mothwing/control/Controller.java
+++ b/src/main/java/mothwing/control/Controller.java
@@ -1,60 +1,65 @@
 package mothwing.control;
 
 /**
- * Receives the events of one server, one at a time. Every call carries the time of the event, in
+ * Receives the events of one server, one at a time. Every method takes the time of the event, in
  * microseconds of the server's monotonic clock, which never decreases.
  */
 public interface Controller {
-  /** The server has started; the first event, delivered once. */
+  /** Handles the start of the server; this is the first event, and occurs once. */
   void serverStarted(long now);
 
-  /** A request was read. It is held until the controller runs, rejects or fails it. */
+  /** Handles a request that was read. It is held until the controller runs, rejects or fails it. */
   void requestRead(long now, Request request);
 
-  /** The caller of a request has cancelled it or disconnected: no answer is pending any longer. */
+  /**
+   * Handles a request whose caller has cancelled it or disconnected, so that no answer is pending.
+   */
   void requestCancelled(long now, String id);
 
-  /** A running request has reached a dependency call, which waits for leave. */
+  /** Handles a run that has reached a dependency call and waits for permission to make it. */
   void callAwaited(long now, String id);
 
   /**
-   * A dependency call has ended.
+   * Handles the end of a dependency call.
    *
    * @param now the time of the event
    * @param id the request whose run made the call
-   * @param outcome how it ended
+   * @param outcome the outcome of the call
    * @param durationMicros duration of the call in microseconds, at least 0
    */
   void callEnded(long now, String id, RunOutcome outcome, long durationMicros);
 
   /**
-   * A run, or the replay of a result, has ended.
+   * Handles the end of a run, or of the replay of a result.
    *
    * @param now the time of the event
    * @param id the request
-   * @param outcome how it ended
-   * @param durationMicros duration measured where it ran, in microseconds; 0 where it is unknown
+   * @param outcome the outcome of the run or the replay
+   * @param durationMicros duration measured where the run executed, in microseconds; 0 if unknown
    */
   void runEnded(long now, String id, RunOutcome outcome, long durationMicros);
 
   /**
-   * A timer fired.
+   * Handles a timer.
    *
    * @param now the time of the event
    * @param tag the tag with which the timer was scheduled
-   * @param sample the gauges of this moment, or their absence
+   * @param sample the current gauges, or their absence
    */
   void timerFired(long now, String tag, GaugeSample sample);
 
   /**
-   * The settings have changed. A class or tenant is the same as before if the one at its index had
+   * Applies changed settings. A class or tenant is the same as before if the one at its index had
    * the same name, and new otherwise. There are never fewer classes or tenants than before.
    */
   void settingsChanged(long now, Settings settings);
 
-  /** A graceful shutdown begins; the process is stopped at the given time, in microseconds. */
+  /**
+   * Handles the start of a graceful shutdown; the process is stopped at the given time, in
+   * microseconds.
+   */
   void shutdownRequested(long now, long stopAt);
 
-  /** All events of this batch interval have been delivered. */
+  /** Ends a batch: all events of this batch interval have been delivered. */
   void batchEnded(long now);
 }
--- a/src/main/java/mothwing/control/ControllerHost.java
+++ b/src/main/java/mothwing/control/ControllerHost.java
@@ -1,35 +1,35 @@
 package mothwing.control;
 
 /**
- * Carries out the actions of a controller, in order, at the time of the event that led to them.
+ * Carries out the actions of a controller in order, at the time of the event that caused them.
  * Times and durations are microseconds.
  */
 public interface ControllerHost {
   /** Starts the run of a held request, or resumes a suspended one. */
   void startRun(String id);
 
-  /** Makes the dependency call that a request awaits; it is abandoned at the given time. */
+  /** Starts the dependency call that a request awaits; the call is abandoned at the given time. */
   void startCall(String id, long until);
 
   /** Continues the run of a request without the dependency call that it awaits. */
   void skipCall(String id);
 
-  /** Stops a run, in the way that {@link Machine#stopMode} states. */
+  /** Stops a run as {@link Machine#stopMode} specifies. */
   void stopRun(String id);
 
   /**
-   * Rejects a request of which nothing was done.
+   * Rejects a request that has had no effect.
    *
    * @param id the request
    * @param finalAnswer whether the caller should not retry at another server
-   * @param retryAfter time for which the caller should avoid this server; 0 for no advice
+   * @param retryAfter duration for which the caller should avoid this server; 0 for no advice
    */
   void rejectRequest(String id, boolean finalAnswer, long retryAfter);
 
   /** Answers a request with a failure. */
   void failRequest(String id);
 
-  /** Remembers the idempotency key of a request for a duration. */
+  /** Remembers the idempotency key of a request for the given duration. */
   void rememberKey(String id, long duration);
 
   /** Forgets the idempotency key of a request. */
@@ -38,21 +38,24 @@
   /** Answers a repeated request with the result of the original. */
   void replayResult(String id);
 
-  /** Schedules a timer for a time. */
+  /** Schedules a timer for the given time. */
   void scheduleTimer(long at, String tag);
 
-  /** Publishes the free value, in the meaning of {@link Signals#freeValue}. */
+  /** Publishes the free value, with the meaning of {@link Signals#freeValue}. */
   void publishFreeValue(double value);
 
   /**
    * Sets the answer to health checks.
    *
-   * @param cheap whether health checks are answered without the controller
+   * @param shallow whether health checks are answered without the controller
    * @param healthy the answer
    */
-  void setHealth(boolean cheap, boolean healthy);
+  void setHealth(boolean shallow, boolean healthy);
 
-  /** Closes connections that are idle for a duration, from now on; at most that of the settings. */
+  /**
+   * Closes connections that are idle for the given duration from now on; limited to that of the
+   * settings.
+   */
   void closeIdleConnections(long idleTimeout);
 
   /** Writes a line to the server's log. */
--- a/src/main/java/mothwing/control/GaugeSample.java
+++ b/src/main/java/mothwing/control/GaugeSample.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * The gauges of one moment, or their absence. A sample is never delivered twice, since a controller
+ * The gauges at one time, or their absence. A sample is never delivered twice, since a controller
  * counts each as a new measurement.
  *
- * @param gauges in the order of the settings; empty where they are not known
- * @param age microseconds since gauges were last known; 0 where these are of this moment
+ * @param gauges the gauges in the order of the settings; empty if unknown
+ * @param age microseconds since gauges were last known; 0 if these are current
  */
 public record GaugeSample(List<Double> gauges, long age) {
   /** Copies the gauges. */
@@ -17,9 +17,9 @@
   }
 
   /**
-   * Gauges of this moment.
+   * Returns a sample of current gauges.
    *
-   * @param gauges in the order of the settings
+   * @param gauges the gauges in the order of the settings
    * @return the sample
    */
   public static GaugeSample of(double... gauges) {
@@ -27,9 +27,9 @@
   }
 
   /**
-   * No gauges.
+   * Returns a sample without gauges.
    *
-   * @param age microseconds since they were last known
+   * @param age microseconds since gauges were last known
    * @return the sample
    */
   public static GaugeSample absent(long age) {
@@ -37,9 +37,9 @@
   }
 
   /**
-   * Whether gauges are known.
+   * Returns whether gauges are known.
    *
-   * @return true if so
+   * @return true if the sample has gauges
    */
   public boolean isKnown() {
     return !gauges.isEmpty();
--- a/src/main/java/mothwing/control/Idempotency.java
+++ b/src/main/java/mothwing/control/Idempotency.java
@@ -1,13 +1,11 @@
 package mothwing.control;
 
-/** Whether a request of a class may be run more than once. */
+/** Specifies whether a request of a class may be run more than once. */
 public enum Idempotency {
-  /** It may run any number of times. */
+  /** The request may run any number of times. */
   ALWAYS,
-  /**
-   * Its idempotency key makes sure that it runs once within its window, however often it arrives.
-   */
+  /** The request runs once within the window of its idempotency key, however often it arrives. */
   WITH_KEY,
-  /** It runs once; a repeat cannot be recognized. */
+  /** The request runs once; a repeat cannot be recognized. */
   NEVER
 }
--- a/src/main/java/mothwing/control/Machine.java
+++ b/src/main/java/mothwing/control/Machine.java
@@ -10,8 +10,8 @@
  * @param runMemoryFactor memory of a running request as a multiple of that of a held one, at least
  *     1
  * @param keyMemoryKb memory of a remembered idempotency key, in kilobytes
- * @param coldStart whether it starts cold, and so needs a slow start
- * @param gaugeNames names of the gauges that come with timers, in their order
+ * @param coldStart whether the server starts cold and needs a slow start
+ * @param gaugeNames names of the gauges that are delivered with timers, in their order
  * @param stopMode how a run can be stopped
  */
 public record Machine(
--- a/src/main/java/mothwing/control/Request.java
+++ b/src/main/java/mothwing/control/Request.java
@@ -6,13 +6,13 @@
  * @param id its identifier, never used twice
  * @param classIndex index of its class in the settings
  * @param tenantIndex index of its tenant in the settings, or -1
- * @param estimatedCoreTime an estimate of its core time, or 0
+ * @param estimatedCoreTime estimated core time, or 0 without an estimate
  * @param queueingDelay time between its arrival at the machine and its reading
- * @param subject the key of what it is about, or null
+ * @param cacheKey cache key of a read, or null
  * @param memoryKb memory while it is held, in kilobytes
- * @param originalId the request of the same idempotency key that it repeats, or null
+ * @param originalId the request with the same idempotency key that it repeats, or null
  * @param rank its rank, which callers compare with a published level
- * @param callerDeadline when its caller gives up, or 0 where that is not known
+ * @param callerDeadline time at which its caller stops waiting, or 0 if unknown
  * @param mutating whether it writes
  */
 public record Request(
@@ -21,7 +21,7 @@
     int tenantIndex,
     long estimatedCoreTime,
     long queueingDelay,
-    String subject,
+    String cacheKey,
     double memoryKb,
     String originalId,
     double rank,
--- a/src/main/java/mothwing/control/RequestClass.java
+++ b/src/main/java/mothwing/control/RequestClass.java
@@ -8,14 +8,14 @@
  *     priority weight
  * @param deadline duration from the first attempt after which no client waits any longer
  * @param priorityWeight weight of one answered request, at least 0
- * @param lateWeightRatio share of the weight, of 0 to 1, that an answer earns between the latency
+ * @param lateWeightRatio share of the weight, from 0 to 1, that an answer earns between the latency
  *     objective and the deadline
  * @param idempotency whether a request may run more than once
  * @param idempotencyWindow duration after its arrival in which a request may be repeated with the
  *     same idempotency key
  * @param callsDependency whether its runs may call the dependency
- * @param degradedWeightRatio share of the weight, of 0 to 1, that an answer without its dependency
- *     call earns; 0 where the call must be made
+ * @param degradedWeightRatio share of the weight, from 0 to 1, that an answer without its
+ *     dependency call earns; 0 if the call is required
  */
 public record RequestClass(
     String name,
--- a/src/main/java/mothwing/control/RunOutcome.java
+++ b/src/main/java/mothwing/control/RunOutcome.java
@@ -1,20 +1,20 @@
 package mothwing.control;
 
-/** How a run, or a dependency call, ended. */
+/** The outcome of a run or of a dependency call. */
 public enum RunOutcome {
-  /** It succeeded. */
+  /** Success. */
   SUCCEEDED(false),
-  /** It failed and may have taken effect. */
+  /** Failure that may have taken effect. */
   FAILED(false),
-  /** The callee rejected it without any effect. */
+  /** Rejection by the callee without any effect. */
   REJECTED(true),
-  /** It was abandoned at its timeout and may have taken effect. */
+  /** Abandoned at its timeout; may have taken effect. */
   TIMED_OUT(false),
   /** The callee was not reached. */
   UNREACHABLE(true),
-  /** The connection was lost, and it may have taken effect. */
+  /** The connection was lost; may have taken effect. */
   CONNECTION_LOST(false),
-  /** The run was stopped, or ended at a dependency call after the request was answered. */
+  /** The run was stopped, or ended at a dependency call after its request was answered. */
   STOPPED(false),
   /** Nothing was started. */
   NOT_STARTED(true);
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Whether the outcome proves that nothing took effect.
+   * Returns whether the outcome proves that nothing took effect.
    *
-   * @return true if so
+   * @return true if nothing can have taken effect
    */
   public boolean provesNoEffect() {
     return provesNoEffect;
--- a/src/main/java/mothwing/control/StopMode.java
+++ b/src/main/java/mothwing/control/StopMode.java
@@ -1,11 +1,11 @@
 package mothwing.control;
 
-/** How a run can be stopped. */
+/** Specifies how a run can be stopped. */
 public enum StopMode {
-  /** It cannot be stopped. */
+  /** Runs cannot be stopped. */
   NONE,
-  /** It is aborted, and what it did is lost. */
+  /** Runs are aborted, and their progress is lost. */
   ABORT,
-  /** It is suspended and can be resumed. */
+  /** Runs are suspended and can be resumed. */
   SUSPEND
 }
