--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -9,8 +9,8 @@
 import mothwing.control.ControllerHost;
 
 /**
- * Encodes the actions of one instance as the elements of a JSON array, in the order in which the
- * controller takes them.
+ * Encodes the actions of one instance as elements of a JSON array, in the order in which the
+ * controller requests them.
  */
 final class ActionWriter implements ControllerHost {
   private final long instanceId;
@@ -33,8 +33,8 @@
       json.name(Field.INSTANCE).value(instanceId);
       body.write(json);
       json.endObject();
-    } catch (IOException broken) {
-      throw new UncheckedIOException(broken);
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     if (elements.length() > 0) {
       elements.append(',');
@@ -46,15 +46,15 @@
     action(name, json -> json.name(Field.REQUEST).value(requestId));
   }
 
-  /** Takes the elements written since the last call, separated by commas. */
-  String take() {
+  /** Returns the elements written since the previous call, separated by commas, and clears them. */
+  String takeElements() {
     String taken = elements.toString();
     elements.setLength(0);
     return taken;
   }
 
-  /** Reports a failure of the controller. */
-  void exception(String text) {
+  /** Writes an action that reports a failure of the controller. */
+  void reportException(String text) {
     action(Action.REPORT_EXCEPTION, json -> json.name(Field.TEXT).value(text));
   }
 
@@ -104,12 +104,12 @@
   }
 
   @Override
-  public void rememberKey(String id, long span) {
+  public void rememberKey(String id, long duration) {
     action(
         Action.REMEMBER_KEY,
         json -> {
           json.name(Field.REQUEST).value(id);
-          json.name(Field.SPAN).value(span);
+          json.name(Field.LIFETIME).value(duration);
         });
   }
 
@@ -149,8 +149,8 @@
   }
 
   @Override
-  public void closeIdleConnections(long span) {
-    action(Action.CLOSE_IDLE_CONNECTIONS, json -> json.name(Field.SPAN).value(span));
+  public void closeIdleConnections(long idleTimeout) {
+    action(Action.CLOSE_IDLE_CONNECTIONS, json -> json.name(Field.LIFETIME).value(idleTimeout));
   }
 
   @Override
--- a/src/main/java/mothwing/adapter/Adapter.java
+++ b/src/main/java/mothwing/adapter/Adapter.java
@@ -28,8 +28,8 @@
 import mothwing.settings.SettingsCodec;
 
 /**
- * Answers batches of events, one JSON line each, with one JSON line of actions each, until the
- * input ends.
+ * Reads batches of events, one JSON line each, and answers each batch with one JSON line of
+ * actions, until the input ends.
  */
 public final class Adapter {
   private final BufferedReader input;
@@ -38,11 +38,12 @@
   private final Map<Long, Instance> instances = new LinkedHashMap<>();
 
   /**
-   * Makes an adapter.
+   * Creates an adapter.
    *
    * @param input event lines
    * @param output action lines
-   * @param errors takes a line for each error
+   * @param errors receives a line for each input error and the stack trace of each controller
+   *     failure
    */
   public Adapter(InputStream input, OutputStream output, PrintStream errors) {
     this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
@@ -51,10 +52,10 @@
   }
 
   /**
-   * Runs until the input ends or cannot be understood.
+   * Processes the input until it ends or a line is invalid.
    *
-   * @return the exit status
-   * @throws IOException when the input or output breaks
+   * @return the exit status: 0 at the end of the input, 1 after an invalid line
+   * @throws IOException if reading the input or writing the output fails
    */
   public int run() throws IOException {
     long lineNumber = 0;
@@ -63,7 +64,7 @@
       lineNumber++;
       String reply;
       try {
-        reply = answer(line);
+        reply = processBatch(line);
       } catch (InvalidInputException invalid) {
         errors.println("line " + lineNumber + ": " + invalid.getMessage());
         return 1;
@@ -78,15 +79,15 @@
     return 0;
   }
 
-  private String answer(String line) throws IOException {
+  private String processBatch(String line) throws IOException {
     JsonFields batch = parse(line);
     long now = batch.integer(Field.TIME);
-    Set<Long> touched = new LinkedHashSet<>();
+    Set<Long> instanceIds = new LinkedHashSet<>();
     for (JsonFields event : batch.requiredObjects(Field.EVENTS)) {
-      touched.add(handle(now, event));
+      instanceIds.add(handle(now, event));
     }
     StringJoiner actions = new StringJoiner(",", "{\"" + Field.ACTIONS + "\":[", "]}");
-    for (long id : touched) {
+    for (long id : instanceIds) {
       String elements = endBatch(now, id);
       if (!elements.isEmpty()) {
         actions.add(elements);
@@ -108,7 +109,7 @@
     }
   }
 
-  /** Handles an event, and returns the id of its instance. */
+  /** Handles an event and returns the id of its instance. */
   private long handle(long now, JsonFields event) throws InvalidInputException {
     String name = event.text(Field.NAME);
     long id = event.integer(Field.INSTANCE);
@@ -120,7 +121,7 @@
         if (instance == null) {
           throw new InvalidInputException("field Who: instance " + id + " has not started");
         }
-        reportFailure(id, instance, () -> instance.handle(now, name, event));
+        runReportingFailure(id, instance, () -> instance.handle(now, name, event));
       }
     }
     return id;
@@ -131,7 +132,7 @@
     Settings settings = SettingsCodec.read(seed, event.requiredObject(Field.SETTINGS));
     Instance instance = new Instance(id, settings);
     instances.put(id, instance);
-    reportFailure(id, instance, () -> instance.controller().serverStarted(now));
+    runReportingFailure(id, instance, () -> instance.controller().serverStarted(now));
   }
 
   private String endBatch(long now, long id) throws InvalidInputException {
@@ -139,22 +140,26 @@
     if (instance == null) {
       return "";
     }
-    reportFailure(id, instance, () -> instance.controller().batchEnded(now));
-    return instance.actions().take();
+    runReportingFailure(id, instance, () -> instance.controller().batchEnded(now));
+    return instance.actions().takeElements();
   }
 
-  /** A step that may find invalid input. */
+  /** A step of the processing that may encounter invalid input. */
   private interface Step {
     void run() throws InvalidInputException;
   }
 
-  /** Reports a failure of the controller as an action of its instance; errors get the stack. */
-  private void reportFailure(long id, Instance instance, Step step) throws InvalidInputException {
+  /**
+   * Runs a step, and reports a failure of the controller as an action of its instance. The stack
+   * trace is written to the error stream.
+   */
+  private void runReportingFailure(long id, Instance instance, Step step)
+      throws InvalidInputException {
     try {
       step.run();
-    } catch (RuntimeException broken) {
-      broken.printStackTrace(errors);
-      instance.actions().exception("instance " + id + ": " + broken);
+    } catch (RuntimeException failure) {
+      failure.printStackTrace(errors);
+      instance.actions().reportException("instance " + id + ": " + failure);
     }
   }
 }
--- a/src/main/java/mothwing/adapter/EventDecoder.java
+++ b/src/main/java/mothwing/adapter/EventDecoder.java
@@ -13,7 +13,9 @@
 import mothwing.settings.InvalidInputException;
 import mothwing.settings.JsonFields;
 
-/** Decodes the events of one instance, whose settings name its classes and tenants. */
+/**
+ * Decodes the events of one instance; the settings of the instance name its classes and tenants.
+ */
 final class EventDecoder {
   private static final int UNKNOWN_TENANT = -1;
 
@@ -32,9 +34,9 @@
   /**
    * Decodes an event.
    *
-   * @param name its name on the wire
-   * @param event its fields
-   * @throws InvalidInputException where the name is unknown, or a field is missing or malformed
+   * @param name the name of the event in the protocol
+   * @param event the fields of the event
+   * @throws InvalidInputException if the name is unknown, or a field is missing or malformed
    */
   InstanceEvent decode(String name, JsonFields event) throws InvalidInputException {
     return switch (name) {
@@ -75,7 +77,7 @@
         event.flag(Field.MUTATES));
   }
 
-  /** The request that this one repeats, or null. */
+  /** Returns the request that an event's request repeats, or null. */
   private static String originalRequest(JsonFields event) throws InvalidInputException {
     String id = event.optionalReference(Field.ORIGINAL_REQUEST);
     return id == null || id.isEmpty() || id.equals(SimulatorProtocol.NO_REQUEST) ? null : id;
--- a/src/main/java/mothwing/adapter/Instance.java
+++ b/src/main/java/mothwing/adapter/Instance.java
@@ -8,7 +8,7 @@
 
 /**
  * One incarnation of one simulated server: its controller, and the actions that the controller has
- * taken in the current batch.
+ * requested in the current batch.
  */
 final class Instance {
   private final ActionWriter actions;
@@ -30,12 +30,12 @@
   }
 
   /**
-   * Passes an event on to the controller.
+   * Decodes an event and passes it to the controller.
    *
    * @param now microseconds of the simulated clock
-   * @param name the event's name on the wire
-   * @param fields its fields
-   * @throws InvalidInputException where it cannot be decoded
+   * @param name the name of the event in the protocol
+   * @param fields the fields of the event
+   * @throws InvalidInputException if the event cannot be decoded
    */
   void handle(long now, String name, JsonFields fields) throws InvalidInputException {
     InstanceEvent event = decoder.decode(name, fields);
--- a/src/main/java/mothwing/adapter/InstanceEvent.java
+++ b/src/main/java/mothwing/adapter/InstanceEvent.java
@@ -4,12 +4,12 @@
 import mothwing.control.Request;
 import mothwing.control.RunOutcome;
 
-/** An event of a running instance, in the controller's terms; times are in microseconds. */
+/** An event of a running instance, in the types of the controller. Times are microseconds. */
 sealed interface InstanceEvent {
   /** A request was read. */
   record RequestRead(Request request) implements InstanceEvent {}
 
-  /** The client of a request has cancelled it. */
+  /** The caller of a request has cancelled it. */
   record RequestCancelled(String requestId) implements InstanceEvent {}
 
   /** A run is suspended until its dependency call ends. */
@@ -26,6 +26,6 @@
   /** A timer has fired, with the gauges of that moment. */
   record TimerFired(String tag, GaugeSample gauges) implements InstanceEvent {}
 
-  /** The instance is to shut down by a deadline. */
+  /** A graceful shutdown was requested, to be completed by a deadline. */
   record ShutdownRequested(long deadline) implements InstanceEvent {}
 }
--- a/src/main/java/mothwing/adapter/SimulatorProtocol.java
+++ b/src/main/java/mothwing/adapter/SimulatorProtocol.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import mothwing.control.RunOutcome;
 
-/** The words of the simulator's wire. */
+/** Names of the fields, events, actions and outcomes of the simulator's protocol. */
 final class SimulatorProtocol {
   /** Fields of batches, events and actions. */
   static final class Field {
@@ -36,7 +36,7 @@
     static final String CALL_DEADLINE = "TryUntil";
     static final String IS_FINAL = "DontRetry";
     static final String RETRY_AFTER = "Pause";
-    static final String SPAN = "Lifetime";
+    static final String LIFETIME = "Lifetime";
     static final String TIMER_AT = "Time";
     static final String FREE_VALUE = "X";
     static final String IS_SHALLOW = "Cheap";
@@ -93,7 +93,7 @@
           "CXL", RunOutcome.STOPPED,
           "NOP", RunOutcome.NOT_STARTED);
 
-  /** Stands for no request where a request's id is optional. */
+  /** Request id that stands for no request in an optional field. */
   static final String NO_REQUEST = "0";
 
   private SimulatorProtocol() {}
--- a/src/test/java/mothwing/adapter/AdapterTest.java
+++ b/src/test/java/mothwing/adapter/AdapterTest.java
@@ -12,9 +12,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The codec with hand-written lines of the wire. */
+/** Tests the adapter with handwritten lines of the simulator's protocol. */
 class AdapterTest {
-  private static final String OPTIONS =
+  private static final String SETTINGS =
       "{\"Round\":5000,\"Strange\":{\"x\":[1,null]},\"Classes\":["
           + "{\"Name\":\"look\",\"Target\":1000000,\"GiveUp\":4000000,\"Idempotency\":\"free\",\"Worth\":1.0},"
           + "{\"Name\":\"turn\",\"Target\":1000000,\"GiveUp\":4000000,\"Idempotency\":\"guarded\",\"Worth\":2.0,"
@@ -27,15 +27,15 @@
 
   private List<String> adapter(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    ByteArrayOutputStream complaints = new ByteArrayOutputStream();
+    ByteArrayOutputStream errorOutput = new ByteArrayOutputStream();
     byte[] text = (String.join("\n", lines) + "\n").getBytes(StandardCharsets.UTF_8);
     status =
         new Adapter(
                 new ByteArrayInputStream(text),
                 out,
-                new PrintStream(complaints, true, StandardCharsets.UTF_8))
+                new PrintStream(errorOutput, true, StandardCharsets.UTF_8))
             .run();
-    errors = complaints.toString(StandardCharsets.UTF_8);
+    errors = errorOutput.toString(StandardCharsets.UTF_8);
     return out.toString(StandardCharsets.UTF_8).lines().toList();
   }
 
@@ -43,30 +43,35 @@
     return "{\"SimTime\":" + now + ",\"in\":[" + String.join(",", events) + "]}";
   }
 
-  private static String powerOn(int who) {
-    return "{\"what\":\"PowerOn\",\"Who\":" + who + ",\"Seed\":7,\"Options\":" + OPTIONS + "}";
+  private static String powerOn(int instanceId) {
+    return "{\"what\":\"PowerOn\",\"Who\":"
+        + instanceId
+        + ",\"Seed\":7,\"Options\":"
+        + SETTINGS
+        + "}";
   }
 
-  private static String submit(int who, String job, String band, String more) {
+  private static String submit(
+      int instanceId, String requestId, String className, String moreFields) {
     return "{\"what\":\"Submit\",\"Who\":"
-        + who
+        + instanceId
         + ",\"Job\":\""
-        + job
+        + requestId
         + "\",\"Band\":\""
-        + band
+        + className
         + "\",\"Kb\":20.5,\"Author\":3"
-        + more
+        + moreFields
         + "}";
   }
 
   @Test
-  void anEmptyBatchGetsAnEmptyReply() throws IOException {
+  void emptyBatchGetsEmptyReply() throws IOException {
     assertEquals(List.of("{\"out\":[]}"), adapter("{\"SimTime\":5,\"in\":[]}"));
     assertEquals(0, status);
   }
 
   @Test
-  void aRequestIsStartedAndItsIdGivenBackUnchanged() throws IOException {
+  void startsRequestAndReturnsItsIdUnchanged() throws IOException {
     List<String> replies =
         adapter(batch(10, powerOn(4)), batch(20, submit(4, "00ab", "look", ",\"Cost\":90")));
     assertTrue(replies.get(0).contains("{\"what\":\"Timer\",\"Who\":4,"), replies.get(0));
@@ -74,7 +79,7 @@
   }
 
   @Test
-  void nullsAndZeroReferencesCountAsAbsent() throws IOException {
+  void treatsNullsAndZeroReferencesAsAbsent() throws IOException {
     List<String> replies =
         adapter(
             batch(10, powerOn(1)),
@@ -88,7 +93,7 @@
   }
 
   @Test
-  void repeatsBecomeReplays() throws IOException {
+  void replaysResultToRepeat() throws IOException {
     List<String> replies =
         adapter(
             batch(10, powerOn(1)),
@@ -98,7 +103,7 @@
   }
 
   @Test
-  void instancesAndLivesAreKeptApart() throws IOException {
+  void separatesInstancesAndIncarnations() throws IOException {
     List<String> replies =
         adapter(
             batch(10, powerOn(1), powerOn(2)),
@@ -111,18 +116,18 @@
   }
 
   @Test
-  void everyOutcomeAndEventIsUnderstood() throws IOException {
-    for (String verdict : List.of("GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP")) {
-      String job = "\"Who\":1,\"Job\":\"0a\"";
+  void understandsEveryOutcomeAndEvent() throws IOException {
+    for (String outcome : List.of("GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP")) {
+      String ids = "\"Who\":1,\"Job\":\"0a\"";
       adapter(
           batch(10, powerOn(1)),
           batch(20, submit(1, "0a", "look", "")),
-          batch(30, "{\"what\":\"StalledOnCall\"," + job + "}"),
+          batch(30, "{\"what\":\"StalledOnCall\"," + ids + "}"),
           batch(
               40,
-              "{\"what\":\"CallResult\"," + job + ",\"Verdict\":\"" + verdict + "\",\"Rtt\":3}"),
-          batch(50, "{\"what\":\"Abandoned\"," + job + "}"),
-          batch(60, "{\"what\":\"Finished\"," + job + ",\"Verdict\":\"" + verdict + "\"}"),
+              "{\"what\":\"CallResult\"," + ids + ",\"Verdict\":\"" + outcome + "\",\"Rtt\":3}"),
+          batch(50, "{\"what\":\"Abandoned\"," + ids + "}"),
+          batch(60, "{\"what\":\"Finished\"," + ids + ",\"Verdict\":\"" + outcome + "\"}"),
           batch(70, "{\"what\":\"Sigterm\",\"Who\":1,\"ValidUntil\":900000}"),
           batch(80, "{\"what\":\"Fired\",\"Who\":1,\"Tag\":\"sample\",\"Stats\":[0.5,1]}"));
       assertEquals("", errors);
@@ -131,7 +136,7 @@
   }
 
   @Test
-  void whatIsNoJsonEndsWithOnePlainLine() throws IOException {
+  void reportsInvalidJsonInOneLine() throws IOException {
     List<String> replies = adapter("{\"SimTime\":5,\"in\":[]}", "{\"SimTime\":6,");
     assertEquals(1, replies.size());
     assertEquals(1, status);
@@ -140,7 +145,7 @@
   }
 
   @Test
-  void whatIsMissingOrUnknownIsNamed() throws IOException {
+  void namesMissingAndUnknownFields() throws IOException {
     adapter(batch(10, powerOn(1), "{\"what\":\"Submit\",\"Who\":1,\"Band\":\"look\"}"));
     assertEquals("line 1: field in[].Job: required\n", errors);
     adapter(batch(10, powerOn(1)), batch(20, "{\"what\":\"Wobble\",\"Who\":1}"));
@@ -151,7 +156,7 @@
   }
 
   @Test
-  void actionsThatSettingsForbidAreNotSent() throws IOException {
+  void omitsActionsThatSettingsForbid() throws IOException {
     List<String> replies =
         adapter(
             batch(10, powerOn(1)),
