--- a/src/main/java/mothwing/overload/DeadlineAdmission.java
+++ b/src/main/java/mothwing/overload/DeadlineAdmission.java
@@ -13,7 +13,7 @@
    */
   private static final double BUSY_TIME_RATIO = 1.3;
 
-  /** The same on idle cores, where an attempt takes nothing from other requests. */
+  /** The same on idle cores, where an attempt does not slow down other requests. */
   private static final double IDLE_TIME_RATIO = 0.3;
 
   /** Priority ratio above which capacity is kept for requests that have not arrived yet. */
--- a/src/main/java/mothwing/overload/FaultBudget.java
+++ b/src/main/java/mothwing/overload/FaultBudget.java
@@ -1,19 +1,20 @@
 package mothwing.overload;
 
 /**
- * Counts recent faults of one kind, such as failed runs. Every success takes one fault off the
- * count, so the budget is exhausted if more than half of the outcomes are faults. Elapsed time
- * takes faults off as well, which leaves a low rate of attempts that detect a recovery.
+ * Counts recent faults of one kind, such as failed runs. Every success reduces the count by one, so
+ * the budget is exhausted if more than half of the outcomes are faults. Elapsed time reduces the
+ * count as well, which leaves a low rate of attempts that detect a recovery.
  */
 final class FaultBudget {
   /** Number of faults that may be counted before the budget is exhausted. */
   private static final double MAX_FAULTS = 4;
 
-  /** Faults that a success takes off; with 1, half of the outcomes may be faults. */
+  /** Faults by which a success reduces the count; with 1, half of the outcomes may be faults. */
   private static final double RECOVERED_FAULTS_PER_SUCCESS = 1;
 
   /**
-   * Faults that each second takes off per core; as many attempts are made while all of them fail.
+   * Faults by which each second reduces the count per core; as many attempts are made while all of
+   * them fail.
    */
   private static final double RECOVERED_FAULTS_PER_CORE_SECOND = 1;
 
--- a/src/main/java/mothwing/overload/FilterLadder.java
+++ b/src/main/java/mothwing/overload/FilterLadder.java
@@ -9,8 +9,8 @@
  * filters recently in use.
  *
  * <p>Two steps are at least one sojourn apart, or twice the average lag between a step and its
- * effect; tightening requires several overloaded intervals for each underloaded one. Times are
- * microseconds of one clock, rates are cores of expected work.
+ * effect if that is longer; tightening requires several overloaded intervals for each underloaded
+ * one. Times are microseconds of one clock, rates are cores of expected work.
  */
 final class FilterLadder {
   /** Number of filters between the one that admits and the one that rejects everything. */
@@ -19,7 +19,7 @@
   /** Overloaded intervals per underloaded one that are required to tighten the filter. */
   private static final double TIGHTENING_RATIO = 3;
 
-  /** Number of samples between two steps: one full history of the load index. */
+  /** Minimum number of samples between two steps: one full history of the load index. */
   private static final int SOJOURN_SAMPLES = 10;
 
   /**
--- a/src/main/java/mothwing/overload/LoadMonitor.java
+++ b/src/main/java/mothwing/overload/LoadMonitor.java
@@ -11,8 +11,8 @@
   private static final double AVERAGING_SECONDS = 3;
 
   /**
-   * Longest time between two samples, in sample periods; after a longer gap the process was not
-   * running, which is no evidence of load.
+   * Longest time between two samples, in sample periods. A longer gap means that the process was
+   * not running, which is no evidence of load.
    */
   private static final int MAX_GAP_SAMPLES = 3;
 
--- a/src/main/java/mothwing/overload/RequestCompletion.java
+++ b/src/main/java/mothwing/overload/RequestCompletion.java
@@ -104,7 +104,7 @@
       return;
     }
     clock.leave(request);
-    // A run that ends during a call leaves the call to the dependency, which does not know yet.
+    // The run ended during its call and the dependency does not know yet: the call is outstanding.
     if (request.is(State.CALLING)) {
       calls.recordAbandoned();
     }
--- a/src/main/java/mothwing/overload/TrackedRequest.java
+++ b/src/main/java/mothwing/overload/TrackedRequest.java
@@ -8,7 +8,7 @@
  * A request that is not answered yet, or whose run still holds a core or memory. Times are
  * microseconds of the controller's clock, core times are microseconds of one core.
  *
- * <p>State transitions:
+ * <p>Legal state transitions:
  *
  * <ul>
  *   <li>HELD to RUNNING when its run starts, to REPLAYING if it repeats a remembered request
