--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -25,7 +25,7 @@
     void write(JsonWriter json) throws IOException;
   }
 
-  private void action(String name, Body body) {
+  private void writeAction(String name, Body body) {
     StringWriter text = new StringWriter();
     try (JsonWriter json = new JsonWriter(text)) {
       json.beginObject();
@@ -42,8 +42,8 @@
     elements.append(text.getBuffer());
   }
 
-  private void requestAction(String name, String requestId) {
-    action(name, json -> json.name(Field.REQUEST).value(requestId));
+  private void writeRequestAction(String name, String requestId) {
+    writeAction(name, json -> json.name(Field.REQUEST).value(requestId));
   }
 
   /** Returns the elements written since the previous call, separated by commas, and clears them. */
@@ -55,41 +55,41 @@
 
   /** Writes an action that reports a failure of the controller. */
   void reportException(String text) {
-    action(Action.REPORT_EXCEPTION, json -> json.name(Field.TEXT).value(text));
+    writeAction(Action.REPORT_EXCEPTION, json -> json.name(Field.TEXT).value(text));
   }
 
   @Override
   public void startRun(String id) {
-    requestAction(Action.START_RUN, id);
+    writeRequestAction(Action.START_RUN, id);
   }
 
   @Override
-  public void startCall(String id, long until) {
-    action(
+  public void startCall(String id, long abandonAt) {
+    writeAction(
         Action.START_CALL,
         json -> {
           json.name(Field.REQUEST).value(id);
-          json.name(Field.CALL_DEADLINE).value(until);
+          json.name(Field.CALL_DEADLINE).value(abandonAt);
         });
   }
 
   @Override
   public void skipCall(String id) {
-    requestAction(Action.SKIP_CALL, id);
+    writeRequestAction(Action.SKIP_CALL, id);
   }
 
   @Override
   public void stopRun(String id) {
-    requestAction(Action.STOP_RUN, id);
+    writeRequestAction(Action.STOP_RUN, id);
   }
 
   @Override
-  public void rejectRequest(String id, boolean isFinal, long retryAfter) {
-    action(
+  public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
+    writeAction(
         Action.REJECT_REQUEST,
         json -> {
           json.name(Field.REQUEST).value(id);
-          if (isFinal) {
+          if (finalAnswer) {
             json.name(Field.IS_FINAL).value(true);
           }
           if (retryAfter > 0) {
@@ -100,12 +100,12 @@
 
   @Override
   public void failRequest(String id) {
-    requestAction(Action.FAIL_REQUEST, id);
+    writeRequestAction(Action.FAIL_REQUEST, id);
   }
 
   @Override
   public void rememberKey(String id, long duration) {
-    action(
+    writeAction(
         Action.REMEMBER_KEY,
         json -> {
           json.name(Field.REQUEST).value(id);
@@ -115,17 +115,17 @@
 
   @Override
   public void forgetKey(String id) {
-    requestAction(Action.FORGET_KEY, id);
+    writeRequestAction(Action.FORGET_KEY, id);
   }
 
   @Override
   public void replayResult(String id) {
-    requestAction(Action.REPLAY_RESULT, id);
+    writeRequestAction(Action.REPLAY_RESULT, id);
   }
 
   @Override
   public void scheduleTimer(long at, String tag) {
-    action(
+    writeAction(
         Action.SCHEDULE_TIMER,
         json -> {
           json.name(Field.TIMER_AT).value(at);
@@ -135,12 +135,12 @@
 
   @Override
   public void publishFreeValue(double value) {
-    action(Action.PUBLISH_FREE_VALUE, json -> json.name(Field.FREE_VALUE).value(value));
+    writeAction(Action.PUBLISH_FREE_VALUE, json -> json.name(Field.FREE_VALUE).value(value));
   }
 
   @Override
   public void setHealth(boolean shallow, boolean healthy) {
-    action(
+    writeAction(
         Action.SET_HEALTH,
         json -> {
           json.name(Field.IS_SHALLOW).value(shallow);
@@ -150,11 +150,12 @@
 
   @Override
   public void closeIdleConnections(long idleTimeout) {
-    action(Action.CLOSE_IDLE_CONNECTIONS, json -> json.name(Field.LIFETIME).value(idleTimeout));
+    writeAction(
+        Action.CLOSE_IDLE_CONNECTIONS, json -> json.name(Field.LIFETIME).value(idleTimeout));
   }
 
   @Override
   public void log(String text) {
-    action(Action.LOG, json -> json.name(Field.TEXT).value(text));
+    writeAction(Action.LOG, json -> json.name(Field.TEXT).value(text));
   }
 }
--- a/src/main/java/mothwing/adapter/Adapter.java
+++ b/src/main/java/mothwing/adapter/Adapter.java
@@ -42,8 +42,7 @@
    *
    * @param input event lines
    * @param output action lines
-   * @param errors receives a line for each input error and the stack trace of each controller
-   *     failure
+   * @param errors receives a line for an input error and the stack trace of each controller failure
    */
   public Adapter(InputStream input, OutputStream output, PrintStream errors) {
     this.input = new BufferedReader(new InputStreamReader(input, StandardCharsets.UTF_8));
--- a/src/main/java/mothwing/adapter/EventDecoder.java
+++ b/src/main/java/mothwing/adapter/EventDecoder.java
@@ -67,12 +67,12 @@
         requestId(event),
         classIndex,
         tenantIndexes.getOrDefault(tenant, UNKNOWN_TENANT),
-        event.integer(Field.COST, 0),
-        event.integer(Field.UNREAD_FOR, 0),
-        event.text(Field.AFFINITY, null),
-        event.number(Field.SIZE_KIBIBYTES, 0),
+        event.integer(Field.ESTIMATED_CORE_TIME, 0),
+        event.integer(Field.QUEUEING_DELAY, 0),
+        event.text(Field.CACHE_KEY, null),
+        event.number(Field.MEMORY_KB, 0),
         originalRequest(event),
-        event.number(Field.PRIORITY, 0),
+        event.number(Field.RANK, 0),
         event.integer(Field.DEADLINE, 0),
         event.flag(Field.MUTATES));
   }
--- a/src/main/java/mothwing/adapter/Instance.java
+++ b/src/main/java/mothwing/adapter/Instance.java
@@ -50,9 +50,9 @@
     } else if (event instanceof InstanceEvent.RunEnded run) {
       controller.runEnded(now, run.requestId(), run.outcome(), run.durationMicros());
     } else if (event instanceof InstanceEvent.TimerFired timer) {
-      controller.timerFired(now, timer.tag(), timer.gauges());
+      controller.timerFired(now, timer.tag(), timer.sample());
     } else if (event instanceof InstanceEvent.ShutdownRequested shutdown) {
-      controller.shutdownRequested(now, shutdown.deadline());
+      controller.shutdownRequested(now, shutdown.stopAt());
     }
   }
 }
--- a/src/main/java/mothwing/adapter/InstanceEvent.java
+++ b/src/main/java/mothwing/adapter/InstanceEvent.java
@@ -12,7 +12,7 @@
   /** The caller of a request has cancelled it. */
   record RequestCancelled(String requestId) implements InstanceEvent {}
 
-  /** A run is suspended until its dependency call ends. */
+  /** A run has reached a dependency call and waits for permission to make it. */
   record CallAwaited(String requestId) implements InstanceEvent {}
 
   /** A dependency call has ended. */
@@ -24,8 +24,8 @@
       implements InstanceEvent {}
 
   /** A timer has fired, with the gauges of that moment. */
-  record TimerFired(String tag, GaugeSample gauges) implements InstanceEvent {}
+  record TimerFired(String tag, GaugeSample sample) implements InstanceEvent {}
 
-  /** A graceful shutdown was requested, to be completed by a deadline. */
-  record ShutdownRequested(long deadline) implements InstanceEvent {}
+  /** A graceful shutdown was requested; the process is stopped at the given time. */
+  record ShutdownRequested(long stopAt) implements InstanceEvent {}
 }
--- a/src/main/java/mothwing/adapter/SimulatorProtocol.java
+++ b/src/main/java/mothwing/adapter/SimulatorProtocol.java
@@ -23,12 +23,12 @@
     static final String SETTINGS = "Options";
     static final String CLASS = "Band";
     static final String TENANT = "Team";
-    static final String COST = "Cost";
-    static final String UNREAD_FOR = "UnreadFor";
-    static final String AFFINITY = "Affinity";
-    static final String SIZE_KIBIBYTES = "Kb";
+    static final String ESTIMATED_CORE_TIME = "Cost";
+    static final String QUEUEING_DELAY = "UnreadFor";
+    static final String CACHE_KEY = "Affinity";
+    static final String MEMORY_KB = "Kb";
     static final String ORIGINAL_REQUEST = "Forerunner";
-    static final String PRIORITY = "Prio";
+    static final String RANK = "Prio";
     static final String MUTATES = "Mutates";
     static final String GAUGES = "Stats";
 
--- a/src/main/java/mothwing/control/Controller.java
+++ b/src/main/java/mothwing/control/Controller.java
@@ -12,7 +12,8 @@
   void requestRead(long now, Request request);
 
   /**
-   * Handles a request whose caller has cancelled it or disconnected, so that no answer is pending.
+   * Handles a request whose caller has cancelled it or disconnected, so that no answer is needed
+   * any more.
    */
   void requestCancelled(long now, String id);
 
--- a/src/main/java/mothwing/control/ControllerHost.java
+++ b/src/main/java/mothwing/control/ControllerHost.java
@@ -9,7 +9,7 @@
   void startRun(String id);
 
   /** Starts the dependency call that a request awaits; the call is abandoned at the given time. */
-  void startCall(String id, long until);
+  void startCall(String id, long abandonAt);
 
   /** Continues the run of a request without the dependency call that it awaits. */
   void skipCall(String id);
@@ -26,7 +26,10 @@
    */
   void rejectRequest(String id, boolean finalAnswer, long retryAfter);
 
-  /** Answers a request with a failure. */
+  /**
+   * Answers a request with a failure; ends the run of a request that is answered already and awaits
+   * a call.
+   */
   void failRequest(String id);
 
   /** Remembers the idempotency key of a request for the given duration. */
@@ -53,8 +56,8 @@
   void setHealth(boolean shallow, boolean healthy);
 
   /**
-   * Closes connections that are idle for the given duration from now on; limited to that of the
-   * settings.
+   * From now on, closes connections that have been idle for the given duration, at most {@link
+   * Signals#idleTimeout}.
    */
   void closeIdleConnections(long idleTimeout);
 
--- a/src/main/java/mothwing/control/GaugeSample.java
+++ b/src/main/java/mothwing/control/GaugeSample.java
@@ -11,7 +11,6 @@
  * @param age microseconds since gauges were last known; 0 if these are current
  */
 public record GaugeSample(List<Double> gauges, long age) {
-  /** Copies the gauges. */
   public GaugeSample {
     gauges = List.copyOf(gauges);
   }
@@ -20,7 +19,6 @@
    * Returns a sample of current gauges.
    *
    * @param gauges the gauges in the order of the settings
-   * @return the sample
    */
   public static GaugeSample of(double... gauges) {
     return new GaugeSample(Arrays.stream(gauges).boxed().toList(), 0);
@@ -30,17 +28,12 @@
    * Returns a sample without gauges.
    *
    * @param age microseconds since gauges were last known
-   * @return the sample
    */
   public static GaugeSample absent(long age) {
     return new GaugeSample(List.of(), age);
   }
 
-  /**
-   * Returns whether gauges are known.
-   *
-   * @return true if the sample has gauges
-   */
+  /** Returns whether gauges are known. */
   public boolean isKnown() {
     return !gauges.isEmpty();
   }
--- a/src/main/java/mothwing/control/RunOutcome.java
+++ b/src/main/java/mothwing/control/RunOutcome.java
@@ -25,11 +25,7 @@
     this.provesNoEffect = provesNoEffect;
   }
 
-  /**
-   * Returns whether the outcome proves that nothing took effect.
-   *
-   * @return true if nothing can have taken effect
-   */
+  /** Returns whether the outcome proves that nothing took effect. */
   public boolean provesNoEffect() {
     return provesNoEffect;
   }
--- a/src/main/java/mothwing/overload/AdmissionFilter.java
+++ b/src/main/java/mothwing/overload/AdmissionFilter.java
@@ -60,12 +60,12 @@
 
   /** Adds a request that was read to the offered work of its bucket. */
   void offer(TrackedRequest request) {
-    bucketOf(request).offer(costs.expected(request), request.estimatedWork());
+    bucketOf(request).offer(costs.expectedCoreTime(request), request.estimatedCoreTime());
   }
 
   /**
-   * Returns whether the current filter admits a request; if so, takes its expected core time from
-   * its bucket.
+   * Returns whether the current filter admits a request; an inner filter takes its expected core
+   * time from its bucket.
    */
   boolean admit(TrackedRequest request) {
     int filter = ladder.filter();
@@ -73,7 +73,7 @@
       return true;
     }
     return filter <= FilterLadder.INNER_FILTERS
-        && bucketOf(request).tryTake(costs.expected(request));
+        && bucketOf(request).tryTake(costs.expectedCoreTime(request));
   }
 
   /**
@@ -92,8 +92,9 @@
   }
 
   /**
-   * Returns the weight of a bucket in the allocation: the square of its priority weight per unit of
-   * cost.
+   * Returns the weight of a bucket in the allocation: the square of its priority weight, which is
+   * reduced if over quota, and divided by the core time of a typical request unless weights apply
+   * by work.
    */
   private double weight(TrafficBucket bucket) {
     Settings settings = context.settings();
@@ -103,8 +104,8 @@
             ? 1
             : costs.coreTimeRatio(bucket.classIndex()) * requestClass.latencyObjective();
     double quotaRatio = bucket.isOverQuota() ? settings.overQuotaWeightRatio() : 1;
-    double value = requestClass.priorityWeight() / cost * quotaRatio;
-    return value * value;
+    double weightPerCost = requestClass.priorityWeight() / cost * quotaRatio;
+    return weightPerCost * weightPerCost;
   }
 
   private TrafficBucket bucketOf(TrackedRequest request) {
--- a/src/main/java/mothwing/overload/BackpressureSignal.java
+++ b/src/main/java/mothwing/overload/BackpressureSignal.java
@@ -16,7 +16,10 @@
   /** Number of steps of the published share, which is rounded to twentieths. */
   private static final double WANTED_RATIO_STEPS = 20;
 
-  /** Decay of the read and the rejected work with each sample; about fifty samples count. */
+  /**
+   * Decay of the read and the rejected work with each sample while runs succeed and no shutdown is
+   * in progress; about fifty samples count.
+   */
   private static final double DECAY_RATIO = 0.98;
 
   /** Additional decay of the rejected work on idle cores, which have capacity for it. */
@@ -32,15 +35,15 @@
    * Rejected share of the work above which the idle timeout is no longer shortened: reconnecting
    * then costs more than full connection tables.
    */
-  private static final double MAX_REJECTED_RATIO_TO_KEEP_SHORT = 0.85;
+  private static final double RESTORE_TIMEOUT_REJECTED_RATIO = 0.85;
 
   /** Rejected share of the work above which shortening the idle timeout does not begin. */
-  private static final double MAX_REJECTED_RATIO_TO_SHORTEN = 0.6;
+  private static final double SHORTEN_TIMEOUT_MAX_REJECTED_RATIO = 0.6;
 
   /** Shortest idle timeout that a host can apply, in microseconds. */
   private static final long MIN_IDLE_TIMEOUT_MICROS = 10_000;
 
-  /** Highest load level that is published while the server wants any traffic. */
+  /** Highest published load level, which is published while draining. */
   private static final double MAX_LEVEL = 0.95;
 
   private static final double NOT_PUBLISHED = -1;
@@ -83,15 +86,15 @@
   /**
    * Updates the published value and the idle timeout from a sample.
    *
-   * @param areRunsFailing whether the runs of this server fail
+   * @param runsFailing whether the runs of this server fail
    * @param idle whether cores are idle
    * @param uptimeMicros time since the server started, in microseconds
    */
-  void sample(boolean areRunsFailing, boolean idle, long uptimeMicros) {
+  void sample(boolean runsFailing, boolean idle, long uptimeMicros) {
     rejectedWork *= idle ? IDLE_DECAY_RATIO : 1;
     if (draining) {
       publish(0);
-    } else if (areRunsFailing) {
+    } else if (runsFailing) {
       publish(MIN_WANTED_RATIO);
     } else {
       publish(wantedRatio());
@@ -125,16 +128,18 @@
 
   /**
    * Shortens the idle timeout while many callers send few requests, since their connections fill
-   * the connection table, and restores it afterwards.
+   * the connection table, and restores it afterwards, or if most of the work is rejected.
    */
   private void adjustIdleTimeout(long uptimeMicros) {
-    double measuredRate = requestsRead * ControllerContext.MICROS_PER_SECOND / uptimeMicros;
-    double rate = Math.max(2 * settings.get().machine().cores(), measuredRate);
+    double measuredRequestsPerSecond =
+        requestsRead * ControllerContext.MICROS_PER_SECOND / uptimeMicros;
+    double requestsPerSecond =
+        Math.max(2 * settings.get().machine().cores(), measuredRequestsPerSecond);
     double maxRejectedRatio =
-        timeoutShortened ? MAX_REJECTED_RATIO_TO_KEEP_SHORT : MAX_REJECTED_RATIO_TO_SHORTEN;
+        timeoutShortened ? RESTORE_TIMEOUT_REJECTED_RATIO : SHORTEN_TIMEOUT_MAX_REJECTED_RATIO;
     boolean retryStorm = rejectedWork > readWork * maxRejectedRatio;
     boolean shouldShorten =
-        settings.get().callers() > MAX_REUSE_INTERVAL_SECONDS * rate && !retryStorm;
+        settings.get().callers() > MAX_REUSE_INTERVAL_SECONDS * requestsPerSecond && !retryStorm;
     long idleTimeout = settings.get().signals().idleTimeout();
     if (idleTimeout > MIN_IDLE_TIMEOUT_MICROS && shouldShorten != timeoutShortened) {
       timeoutShortened = shouldShorten;
--- a/src/main/java/mothwing/overload/CallProgress.java
+++ b/src/main/java/mothwing/overload/CallProgress.java
@@ -5,14 +5,14 @@
  * are microseconds of the controller's clock.
  */
 final class CallProgress {
-  private int reached;
+  private int reachedCalls;
   private int attempts;
   private long nextAttemptAt;
   private long attemptStartedAt;
 
   /** Records that the run has reached a call, which may be attempted at once. */
   void reach(long now) {
-    reached++;
+    reachedCalls++;
     attempts = 0;
     nextAttemptAt = now;
   }
@@ -34,8 +34,8 @@
   }
 
   /** Returns the number of calls that the run has reached. */
-  int reached() {
-    return reached;
+  int reachedCalls() {
+    return reachedCalls;
   }
 
   /** Returns the number of attempts of the current call. */
--- a/src/main/java/mothwing/overload/ClassStatistics.java
+++ b/src/main/java/mothwing/overload/ClassStatistics.java
@@ -2,14 +2,11 @@
 
 /** Averages the core time and the dependency calls of the successful runs of one class. */
 final class ClassStatistics {
-  /**
-   * Weight of a run in the averages after the first ten runs, so that about ten runs count. The
-   * first runs count in full: until then, the averages are plain means.
-   */
+  /** Weight of a run in the averages; the averages over the first ten runs are plain means. */
   private static final double RUN_WEIGHT = 0.1;
 
   /** Number of latency objectives without a run after which the learned core time fades. */
-  private static final int STALE_OBJECTIVES = 2;
+  private static final int STALE_AFTER_OBJECTIVES = 2;
 
   private double coreTimeRatio;
   private double callsPerRun;
@@ -19,7 +16,7 @@
   /**
    * Creates the statistics of a class without runs.
    *
-   * @param coreTimeRatio core time per unit of estimated work, as measured for other classes
+   * @param coreTimeRatio core time per estimated core time, as measured for other classes
    * @param callsPerRun expected dependency calls of a run
    */
   ClassStatistics(double coreTimeRatio, double callsPerRun) {
@@ -30,7 +27,7 @@
   /**
    * Updates the averages from a run that succeeded.
    *
-   * @param observedRatio core time of the run per unit of estimated work
+   * @param observedRatio core time of the run per estimated core time
    * @param calls number of dependency calls of the run
    * @param now time of the controller's clock, in microseconds
    */
@@ -51,13 +48,14 @@
    * Moves the core time of a class without recent runs towards the average of all classes. Without
    * this, a class whose requests are all rejected would never be measured again.
    */
-  void fade(double overallRatio, double objectiveMicros, double spanMicros, long now) {
-    if (runs > 0 && now - learnedAt > STALE_OBJECTIVES * objectiveMicros) {
-      coreTimeRatio += (overallRatio - coreTimeRatio) * Math.min(1, spanMicros / objectiveMicros);
+  void fade(double overallCoreTimeRatio, double objectiveMicros, double spanMicros, long now) {
+    if (runs > 0 && now - learnedAt > STALE_AFTER_OBJECTIVES * objectiveMicros) {
+      coreTimeRatio +=
+          (overallCoreTimeRatio - coreTimeRatio) * Math.min(1, spanMicros / objectiveMicros);
     }
   }
 
-  /** Returns the core time per unit of estimated work at the usual speed of the machine. */
+  /** Returns the core time per estimated core time at the usual speed of the machine. */
   double coreTimeRatio() {
     return coreTimeRatio;
   }
--- a/src/main/java/mothwing/overload/ConcurrencyCeiling.java
+++ b/src/main/java/mothwing/overload/ConcurrencyCeiling.java
@@ -4,11 +4,11 @@
 
 /**
  * Computes how many running requests the machine tolerates, which grows during slow start, and
- * compares it with the average number of running requests.
+ * whether the average number of running requests exceeds a share of it.
  */
 final class ConcurrencyCeiling {
   /** Share of the tolerated concurrency up to which runs are started. */
-  private static final double USED_RATIO = 0.7;
+  private static final double CEILING_RATIO = 0.7;
 
   private final ControllerContext context;
   private double averageRunning;
@@ -36,7 +36,7 @@
 
   /** Returns the number of running requests up to which runs are started. */
   double ceiling() {
-    return toleratedConcurrency() * USED_RATIO;
+    return toleratedConcurrency() * CEILING_RATIO;
   }
 
   /** Returns whether the average concurrency exceeds the ceiling. */
--- a/src/main/java/mothwing/overload/ConcurrencyLimit.java
+++ b/src/main/java/mothwing/overload/ConcurrencyLimit.java
@@ -6,8 +6,8 @@
  * shrinks to the number of cores.
  */
 final class ConcurrencyLimit {
-  /** Utilization of the cores below which the limit may grow. */
-  private static final double IDLE_UTILIZATION_RATIO = 0.9;
+  /** Utilization of the cores below which the limit may grow, and above which it may fall. */
+  private static final double MAX_GROWTH_UTILIZATION_RATIO = 0.9;
 
   /**
    * Sample periods without gauges after which the limit shrinks; long enough for a lost sample and
@@ -34,11 +34,11 @@
 
   /**
    * Updates the limit from a sample: raises it quickly while cores are idle and requests wait,
-   * lowers it slowly to the number of cores otherwise.
+   * lowers it by one towards the number of cores while cores are busy.
    *
    * @param periods number of sample periods that the sample covers
    * @param utilization share of the cores that is busy
-   * @param waiting whether the limit alone keeps a request from running
+   * @param waiting whether a request is held while the limit is reached
    * @param ceiling the highest limit, in requests
    * @param cores the number of cores
    * @param mayFall whether the limit may be lowered by one
@@ -46,9 +46,9 @@
   void updateFromSample(
       int periods, double utilization, boolean waiting, int ceiling, int cores, boolean mayFall) {
     shrinking = false;
-    if (waiting && utilization < IDLE_UTILIZATION_RATIO) {
+    if (waiting && utilization < MAX_GROWTH_UTILIZATION_RATIO) {
       limit = Math.min(limit + periods, ceiling);
-    } else if (utilization > IDLE_UTILIZATION_RATIO && limit > cores && mayFall) {
+    } else if (utilization > MAX_GROWTH_UTILIZATION_RATIO && limit > cores && mayFall) {
       limit--;
     }
     limit = Math.max(cores, limit);
--- a/src/main/java/mothwing/overload/ControllerContext.java
+++ b/src/main/java/mothwing/overload/ControllerContext.java
@@ -78,7 +78,7 @@
     return samplePeriod;
   }
 
-  /** Returns how long before its due time a request is answered at the latest. */
+  /** Returns the minimum time between an answer and its due time. */
   long dueMargin() {
     return DUE_MARGIN_SAMPLES * samplePeriod;
   }
--- a/src/main/java/mothwing/overload/CostEstimator.java
+++ b/src/main/java/mothwing/overload/CostEstimator.java
@@ -9,8 +9,8 @@
 /** Estimates the core time of requests, in microseconds, from successful runs. */
 final class CostEstimator {
   /**
-   * Lowest remaining core time of a run, as a share of its expected core time; applies to runs that
-   * have exceeded it.
+   * Lowest remaining core time of a run, as a share of its expected core time, however much it has
+   * used.
    */
   private static final double MIN_REMAINING_RATIO = 0.3;
 
@@ -21,7 +21,7 @@
   private final ProcessorSharingClock clock;
   private final SlowdownEstimator slowdown = new SlowdownEstimator();
   private List<ClassStatistics> classes = List.of();
-  private double overallRatio = 1;
+  private double overallCoreTimeRatio = 1;
   private double completedWork;
 
   CostEstimator(ControllerContext context, ProcessorSharingClock clock) {
@@ -40,7 +40,8 @@
       boolean unchanged =
           i < classes.size() && requestClass.name().equals(oldSettings.classes().get(i).name());
       double calls = requestClass.callsDependency() ? 1 : 0;
-      newStatistics.add(unchanged ? classes.get(i) : new ClassStatistics(overallRatio, calls));
+      newStatistics.add(
+          unchanged ? classes.get(i) : new ClassStatistics(overallCoreTimeRatio, calls));
     }
     classes = newStatistics;
   }
@@ -49,11 +50,12 @@
   void learn(TrackedRequest request) {
     ClassStatistics statistics = classes.get(request.classIndex());
     slowdown.countSpent(request, request.settledCoreTime());
-    slowdown.countCompleted(usual(request));
-    completedWork += expected(request);
-    double observed = request.settledCoreTime() / request.estimatedWork() / slowdown.slowdown();
-    statistics.learn(observed, request.call().reached(), context.now());
-    overallRatio += (observed - overallRatio) * ClassStatistics.weightAfter(totalRuns());
+    slowdown.countCompleted(usualCoreTime(request));
+    completedWork += expectedCoreTime(request);
+    double observed = request.settledCoreTime() / request.estimatedCoreTime() / slowdown.slowdown();
+    statistics.learn(observed, request.callProgress().reachedCalls(), context.now());
+    overallCoreTimeRatio +=
+        (observed - overallCoreTimeRatio) * ClassStatistics.weightAfter(totalRuns());
   }
 
   /** Updates the slowdown of the machine after the given number of seconds. */
@@ -61,7 +63,7 @@
     slowdown.fade(seconds);
     for (TrackedRequest request : requests) {
       if (request.is(State.RUNNING)) {
-        double limit = STUCK_RATIO * usual(request);
+        double limit = STUCK_RATIO * usualCoreTime(request);
         slowdown.countSpent(request, Math.min(clock.used(request), limit));
       }
     }
@@ -75,7 +77,11 @@
     for (int i = 0; i < classes.size(); i++) {
       classes
           .get(i)
-          .fade(overallRatio, (double) settings.get(i).latencyObjective(), span, context.now());
+          .fade(
+              overallCoreTimeRatio,
+              (double) settings.get(i).latencyObjective(),
+              span,
+              context.now());
     }
   }
 
@@ -87,16 +93,13 @@
     return runs;
   }
 
-  /**
-   * Returns the core time per unit of estimated work of a class at the usual speed of the machine.
-   */
+  /** Returns the core time per estimated core time of a class at the usual speed of the machine. */
   double coreTimeRatio(int classIndex) {
     return classes.get(classIndex).coreTimeRatio();
   }
 
   /**
-   * Returns the core time per unit of estimated work of a class at the current speed of the
-   * machine.
+   * Returns the core time per estimated core time of a class at the current speed of the machine.
    */
   double currentCoreTimeRatio(int classIndex) {
     return coreTimeRatio(classIndex) * slowdown.slowdown();
@@ -108,18 +111,18 @@
   }
 
   /** Returns the core time of a request at the usual speed of the machine. */
-  double usual(TrackedRequest request) {
-    return request.estimatedWork() * coreTimeRatio(request.classIndex());
+  double usualCoreTime(TrackedRequest request) {
+    return request.estimatedCoreTime() * coreTimeRatio(request.classIndex());
   }
 
   /** Returns the core time of a request at the current speed of the machine. */
-  double expected(TrackedRequest request) {
-    return usual(request) * slowdown.slowdown();
+  double expectedCoreTime(TrackedRequest request) {
+    return usualCoreTime(request) * slowdown.slowdown();
   }
 
   /** Returns the core time that a request is still expected to need. */
-  double remaining(TrackedRequest request) {
-    double total = request.is(State.REPLAYING) ? 0 : expected(request);
+  double remainingCoreTime(TrackedRequest request) {
+    double total = request.is(State.REPLAYING) ? 0 : expectedCoreTime(request);
     return Math.max(total - clock.used(request), total * MIN_REMAINING_RATIO);
   }
 
@@ -131,17 +134,17 @@
     double deadlineRatios = 0;
     for (TrackedRequest request : open) {
       double deadline = request.requestClass().deadline();
-      deadlineRatios += request.isAnswered() ? 0 : remaining(request) / deadline;
+      deadlineRatios += request.isAnswered() ? 0 : remainingCoreTime(request) / deadline;
     }
     return deadlineRatios / context.cores();
   }
 
   /** Returns whether a run has used several times its usual core time. */
   boolean isStuck(TrackedRequest request) {
-    return clock.used(request) > STUCK_RATIO * usual(request);
+    return clock.used(request) > STUCK_RATIO * usualCoreTime(request);
   }
 
-  /** Returns the expected core time of the runs completed since the previous call. */
+  /** Returns the expected core time of the successful runs since the previous call. */
   double takeCompletedWork() {
     double work = completedWork;
     completedWork = 0;
--- a/src/main/java/mothwing/overload/DeadlineAdmission.java
+++ b/src/main/java/mothwing/overload/DeadlineAdmission.java
@@ -28,26 +28,26 @@
   private final AdmissionFilter filter;
   private final FilterLadder ladder;
   private final LoadMonitor monitor;
-  private final DependencyCallLimiter calls;
+  private final DependencyCallLimiter callLimiter;
 
   DeadlineAdmission(
       ControllerState state,
       AdmissionFilter filter,
       FilterLadder ladder,
       LoadMonitor monitor,
-      DependencyCallLimiter calls) {
+      DependencyCallLimiter callLimiter) {
     context = state.context();
     requests = state.requests();
     costs = state.costs();
     this.filter = filter;
     this.ladder = ladder;
     this.monitor = monitor;
-    this.calls = calls;
+    this.callLimiter = callLimiter;
   }
 
   /**
-   * Returns whether a request can be answered in time behind the work and the dependency calls that
-   * precede it.
+   * Returns whether a request can be answered in time behind the work in progress, and the work and
+   * the dependency calls that precede it.
    */
   boolean canMeet(TrackedRequest request) {
     double spareMicros =
@@ -65,14 +65,14 @@
 
   /** Returns whether the core time of the work that precedes a request exceeds a bound. */
   private boolean isPrecedingWorkAbove(TrackedRequest request, double maxWork) {
-    double expected = costs.expected(request);
+    double expected = costs.expectedCoreTime(request);
     double work = 0;
     for (TrackedRequest open : requests.openRequests()) {
       if (open == request || open.isAnswered()) {
         continue;
       }
-      if (precedes(open, request) || !open.is(State.HELD)) {
-        double remaining = costs.remaining(open);
+      if (precedesOrEquals(open, request) || !open.is(State.HELD)) {
+        double remaining = costs.remainingCoreTime(open);
         // A run in progress shares the cores evenly with the request, so it delays the
         // request by no more than the request's own core time.
         work += open.is(State.RUNNING) ? Math.min(remaining, expected) : remaining;
@@ -84,25 +84,24 @@
     return false;
   }
 
-  /** Returns whether the dependency calls that precede those of a request leave it enough time. */
+  /**
+   * Returns whether the dependency calls that precede a request, and its own, leave it enough time.
+   */
   private boolean canMakeCallsInTime(TrackedRequest request, double spareMicros) {
     if (!request.callsDependency() || request.maySkipCall()) {
       return true;
     }
-    double callTime = -calls.admissionCallTime();
+    double callTime = -callLimiter.admissionCallTime();
     for (TrackedRequest open : requests.openRequests()) {
-      if (precedes(open, request) && !open.isAnswered()) {
+      if (precedesOrEquals(open, request) && !open.isAnswered()) {
         callTime += remainingCallTime(open);
       }
     }
-    return callTime / calls.steadyCalls() <= spareMicros;
+    return callTime / callLimiter.steadyCalls() <= spareMicros;
   }
 
-  /**
-   * Returns whether an open request is not later than a request in priority order; also true for
-   * the request itself.
-   */
-  private static boolean precedes(TrackedRequest open, TrackedRequest request) {
+  /** Returns whether an open request comes before a request in priority order, or equals it. */
+  private static boolean precedesOrEquals(TrackedRequest open, TrackedRequest request) {
     return open.priority() == request.priority()
         ? open.arrivedAt() <= request.arrivedAt()
         : open.priority() > request.priority();
@@ -118,10 +117,10 @@
       double cost = costs.currentCoreTimeRatio(bucket.classIndex());
       boolean reserved =
           priority(bucket, cost, request) > RESERVED_PRIORITY_RATIO * request.priority();
-      work += reserved ? bucket.arrivingWork() * cost : 0;
+      work += reserved ? bucket.recentEstimatedWork() * cost : 0;
     }
-    // Traffic that arrives regularly is part of the utilization, which therefore bounds the rate.
-    return Math.min(TrafficBucket.arrivalRate(work), monitor.utilization() * context.cores());
+    // Regular traffic already keeps cores busy, so no more than the busy cores are reserved.
+    return Math.min(TrafficBucket.recentRate(work), monitor.utilization() * context.cores());
   }
 
   /**
@@ -132,21 +131,23 @@
     List<RequestClass> classes = settings.classes();
     double quotaRatio = bucket.isOverQuota() ? settings.overQuotaWeightRatio() : 1;
     double weight = classes.get(bucket.classIndex()).priorityWeight() * quotaRatio;
-    return settings.weightByWork() ? weight : weight / (request.estimatedWork() * cost);
+    return settings.weightByWork() ? weight : weight / (request.estimatedCoreTime() * cost);
   }
 
   /** Returns the dependency call time that a request is still expected to take, in microseconds. */
   private double remainingCallTime(TrackedRequest request) {
     boolean atCall = request.is(State.AWAITING_CALL) || request.is(State.CALLING);
     int current = atCall ? 1 : 0;
-    double remaining = costs.callsPerRun(request.classIndex()) - request.call().reached() + current;
+    double remaining =
+        costs.callsPerRun(request.classIndex()) - request.callProgress().reachedCalls() + current;
     return request.is(State.REPLAYING)
         ? 0
-        : calls.expectedCallTime() * Math.max(current, remaining);
+        : callLimiter.averageCallDuration() * Math.max(current, remaining);
   }
 
   /**
-   * Returns the time that is reserved for a run, in microseconds; it is short if cores are idle.
+   * Returns the time that is reserved for a run, in microseconds; it grows with the utilization,
+   * from IDLE_TIME_RATIO to BUSY_TIME_RATIO of its expected core time.
    */
   double runTime(TrackedRequest request) {
     double loadRatio =
@@ -154,12 +155,12 @@
             ? 1
             : Math.min(1, monitor.steadyUtilization() / LoadIndex.idleUtilization());
     double ratio = IDLE_TIME_RATIO + (BUSY_TIME_RATIO - IDLE_TIME_RATIO) * loadRatio;
-    return costs.expected(request) * ratio;
+    return costs.expectedCoreTime(request) * ratio;
   }
 
   /**
-   * Returns the time until which an answer is worth running for. On busy cores this is the latency
-   * objective at most, as a late answer delays other requests beyond their objective.
+   * Returns the latest time of an answer for which a run is started. On busy cores this is the
+   * latency objective at most, as a late answer delays other requests beyond their objective.
    */
   long latestUsefulAnswerAt(TrackedRequest request) {
     boolean idle =
--- a/src/main/java/mothwing/overload/DeadlineEnforcer.java
+++ b/src/main/java/mothwing/overload/DeadlineEnforcer.java
@@ -3,8 +3,9 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Answers every request before it is due, and rejects held requests that can no longer be answered
- * in time.
+ * Answers every request before it is due, rejects held requests that can no longer be answered in
+ * time, and fails requests that wait for a call or a replay once an answer no longer earns
+ * anything.
  */
 final class DeadlineEnforcer {
   private final ControllerContext context;
@@ -37,10 +38,10 @@
     boolean isDue = now + context.dueMargin() >= request.dueAt();
     boolean neverStarted = request.is(State.HELD) && !request.hasStarted();
     boolean isWaiting = request.is(State.AWAITING_CALL) || request.is(State.REPLAYING);
+    // A run past its objective is failed only when due, as it may still end in time.
     if (neverStarted && (isDue || cannotFinishInTime(request))) {
       completion.reject(request);
     } else if (isDue || (isWaiting && now > request.valuableUntil())) {
-      // A late run is not failed here before it is due, as it may still end in time.
       completion.fail(request);
     }
   }
--- a/src/main/java/mothwing/overload/DependencyCallLimiter.java
+++ b/src/main/java/mothwing/overload/DependencyCallLimiter.java
@@ -4,7 +4,8 @@
 import mothwing.control.Dependency;
 
 /**
- * Limits the dependency calls of this server to its quota. A token bucket of call time gives a slow
+ * Limits the dependency calls of this server to its quota. Two token buckets of call time, one that
+ * bounds bursts over the dependency's window and one that also bounds admission, give a slow
  * dependency fewer calls; abandoned calls count until the dependency has ended them. Even if every
  * call hangs, the calls in flight stay within the quota over the dependency's window.
  */
@@ -16,7 +17,7 @@
   private static final double BURST_RATIO = 0.5;
 
   /** Share of the burst below which no call starts, as its timeout would be too short. */
-  private static final double MIN_START_RATIO = 0.25;
+  private static final double MIN_BURST_LEFT_RATIO = 0.25;
 
   /** Capacity of the admission bucket, in seconds of steady call time. */
   private static final double ADMISSION_SECONDS = 1.5;
@@ -34,7 +35,7 @@
   private double steadyCalls;
   private double callTimeLeft;
   private double admissionCallTime;
-  private double expectedCallTime;
+  private double averageCallDuration;
   private int inFlight;
 
   /** Creates a limiter with full buckets. */
@@ -50,8 +51,9 @@
     double quota = dependency.concurrencyQuota();
     boolean hasQuota = quota > 0;
     maxCalls = hasQuota ? Math.ceil(Math.max(1, 2 * quota)) : UNLIMITED_CALLS;
-    double window = hasQuota ? quota * dependency.window() : UNLIMITED_CALLS * UNLIMITED_CALLS;
-    maxCallTime = BURST_RATIO * window;
+    double windowCallTime =
+        hasQuota ? quota * dependency.window() : UNLIMITED_CALLS * UNLIMITED_CALLS;
+    maxCallTime = BURST_RATIO * windowCallTime;
     steadyCalls = hasQuota ? quota * STEADY_RATIO : UNLIMITED_CALLS;
   }
 
@@ -92,7 +94,7 @@
   /** Returns whether a call may start now. */
   boolean mayStart() {
     return outstanding() < maxCalls
-        && callTimeLeft >= maxCallTime * MIN_START_RATIO
+        && callTimeLeft >= maxCallTime * MIN_BURST_LEFT_RATIO
         && admissionCallTime > 0;
   }
 
@@ -109,7 +111,7 @@
   /** Counts a call that has ended and updates the average call duration. */
   void recordEnd(long startedAt) {
     inFlight--;
-    expectedCallTime += (context.now() - startedAt - expectedCallTime) * CALL_WEIGHT;
+    averageCallDuration += (context.now() - startedAt - averageCallDuration) * CALL_WEIGHT;
   }
 
   /** Counts a call in flight as abandoned; the dependency may work on it for a while. */
@@ -128,13 +130,13 @@
 
   /** Fades the average call duration while no call is in flight that would correct it. */
   void fade(double seconds) {
-    expectedCallTime *=
+    averageCallDuration *=
         inFlight > 0 ? 1 : Math.max(0, 1 - seconds / SlowdownEstimator.AVERAGING_SECONDS);
   }
 
   /** Returns the average duration of a call, in microseconds. */
-  double expectedCallTime() {
-    return expectedCallTime;
+  double averageCallDuration() {
+    return averageCallDuration;
   }
 
   /**
--- a/src/main/java/mothwing/overload/DependencyCallScheduler.java
+++ b/src/main/java/mothwing/overload/DependencyCallScheduler.java
@@ -9,7 +9,7 @@
 
 /**
  * Starts dependency calls in priority order, retries those that may be repeated, and skips a call
- * if an answer without it still earns part of the priority weight.
+ * that cannot succeed in time if an answer without it still earns part of the priority weight.
  */
 final class DependencyCallScheduler {
   /** Maximum number of attempts of one call. */
@@ -21,14 +21,14 @@
   private final ProcessorSharingClock clock;
   private final CostEstimator costs;
   private final ConcurrencyCeiling ceiling;
-  private final DependencyCallLimiter limiter;
+  private final DependencyCallLimiter callLimiter;
   private final FaultAdmission faults;
   private final RequestCompletion completion;
 
   DependencyCallScheduler(
       ControllerState state,
       ConcurrencyCeiling ceiling,
-      DependencyCallLimiter limiter,
+      DependencyCallLimiter callLimiter,
       FaultAdmission faults,
       RequestCompletion completion) {
     context = state.context();
@@ -37,13 +37,13 @@
     clock = state.clock();
     costs = state.costs();
     this.ceiling = ceiling;
-    this.limiter = limiter;
+    this.callLimiter = callLimiter;
     this.faults = faults;
     this.completion = completion;
   }
 
   /** Handles a run that has reached a dependency call. */
-  void awaited(TrackedRequest request) {
+  void handleAwaited(TrackedRequest request) {
     clock.leave(request);
     request.awaitCall(context.now());
     if (request.isAnswered()) {
@@ -52,16 +52,16 @@
   }
 
   /** Handles the end of a call in flight. */
-  void ended(TrackedRequest request, RunOutcome outcome) {
-    limiter.recordEnd(request.call().attemptStartedAt());
+  void handleEnded(TrackedRequest request, RunOutcome outcome) {
+    callLimiter.recordEnd(request.callProgress().attemptStartedAt());
     faults.recordCall(outcome == RunOutcome.SUCCEEDED);
     if (outcome == RunOutcome.SUCCEEDED) {
       clock.enter(request);
       return;
     }
-    boolean mayStillRun = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
-    if (mayStillRun) {
-      limiter.countAsOutstanding();
+    boolean calleeMayStillWork = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
+    if (calleeMayStillWork) {
+      callLimiter.countAsOutstanding();
     }
     request.retryCallAt(context.now() + backoff(request));
     boolean isLastAttempt = !mayRepeat(request, outcome) || attemptsExhausted(request);
@@ -69,7 +69,7 @@
       return;
     }
     if (request.maySkipCall()) {
-      request.call().exhaust(MAX_ATTEMPTS);
+      request.callProgress().exhaust(MAX_ATTEMPTS);
     } else {
       completion.fail(request);
     }
@@ -77,7 +77,7 @@
 
   /** Returns the wait before the next attempt, which doubles with each attempt. */
   private long backoff(TrackedRequest request) {
-    return context.samplePeriod() << Math.min(request.call().attempts(), 2 * MAX_ATTEMPTS);
+    return context.samplePeriod() << Math.min(request.callProgress().attempts(), 2 * MAX_ATTEMPTS);
   }
 
   private static boolean mayRepeat(TrackedRequest request, RunOutcome outcome) {
@@ -85,7 +85,7 @@
   }
 
   private static boolean attemptsExhausted(TrackedRequest request) {
-    return request.call().attempts() >= MAX_ATTEMPTS;
+    return request.callProgress().attempts() >= MAX_ATTEMPTS;
   }
 
   /** Starts or skips the waiting calls in priority order, as far as the limits allow. */
@@ -93,7 +93,7 @@
     List<TrackedRequest> waiting = new ArrayList<>();
     for (TrackedRequest request : requests.openRequests()) {
       boolean awaitsCall = request.is(State.AWAITING_CALL) && !request.isAnswered();
-      if (awaitsCall && context.now() >= request.call().nextAttemptAt()) {
+      if (awaitsCall && context.now() >= request.callProgress().nextAttemptAt()) {
         waiting.add(request);
       }
     }
@@ -105,7 +105,7 @@
       if (request.maySkipCall() && cannotSucceedInTime(request)) {
         host.skipCall(request.id());
         clock.enter(request);
-      } else if (limiter.mayStart()) {
+      } else if (callLimiter.mayStart()) {
         start(request);
       }
     }
@@ -116,23 +116,26 @@
    * return to the cores.
    */
   private boolean wouldReachCeiling() {
-    return clock.running() + limiter.inFlight() >= Math.max(1, ceiling.ceiling());
+    return clock.running() + callLimiter.inFlight() >= Math.max(1, ceiling.ceiling());
   }
 
   /** Returns whether a call has no attempts left, or would leave the run too little time. */
   private boolean cannotSucceedInTime(TrackedRequest request) {
     double endsAt =
-        context.now() + limiter.expectedCallTime() + costs.remaining(request) + context.dueMargin();
+        context.now()
+            + callLimiter.averageCallDuration()
+            + costs.remainingCoreTime(request)
+            + context.dueMargin();
     return attemptsExhausted(request) || endsAt > request.valuableUntil();
   }
 
   private void start(TrackedRequest request) {
     long now = context.now();
     request.startCall(now);
-    limiter.recordStart();
+    callLimiter.recordStart();
     long latestUsefulEnd =
         Math.min(request.dueAt() - 2 * context.dueMargin(), request.valuableUntil());
-    long until = Math.min(latestUsefulEnd, now + limiter.maxCallDuration());
-    host.startCall(request.id(), Math.max(now + context.settings().batchInterval(), until));
+    long abandonAt = Math.min(latestUsefulEnd, now + callLimiter.maxCallDuration());
+    host.startCall(request.id(), Math.max(now + context.settings().batchInterval(), abandonAt));
   }
 }
--- a/src/main/java/mothwing/overload/FaultAdmission.java
+++ b/src/main/java/mothwing/overload/FaultAdmission.java
@@ -8,8 +8,8 @@
  * and idle, and calls to a failing dependency waste core time, so only a few attempts are made.
  */
 final class FaultAdmission {
-  private final FaultBudget runs = new FaultBudget();
-  private final FaultBudget calls = new FaultBudget();
+  private final FaultBudget runFaults = new FaultBudget();
+  private final FaultBudget callFaults = new FaultBudget();
   private double maxCallingClassWeight;
 
   /** Applies new settings. */
@@ -24,23 +24,23 @@
 
   /** Counts the outcome of a run. */
   void recordRun(boolean success) {
-    runs.record(success);
+    runFaults.record(success);
   }
 
   /** Counts the outcome of a dependency call. */
   void recordCall(boolean success) {
-    calls.record(success);
+    callFaults.record(success);
   }
 
   /** Reduces the faults in both budgets for the given number of seconds. */
   void recover(int cores, double seconds) {
-    runs.recover(cores, seconds);
-    calls.recover(cores, seconds);
+    runFaults.recover(cores, seconds);
+    callFaults.recover(cores, seconds);
   }
 
   /** Returns whether the runs of this server fail. */
   boolean areRunsFailing() {
-    return runs.isExhausted();
+    return runFaults.isExhausted();
   }
 
   /**
@@ -48,13 +48,13 @@
    * classes of the highest weight.
    */
   boolean shouldReject(TrackedRequest request) {
-    if (runs.isExhausted()) {
+    if (runFaults.isExhausted()) {
       return true;
     }
     if (!request.callsDependency()) {
       return false;
     }
     boolean hasMaxWeight = request.requestClass().priorityWeight() >= maxCallingClassWeight;
-    return hasMaxWeight ? calls.isExhausted() : calls.isHalfUsed();
+    return hasMaxWeight ? callFaults.isExhausted() : callFaults.isHalfUsed();
   }
 }
--- a/src/main/java/mothwing/overload/FaultBudget.java
+++ b/src/main/java/mothwing/overload/FaultBudget.java
@@ -6,15 +6,17 @@
  * count as well, which leaves a low rate of attempts that detect a recovery.
  */
 final class FaultBudget {
-  /** Number of faults that may be counted before the budget is exhausted. */
+  /**
+   * Number of faults that may be counted before the budget is exhausted; at most one more is
+   * counted, so that one success ends the exhaustion.
+   */
   private static final double MAX_FAULTS = 4;
 
   /** Faults by which a success reduces the count; with 1, half of the outcomes may be faults. */
   private static final double RECOVERED_FAULTS_PER_SUCCESS = 1;
 
   /**
-   * Faults by which each second reduces the count per core; as many attempts are made while all of
-   * them fail.
+   * Faults subtracted per core and second, and thus the rate of attempts while all of them fail.
    */
   private static final double RECOVERED_FAULTS_PER_CORE_SECOND = 1;
 
--- a/src/main/java/mothwing/overload/FilterLadder.java
+++ b/src/main/java/mothwing/overload/FilterLadder.java
@@ -5,12 +5,14 @@
 /**
  * The filter ladder of QGuard, with damped steps. The first filter admits everything, the last one
  * rejects everything. Each inner filter admits work at a certain rate; the rates decrease along the
- * ladder and lie closer together around a focal point, which is moved to the mean rate of the
- * filters recently in use.
+ * ladder and lie closer together around a focal point, which is moved to the time-weighted mean
+ * rate of the inner filters recently in use.
  *
- * <p>Two steps are at least one sojourn apart, or twice the average lag between a step and its
- * effect if that is longer; tightening requires several overloaded intervals for each underloaded
- * one. Times are microseconds of one clock, rates are cores of expected work.
+ * <p>Two steps are at least one sojourn apart (the minimum time at one filter, ten samples), or
+ * twice the average duration of an overload if that is longer, up to six sojourns. An overload
+ * lasts from its first overloaded interval to the next underloaded one. Tightening requires several
+ * overloaded intervals for each underloaded one. Times are microseconds of one clock, rates are
+ * cores of expected work.
  */
 final class FilterLadder {
   /** Number of filters between the one that admits and the one that rejects everything. */
@@ -23,14 +25,14 @@
   private static final int SOJOURN_SAMPLES = 10;
 
   /**
-   * Longest time between two steps, in sojourns; the lag caused by an outage must not freeze the
-   * ladder.
+   * Upper bound of the wait between two steps that the average overload requires, in sojourns; a
+   * long outage must not freeze the ladder.
    */
   private static final int MAX_WAIT_SOJOURNS = 6;
 
   /**
-   * Rate of the first inner filter as a multiple of the best completion rate; it hardly shapes
-   * traffic.
+   * Rate of the first inner filter as a multiple of the best completion rate; that filter rejects
+   * hardly anything.
    */
   private static final double TOP_RATE_RATIO = 1.25;
 
@@ -43,8 +45,8 @@
   /** Number of sojourns between two moves of the focal point. */
   private static final int REFINEMENT_SOJOURNS = 20;
 
-  /** Weight of one overload in the average lag. */
-  private static final double LAG_WEIGHT = 0.1;
+  /** Weight of one overload in the average overload duration. */
+  private static final double OVERLOAD_WEIGHT = 0.1;
 
   /** Seconds over which the best completion rate fades. */
   private static final double BEST_RATE_SECONDS = 60;
@@ -61,7 +63,7 @@
   private int overloadedIntervals;
   private int underloadedIntervals;
   private long overloadedSince;
-  private double averageLag;
+  private double averageOverloadDuration;
   private long lastStepAt;
   private long refinedAt;
 
@@ -97,7 +99,7 @@
   }
 
   /**
-   * Updates the best completion rate from an interval without overload.
+   * Updates the best completion rate, unless the interval was overloaded.
    *
    * @param index the load index of the interval
    * @param rate cores of expected work that were completed
@@ -125,7 +127,8 @@
     long sojourn = SOJOURN_SAMPLES * samplePeriod;
     if (now - lastStepAt
         < Math.max(
-            (double) sojourn, Math.min(2 * averageLag, (double) (MAX_WAIT_SOJOURNS * sojourn)))) {
+            (double) sojourn,
+            Math.min(2 * averageOverloadDuration, (double) (MAX_WAIT_SOJOURNS * sojourn)))) {
       return false;
     }
     int next = filter;
@@ -152,15 +155,17 @@
     } else if (index <= LoadIndex.MAX_UNDERLOADED_INDEX) {
       underloadedIntervals++;
       if (overloadedSince > 0) {
-        averageLag += ((now - overloadedSince) - averageLag) * LAG_WEIGHT;
+        averageOverloadDuration +=
+            ((now - overloadedSince) - averageOverloadDuration) * OVERLOAD_WEIGHT;
         overloadedSince = 0;
       }
     }
   }
 
   /**
-   * Moves the focal point to the mean rate of the filters in use since the last move, and the
-   * current filter to the one of a similar rate.
+   * Moves the focal point to the time-weighted mean rate of the inner filters in use since the last
+   * move, or to the best completion rate if none was. An inner current filter is replaced by the
+   * first one whose new rate is not above its old rate, or by the last one.
    */
   private void refine(long now) {
     refinedAt = now;
--- a/src/main/java/mothwing/overload/LoadMonitor.java
+++ b/src/main/java/mothwing/overload/LoadMonitor.java
@@ -7,7 +7,7 @@
  * filter ladder accordingly.
  */
 final class LoadMonitor {
-  /** Seconds over which the utilization of the cores is averaged; about ten runs. */
+  /** Seconds over which the utilization of the cores is averaged. */
   private static final double AVERAGING_SECONDS = 3;
 
   /**
@@ -25,7 +25,7 @@
   private final LoadIndex loadIndex = new LoadIndex();
   private long lastSampleAt;
   private double secondsSinceSample;
-  private boolean followsGap;
+  private boolean previousGap;
   private boolean stalled;
   private double utilization;
   private double averageUtilization = 1;
@@ -46,20 +46,23 @@
   /** Begins a sample and returns the seconds since the previous one. */
   double beginSample(long at) {
     boolean gap = at - lastSampleAt > MAX_GAP_SAMPLES * context.samplePeriod();
-    stalled = gap && !followsGap;
+    stalled = gap && !previousGap;
     // Consecutive gaps are caused by a lack of processor time, which is evidence of load.
-    followsGap = gap;
+    previousGap = gap;
     secondsSinceSample = (at - lastSampleAt) / ControllerContext.MICROS_PER_SECOND;
     lastSampleAt = at;
     return secondsSinceSample;
   }
 
-  /** Returns whether the sample follows a single gap and thus is no evidence of load. */
+  /**
+   * Returns whether the sample follows a gap and the previous sample did not, and thus is no
+   * evidence of load.
+   */
   boolean isStalled() {
     return stalled;
   }
 
-  /** Returns the number of sample periods that the sample covers. */
+  /** Returns the number of sample periods that the sample covers, from 1 to one full history. */
   int samplePeriods() {
     double periods =
         secondsSinceSample * ControllerContext.MICROS_PER_SECOND / context.samplePeriod();
@@ -75,7 +78,7 @@
   }
 
   /**
-   * Adds a sample to the load index and steps through the ladder.
+   * Adds a sample to the load index, and steps the ladder if it is time to.
    *
    * @param sample the gauges
    * @param memoryRatio share of the memory in use
@@ -106,7 +109,7 @@
     return known ? sample.gauges().get(index) : ownMeasurement;
   }
 
-  /** Returns whether another full history of samples has been added. */
+  /** Returns whether the number of samples is a multiple of the history. */
   boolean isHistoryComplete() {
     return loadIndex.samples() % LoadIndex.HISTORY_SAMPLES == 0;
   }
--- a/src/main/java/mothwing/overload/OverloadController.java
+++ b/src/main/java/mothwing/overload/OverloadController.java
@@ -16,8 +16,9 @@
  *
  * <p>A request that is read is admitted or rejected at once ({@link RequestAdmission}). Admitted
  * requests are held and run in priority order ({@link RunScheduler}), and their dependency calls
- * are kept within this server's quota ({@link DependencyCallScheduler}). Every sample updates the
- * load index, which selects the filter that admits requests ({@link LoadMonitor}).
+ * are kept within this server's quota ({@link DependencyCallScheduler}). Every sample, except after
+ * a stall, updates the load index, which selects the filter that admits requests ({@link
+ * LoadMonitor}).
  */
 public final class OverloadController implements Controller {
   private static final String SAMPLE_TIMER = "sample";
@@ -36,8 +37,8 @@
   private final ConcurrencyCeiling ceiling;
   private final DependencyCallLimiter callLimiter;
   private final RequestCompletion completion;
-  private final RunScheduler runs;
-  private final DependencyCallScheduler calls;
+  private final RunScheduler runScheduler;
+  private final DependencyCallScheduler callScheduler;
   private final DeadlineEnforcer enforcer;
   private final RequestAdmission admission;
   private final BackpressureSignal backpressure;
@@ -65,17 +66,26 @@
     DeadlineAdmission deadlines =
         new DeadlineAdmission(state, filter, ladder, monitor, callLimiter);
     completion = new RequestCompletion(state, keys, callLimiter, faults, ladder);
-    runs = new RunScheduler(state, order, ceiling, callLimiter);
-    calls = new DependencyCallScheduler(state, ceiling, callLimiter, faults, completion);
+    runScheduler = new RunScheduler(state, order, ceiling, callLimiter);
+    callScheduler = new DependencyCallScheduler(state, ceiling, callLimiter, faults, completion);
     enforcer = new DeadlineEnforcer(context, requests, deadlines, completion);
     admission =
         new RequestAdmission(
-            state, keys, quotas, order, filter, faults, deadlines, runs, completion, backpressure);
+            state,
+            keys,
+            quotas,
+            order,
+            filter,
+            faults,
+            deadlines,
+            runScheduler,
+            completion,
+            backpressure);
   }
 
   /**
-   * Passes settings that the context already holds to the components. Statistics and quotas follow
-   * the names of their classes and tenants.
+   * Passes settings that the context already holds to the components. Statistics and quotas are
+   * kept for classes and tenants whose index and name are unchanged.
    */
   private void apply(Settings oldSettings, Settings newSettings) {
     memory.apply(newSettings.machine());
@@ -122,7 +132,7 @@
     advance(at);
     TrackedRequest request = requests.find(id);
     if (request != null) {
-      calls.awaited(request);
+      callScheduler.handleAwaited(request);
     }
   }
 
@@ -131,7 +141,7 @@
     advance(at);
     TrackedRequest request = requests.find(id);
     if (request != null && request.is(State.CALLING)) {
-      calls.ended(request, outcome);
+      callScheduler.handleEnded(request, outcome);
     }
   }
 
@@ -180,8 +190,8 @@
   public void batchEnded(long at) {
     advance(at);
     enforcer.enforce();
-    runs.startWaitingRuns();
-    calls.startWaitingCalls();
+    runScheduler.startWaitingRuns();
+    callScheduler.startWaitingCalls();
     requests.endBatch();
   }
 
@@ -200,7 +210,7 @@
     if (!monitor.isStalled()) {
       observe(sample);
     }
-    runs.updateLimit(monitor, sample);
+    runScheduler.updateLimit(monitor, sample);
   }
 
   /** Updates the load index from a sample and publishes how much traffic is wanted. */
--- a/src/main/java/mothwing/overload/PriorityOrder.java
+++ b/src/main/java/mothwing/overload/PriorityOrder.java
@@ -5,7 +5,7 @@
 
 /**
  * Orders requests by priority, then by arrival. The priority of a request is its priority weight,
- * divided by its expected core time if weights count by request.
+ * reduced if over quota or late, and divided by its expected core time if weights count by request.
  */
 final class PriorityOrder {
   /** Orders by descending priority, then by arrival time. */
@@ -27,10 +27,12 @@
   }
 
   /**
-   * Updates the priority of a waiting request, which is lower once it misses its latency objective.
+   * Updates the priority of a waiting request, which is lower once it can no longer be expected to
+   * meet its latency objective.
    */
   void update(TrackedRequest request) {
-    boolean meetsObjective = context.now() + costs.expected(request) <= request.objectiveAt();
+    boolean meetsObjective =
+        context.now() + costs.expectedCoreTime(request) <= request.objectiveAt();
     double lateRatio = meetsObjective ? 1 : request.requestClass().lateWeightRatio();
     request.setPriority(basePriority(request) * lateRatio);
   }
@@ -39,6 +41,6 @@
     Settings settings = context.settings();
     double quotaRatio = request.isOverQuota() ? settings.overQuotaWeightRatio() : 1;
     double weight = request.requestClass().priorityWeight() * quotaRatio;
-    return settings.weightByWork() ? weight : weight / costs.expected(request);
+    return settings.weightByWork() ? weight : weight / costs.expectedCoreTime(request);
   }
 }
--- a/src/main/java/mothwing/overload/RequestAdmission.java
+++ b/src/main/java/mothwing/overload/RequestAdmission.java
@@ -6,9 +6,10 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Admits or rejects each request when it is read. The checks, in this order: a repeat of a
- * remembered request waits for the result of the original; the due time must be in the future;
- * memory must suffice; the current filter must have tokens; runs and calls must not be failing; the
+ * Admits or rejects each request when it is read. The checks, in this order: a repeat of an
+ * original that is open, or may be remembered or cached, waits for its result; the due time must be
+ * more than the due margin ahead; the request must not have arrived after a shutdown request;
+ * memory must suffice; the current filter must admit it; runs and calls must not be failing; the
  * deadline must be reachable.
  */
 final class RequestAdmission {
@@ -23,7 +24,7 @@
   private final AdmissionFilter filter;
   private final FaultAdmission faults;
   private final DeadlineAdmission deadlines;
-  private final RunScheduler runs;
+  private final RunScheduler runScheduler;
   private final RequestCompletion completion;
   private final BackpressureSignal backpressure;
 
@@ -35,7 +36,7 @@
       AdmissionFilter filter,
       FaultAdmission faults,
       DeadlineAdmission deadlines,
-      RunScheduler runs,
+      RunScheduler runScheduler,
       RequestCompletion completion,
       BackpressureSignal backpressure) {
     context = state.context();
@@ -49,7 +50,7 @@
     this.filter = filter;
     this.faults = faults;
     this.deadlines = deadlines;
-    this.runs = runs;
+    this.runScheduler = runScheduler;
     this.completion = completion;
     this.backpressure = backpressure;
   }
@@ -60,7 +61,7 @@
     requests.add(tracked);
     memory.reserve(request.memoryKb());
     filter.offer(tracked);
-    backpressure.countRead(costs.expected(tracked));
+    backpressure.countRead(costs.expectedCoreTime(tracked));
     decide(tracked);
   }
 
@@ -90,7 +91,7 @@
       return;
     }
     if (!filter.admit(request) || faults.shouldReject(request) || !deadlines.canMeet(request)) {
-      backpressure.countRejected(costs.expected(request));
+      backpressure.countRejected(costs.expectedCoreTime(request));
       completion.reject(request);
       return;
     }
@@ -104,7 +105,10 @@
     return context.now() + context.dueMargin() >= request.dueAt();
   }
 
-  /** Returns whether a request repeats one that is held or has run, and so must not run itself. */
+  /**
+   * Returns whether a request must not run itself, as it repeats one that is open, or may be
+   * remembered or cached.
+   */
   private boolean repeatsKnownRequest(TrackedRequest request) {
     String originalId = request.request().originalId();
     if (originalId == null || requests.wasRejectedInBatch(originalId)) {
@@ -126,12 +130,12 @@
   }
 
   /**
-   * Returns whether memory is left for the request's run and key, the planned runs and one batch of
-   * reads.
+   * Returns whether memory is left for the request's key and for a run of its size in every free
+   * slot; the unplanned share is left for one batch of reads.
    */
   private boolean hasMemory(TrackedRequest request) {
     double keyKb = request.hasIdempotencyKey() ? memory.keyKb() : 0;
-    double runsKb = runs.freeSlots() * memory.additionalRunKb(request);
+    double runsKb = runScheduler.freeSlots() * memory.additionalRunKb(request);
     return memory.usedKb() + keyKb + runsKb <= memory.plannedKb();
   }
 
--- a/src/main/java/mothwing/overload/RequestCompletion.java
+++ b/src/main/java/mothwing/overload/RequestCompletion.java
@@ -14,14 +14,14 @@
   private final IdempotencyKeyExpiry keys;
   private final ProcessorSharingClock clock;
   private final CostEstimator costs;
-  private final DependencyCallLimiter calls;
+  private final DependencyCallLimiter callLimiter;
   private final FaultAdmission faults;
   private final FilterLadder ladder;
 
   RequestCompletion(
       ControllerState state,
       IdempotencyKeyExpiry keys,
-      DependencyCallLimiter calls,
+      DependencyCallLimiter callLimiter,
       FaultAdmission faults,
       FilterLadder ladder) {
     context = state.context();
@@ -31,23 +31,27 @@
     clock = state.clock();
     costs = state.costs();
     this.keys = keys;
-    this.calls = calls;
+    this.callLimiter = callLimiter;
     this.faults = faults;
     this.ladder = ladder;
   }
 
   /**
    * Rejects a request that never ran. The rejection is final if other servers are unlikely to do
-   * better; otherwise the caller may retry at another server, and is advised to avoid this one for
-   * the longest Retry-After duration.
+   * better, and then advises a Retry-After duration that grows with the current filter. Otherwise
+   * the caller may retry at another server, and is advised to avoid this one for the longest
+   * Retry-After duration. No duration is advised if callers do not honour it.
    */
   void reject(TrackedRequest request) {
-    boolean onlyThisServer =
-        context.isDraining() || faults.areRunsFailing() || context.isWarmingUp() || isStuck();
+    boolean othersMayDoBetter =
+        context.isDraining()
+            || faults.areRunsFailing()
+            || context.isWarmingUp()
+            || areAllRunsStuck();
     long maxRetryAfter = maxRetryAfter();
     long retryAfterByFilter = maxRetryAfter * ladder.filter() / (2 * FilterLadder.INNER_FILTERS);
     host.rejectRequest(
-        request.id(), !onlyThisServer, onlyThisServer ? maxRetryAfter : retryAfterByFilter);
+        request.id(), !othersMayDoBetter, othersMayDoBetter ? maxRetryAfter : retryAfterByFilter);
     requests.markRejected(request);
     if (keys.forget(request.id())) {
       host.forgetKey(request.id());
@@ -60,8 +64,8 @@
     return settings.signals().retryAfterHonoured() ? settings.signals().maxRetryAfter() : 0;
   }
 
-  /** Returns whether all cores are busy with runs that are far beyond their expected core time. */
-  private boolean isStuck() {
+  /** Returns whether all cores are busy with runs that are far beyond their usual core time. */
+  private boolean areAllRunsStuck() {
     return clock.running() >= context.cores()
         && requests.openRequests().stream()
             .allMatch(request -> !request.is(State.RUNNING) || costs.isStuck(request));
@@ -73,7 +77,7 @@
     request.markAnswered();
     stop(request);
     if (request.is(State.CALLING)) {
-      calls.recordAbandoned();
+      callLimiter.recordAbandoned();
       request.moveTo(State.AWAITING_CALL);
     } else if (!request.is(State.RUNNING) && !request.is(State.AWAITING_CALL)) {
       close(request);
@@ -104,9 +108,9 @@
       return;
     }
     clock.leave(request);
-    // The run ended during its call and the dependency does not know yet: the call is outstanding.
+    // A run that ends during its call abandons the call; the dependency may still work on it.
     if (request.is(State.CALLING)) {
-      calls.recordAbandoned();
+      callLimiter.recordAbandoned();
     }
     double runKb = request.hasStarted() ? memory.additionalRunKb(request) : 0;
     memory.release(request.request().memoryKb() + runKb);
--- a/src/main/java/mothwing/overload/RunScheduler.java
+++ b/src/main/java/mothwing/overload/RunScheduler.java
@@ -6,7 +6,10 @@
 import mothwing.control.GaugeSample;
 import mothwing.overload.TrackedRequest.State;
 
-/** Starts and resumes runs in priority order, within the concurrency limit and the memory. */
+/**
+ * Starts and resumes runs in priority order, within the concurrency limit, the concurrency ceiling
+ * and the memory.
+ */
 final class RunScheduler {
   private final ControllerContext context;
   private final ControllerHost host;
@@ -15,14 +18,14 @@
   private final ProcessorSharingClock clock;
   private final PriorityOrder order;
   private final ConcurrencyCeiling ceiling;
-  private final DependencyCallLimiter calls;
+  private final DependencyCallLimiter callLimiter;
   private final ConcurrencyLimit limit;
 
   RunScheduler(
       ControllerState state,
       PriorityOrder order,
       ConcurrencyCeiling ceiling,
-      DependencyCallLimiter calls) {
+      DependencyCallLimiter callLimiter) {
     context = state.context();
     host = state.host();
     requests = state.requests();
@@ -30,7 +33,7 @@
     clock = state.clock();
     this.order = order;
     this.ceiling = ceiling;
-    this.calls = calls;
+    this.callLimiter = callLimiter;
     limit = new ConcurrencyLimit(context.cores());
   }
 
@@ -55,11 +58,11 @@
   }
 
   /**
-   * Returns whether no run may start; half of the runs at a call are expected to return to the
-   * cores soon.
+   * Returns whether no run may start; half of the outstanding calls are expected to return a run to
+   * the cores soon.
    */
   private boolean isAtLimit() {
-    return clock.running() + calls.outstanding() / 2 >= maxRunning();
+    return clock.running() + callLimiter.outstanding() / 2 >= maxRunning();
   }
 
   private int maxRunning() {
@@ -97,7 +100,7 @@
       limit.updateFromSample(
           monitor.samplePeriods(),
           monitor.utilization(),
-          isRunWaiting(),
+          isRequestHeldAtLimit(),
           (int) ceiling.ceiling(),
           context.cores(),
           monitor.isHistoryComplete());
@@ -115,8 +118,8 @@
     }
   }
 
-  /** Returns whether the limit alone keeps a request from running. */
-  private boolean isRunWaiting() {
+  /** Returns whether a request is held while the concurrency limit is reached. */
+  private boolean isRequestHeldAtLimit() {
     return clock.running() >= limit.limit()
         && requests.openRequests().stream()
             .anyMatch(request -> request.is(State.HELD) && !request.isAnswered());
--- a/src/main/java/mothwing/overload/SlowdownEstimator.java
+++ b/src/main/java/mothwing/overload/SlowdownEstimator.java
@@ -20,28 +20,28 @@
   /** Ratio of current to usual core time up to which the difference is attributed to chance. */
   private static final double MIN_SLOWDOWN_RATIO = 2;
 
-  /** Number of runs on which the usual core time must be based. */
+  /** Number of runs that must be exceeded before a slowdown is reported. */
   private static final int MIN_RUNS = 20;
 
-  private double spent;
-  private double completed;
+  private double spentCoreTime;
+  private double completedCoreTime;
   private double slowdown = 1;
 
-  /** Adds the core time of a run that was not counted before. */
-  void countSpent(TrackedRequest request, double used) {
-    spent += request.countCoreTime(used);
+  /** Adds the part of a run's core time that is not counted yet. */
+  void countSpent(TrackedRequest request, double coreTimeUsed) {
+    spentCoreTime += request.countCoreTime(coreTimeUsed);
   }
 
   /** Adds the usual core time of a run that succeeded. */
-  void countCompleted(double usual) {
-    completed += usual;
+  void countCompleted(double usualCoreTime) {
+    completedCoreTime += usualCoreTime;
   }
 
   /** Fades the counted core times. */
   void fade(double seconds) {
     double retainedRatio = Math.max(0, 1 - seconds / AVERAGING_SECONDS);
-    spent *= retainedRatio;
-    completed *= retainedRatio;
+    spentCoreTime *= retainedRatio;
+    completedCoreTime *= retainedRatio;
   }
 
   /**
@@ -52,7 +52,7 @@
    */
   void update(int cores, int runs) {
     double prior = PRIOR_SECONDS * ControllerContext.MICROS_PER_SECOND * cores;
-    double ratio = (spent + prior) / (completed + prior);
+    double ratio = (spentCoreTime + prior) / (completedCoreTime + prior);
     slowdown = ratio > MIN_SLOWDOWN_RATIO && runs > MIN_RUNS ? ratio : 1;
   }
 
--- a/src/main/java/mothwing/overload/TenantQuotas.java
+++ b/src/main/java/mothwing/overload/TenantQuotas.java
@@ -43,7 +43,7 @@
     buckets = newBuckets;
   }
 
-  /** Returns whether a tenant has used up its quota; a negative index stands for no tenant. */
+  /** Returns whether a tenant has exceeded its quota; a negative index stands for no tenant. */
   boolean isOverQuota(int tenantIndex) {
     return tenantIndex >= 0 && buckets.get(tenantIndex).tokens < 0;
   }
--- a/src/main/java/mothwing/overload/TrackedRequest.java
+++ b/src/main/java/mothwing/overload/TrackedRequest.java
@@ -45,9 +45,9 @@
   private final RequestClass requestClass;
   private final long arrivedAt;
   private final boolean overQuota;
-  private final double estimatedWork;
+  private final double estimatedCoreTime;
   private final long objectiveAt;
-  private final CallProgress call = new CallProgress();
+  private final CallProgress callProgress = new CallProgress();
   private long dueAt;
   private State state = State.HELD;
   private boolean answered;
@@ -64,7 +64,7 @@
     this.arrivedAt = arrivedAt;
     this.dueAt = dueAt;
     this.overQuota = overQuota;
-    estimatedWork =
+    estimatedCoreTime =
         request.estimatedCoreTime() > 0
             ? request.estimatedCoreTime()
             : requestClass.latencyObjective() * DEFAULT_WORK_RATIO;
@@ -91,7 +91,7 @@
     return arrivedAt;
   }
 
-  /** Returns the end of the latency objective. */
+  /** Returns the end of the latency objective, counted from the arrival of this attempt. */
   long objectiveAt() {
     return objectiveAt;
   }
@@ -112,11 +112,11 @@
   }
 
   /** Returns the estimated core time, not corrected by the statistics of the class. */
-  double estimatedWork() {
-    return estimatedWork;
+  double estimatedCoreTime() {
+    return estimatedCoreTime;
   }
 
-  /** Returns whether the tenant had used up its quota when the request was read. */
+  /** Returns whether the tenant had exceeded its quota when the request was read. */
   boolean isOverQuota() {
     return overQuota;
   }
@@ -207,7 +207,7 @@
     }
   }
 
-  /** Returns the core time that was not counted before, and marks it as counted. */
+  /** Returns the part of the given core time that is not counted yet, and marks it as counted. */
   double countCoreTime(double used) {
     double uncounted = Math.max(0, used - coreTimeCounted);
     coreTimeCounted = Math.max(used, coreTimeCounted);
@@ -217,13 +217,13 @@
   /** Records that the run has reached a dependency call. */
   void awaitCall(long now) {
     state = State.AWAITING_CALL;
-    call.reach(now);
+    callProgress.reach(now);
   }
 
   /** Records the start of an attempt of the current call. */
   void startCall(long now) {
     state = State.CALLING;
-    call.startAttempt(now);
+    callProgress.startAttempt(now);
   }
 
   /**
@@ -231,11 +231,11 @@
    */
   void retryCallAt(long at) {
     state = State.AWAITING_CALL;
-    call.retryAt(at);
+    callProgress.retryAt(at);
   }
 
   /** Returns the progress of the dependency calls. */
-  CallProgress call() {
-    return call;
+  CallProgress callProgress() {
+    return callProgress;
   }
 }
--- a/src/main/java/mothwing/overload/WeightedMaxMinAllocation.java
+++ b/src/main/java/mothwing/overload/WeightedMaxMinAllocation.java
@@ -3,8 +3,9 @@
 import java.util.List;
 
 /**
- * Weighted max-min allocation of a rate. Every demand gets its minimum; the remainder is shared by
- * weight, up to the wanted rate of each demand; a surplus is divided evenly.
+ * Weighted max-min allocation of a rate. Each demand that has a minimum gets it first, as far as it
+ * wants it; the remainder is shared by weight, up to the wanted rate of each demand; a surplus is
+ * divided evenly.
  */
 final class WeightedMaxMinAllocation {
   /** Share of the rate that is divided into minimums before the weights apply. */
@@ -13,11 +14,12 @@
   /**
    * A demand for a part of the rate.
    *
-   * @param wanted the rate that it could use
+   * @param wantedRate the rate that it could use
    * @param weight its weight relative to the other demands
-   * @param hasMinimum whether it gets a minimum; assumed to hold for half of all demands
+   * @param hasMinimum whether it gets a minimum; if half of the demands do, the minimums add up to
+   *     MINIMUM_RATIO of the rate
    */
-  record Demand(double wanted, double weight, boolean hasMinimum) {}
+  record Demand(double wantedRate, double weight, boolean hasMinimum) {}
 
   private WeightedMaxMinAllocation() {}
 
@@ -34,7 +36,7 @@
     for (int i = 0; i < allocated.length; i++) {
       Demand demand = demands.get(i);
       double minimum = demand.hasMinimum() ? 2 * rate * MINIMUM_RATIO / allocated.length : 0;
-      allocated[i] = Math.min(demand.wanted(), minimum);
+      allocated[i] = Math.min(demand.wantedRate(), minimum);
       remainder -= allocated[i];
     }
     for (int pass = 0; pass < allocated.length && remainder > 0; pass++) {
@@ -50,14 +52,14 @@
   private static double shareByWeight(double remainder, List<Demand> demands, double[] allocated) {
     double weights = 0;
     for (int i = 0; i < allocated.length; i++) {
-      weights += allocated[i] < demands.get(i).wanted() ? demands.get(i).weight() : 0;
+      weights += allocated[i] < demands.get(i).wantedRate() ? demands.get(i).weight() : 0;
     }
     double unused = remainder;
     for (int i = 0; i < allocated.length && weights > 0; i++) {
       Demand demand = demands.get(i);
-      if (allocated[i] < demand.wanted()) {
+      if (allocated[i] < demand.wantedRate()) {
         double increment =
-            Math.min(demand.wanted() - allocated[i], remainder * demand.weight() / weights);
+            Math.min(demand.wantedRate() - allocated[i], remainder * demand.weight() / weights);
         allocated[i] += increment;
         unused -= increment;
       }
--- a/src/test/java/mothwing/adapter/AdapterTest.java
+++ b/src/test/java/mothwing/adapter/AdapterTest.java
@@ -116,7 +116,7 @@
   }
 
   @Test
-  void understandsEveryOutcomeAndEvent() throws IOException {
+  void acceptsEveryOutcomeAndEvent() throws IOException {
     for (String outcome : List.of("GOOD", "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP")) {
       String ids = "\"Who\":1,\"Job\":\"0a\"";
       adapter(
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void namesMissingAndUnknownFields() throws IOException {
+  void reportsMissingFieldsAndUnknownEvents() throws IOException {
     adapter(batch(10, powerOn(1), "{\"what\":\"Submit\",\"Who\":1,\"Band\":\"look\"}"));
     assertEquals("line 1: field in[].Job: required\n", errors);
     adapter(batch(10, powerOn(1)), batch(20, "{\"what\":\"Wobble\",\"Who\":1}"));
--- a/src/test/java/mothwing/overload/ControllerFixture.java
+++ b/src/test/java/mothwing/overload/ControllerFixture.java
@@ -70,7 +70,7 @@
   TrackedRequest awaitCall(String id) {
     TrackedRequest request = hold(id, 0);
     clock.enter(request);
-    calls.awaited(request);
+    calls.handleAwaited(request);
     return request;
   }
 }
--- a/src/test/java/mothwing/overload/CostEstimatorTest.java
+++ b/src/test/java/mothwing/overload/CostEstimatorTest.java
@@ -28,15 +28,15 @@
     costs.learn(request);
   }
 
-  private double expected(int classIndex) {
-    return costs.expected(Fixtures.request(settings, "next", classIndex));
+  private double expectedCoreTime(int classIndex) {
+    return costs.expectedCoreTime(Fixtures.request(settings, "next", classIndex));
   }
 
   @Test
   void firstRunOfClassCountsInFull() {
     run(0, 3 * ESTIMATED);
-    assertEquals(3 * ESTIMATED, expected(0), 1);
-    assertEquals(ESTIMATED, expected(1), 1, "the other class has no run yet");
+    assertEquals(3 * ESTIMATED, expectedCoreTime(0), 1);
+    assertEquals(ESTIMATED, expectedCoreTime(1), 1, "the other class has no run yet");
   }
 
   @Test
@@ -44,8 +44,8 @@
     run(0, 3 * ESTIMATED);
     run(1, ESTIMATED);
     costs.apply(settings, Fixtures.settings("other", "one"));
-    assertEquals(3 * ESTIMATED, expected(0), 1);
-    assertEquals(2 * ESTIMATED, expected(1), 1);
+    assertEquals(3 * ESTIMATED, expectedCoreTime(0), 1);
+    assertEquals(2 * ESTIMATED, expectedCoreTime(1), 1);
   }
 
   @Test
@@ -60,9 +60,12 @@
     }
     clock.advance(10 * 4 * ESTIMATED, Fixtures.CORES);
     costs.updateSlowdown(3, hanging);
-    assertEquals(ESTIMATED, costs.usual(hanging.get(0)), 1);
+    assertEquals(ESTIMATED, costs.usualCoreTime(hanging.get(0)), 1);
     assertEquals(
-        9 * ESTIMATED, expected(1), 1, "8 s spent without a completed run, and a prior of 1 s");
+        9 * ESTIMATED,
+        expectedCoreTime(1),
+        1,
+        "8 s spent without a completed run, and a prior of 1 s");
   }
 
   @Test
@@ -70,9 +73,9 @@
     TrackedRequest request = Fixtures.request(settings, "long", 1);
     clock.enter(request);
     clock.advance(ESTIMATED / 2, Fixtures.CORES);
-    assertEquals(ESTIMATED / 2, costs.remaining(request), 1);
+    assertEquals(ESTIMATED / 2, costs.remainingCoreTime(request), 1);
     clock.advance(5 * ESTIMATED, Fixtures.CORES);
-    assertEquals(0.3 * ESTIMATED, costs.remaining(request), 1);
+    assertEquals(0.3 * ESTIMATED, costs.remainingCoreTime(request), 1);
     assertTrue(costs.isStuck(request));
   }
 }
--- a/src/test/java/mothwing/overload/DeadlineAdmissionTest.java
+++ b/src/test/java/mothwing/overload/DeadlineAdmissionTest.java
@@ -45,8 +45,10 @@
   @Test
   void reservesMoreTimeForRunOnBusyCores() {
     TrackedRequest request = fixture.hold("one", NOT_CALLING);
-    assertEquals(0.3 * fixture.costs.expected(request), fixture.deadlines.runTime(request), 1);
+    assertEquals(
+        0.3 * fixture.costs.expectedCoreTime(request), fixture.deadlines.runTime(request), 1);
     fillCores();
-    assertEquals(1.3 * fixture.costs.expected(request), fixture.deadlines.runTime(request), 1);
+    assertEquals(
+        1.3 * fixture.costs.expectedCoreTime(request), fixture.deadlines.runTime(request), 1);
   }
 }
--- a/src/test/java/mothwing/overload/DependencyCallLimiterTest.java
+++ b/src/test/java/mothwing/overload/DependencyCallLimiterTest.java
@@ -51,12 +51,12 @@
     limiter.recordStart();
     advance(1_000);
     limiter.recordEnd(0);
-    assertEquals(300, limiter.expectedCallTime(), 1e-9);
+    assertEquals(300, limiter.averageCallDuration(), 1e-9);
     limiter.recordStart();
     limiter.fade(1);
-    assertEquals(300, limiter.expectedCallTime(), 1e-9);
+    assertEquals(300, limiter.averageCallDuration(), 1e-9);
     limiter.recordEnd(context.now());
     limiter.fade(3);
-    assertEquals(0, limiter.expectedCallTime(), 1e-9);
+    assertEquals(0, limiter.averageCallDuration(), 1e-9);
   }
 }
--- a/src/test/java/mothwing/overload/DependencyCallSchedulerTest.java
+++ b/src/test/java/mothwing/overload/DependencyCallSchedulerTest.java
@@ -17,9 +17,10 @@
     for (int attempt = 1; attempt <= 4; attempt++) {
       fixture.calls.startWaitingCalls();
       assertTrue(request.is(State.CALLING));
-      fixture.calls.ended(request, RunOutcome.REJECTED);
+      fixture.calls.handleEnded(request, RunOutcome.REJECTED);
       fixture.calls.startWaitingCalls();
-      assertEquals(attempt, request.call().attempts(), "no attempt before the backoff has passed");
+      assertEquals(
+          attempt, request.callProgress().attempts(), "no attempt before the backoff has passed");
       long backoff = fixture.context.samplePeriod() << attempt;
       fixture.context.moveTo(fixture.context.now() + backoff);
     }
@@ -30,7 +31,7 @@
   void timedOutCallCountsAsOutstanding() {
     TrackedRequest request = fixture.awaitCall("one");
     fixture.calls.startWaitingCalls();
-    fixture.calls.ended(request, RunOutcome.TIMED_OUT);
+    fixture.calls.handleEnded(request, RunOutcome.TIMED_OUT);
     assertEquals(1, fixture.limiter.outstanding());
     assertEquals(0, fixture.limiter.inFlight());
   }
@@ -39,7 +40,7 @@
   void successfulCallReturnsItsRunToCores() {
     TrackedRequest request = fixture.awaitCall("one");
     fixture.calls.startWaitingCalls();
-    fixture.calls.ended(request, RunOutcome.SUCCEEDED);
+    fixture.calls.handleEnded(request, RunOutcome.SUCCEEDED);
     assertTrue(request.is(State.RUNNING));
     assertEquals(1, fixture.clock.running());
     assertEquals(List.of("startCall one"), fixture.actions);
--- a/src/test/java/mothwing/overload/FaultBudgetTest.java
+++ b/src/test/java/mothwing/overload/FaultBudgetTest.java
@@ -1,6 +1,5 @@
 package mothwing.overload;
 
-import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -36,6 +35,6 @@
     budget.recover(2, 0.5);
     assertFalse(budget.isExhausted());
     budget.recover(2, 1);
-    assertEquals(false, budget.isHalfUsed());
+    assertFalse(budget.isHalfUsed());
   }
 }
--- a/src/test/java/mothwing/overload/FilterLadderTest.java
+++ b/src/test/java/mothwing/overload/FilterLadderTest.java
@@ -13,9 +13,9 @@
   private final FilterLadder ladder = new FilterLadder(2);
   private long now = 0;
 
-  private boolean step(long micros, int index) {
-    now += micros;
-    return ladder.step(now, index, micros / 1e6, SAMPLE_PERIOD);
+  private boolean step(long elapsedMicros, int index) {
+    now += elapsedMicros;
+    return ladder.step(now, index, elapsedMicros / 1e6, SAMPLE_PERIOD);
   }
 
   @Test
--- a/src/test/java/mothwing/overload/LoadIndexTest.java
+++ b/src/test/java/mothwing/overload/LoadIndexTest.java
@@ -24,6 +24,6 @@
 
   @Test
   void averagesOverHistory() {
-    assertEquals(-1, indexAfter(3, 1, 1), "the averages of cores and memory are still low");
+    assertEquals(-1, indexAfter(3, 1, 1), "only the average of the cores is still low");
   }
 }
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -93,7 +93,7 @@
   /** Occupies both cores. */
   private static void fillCores(RecordingHost host) {
     host.read(request(host, "busy1", SAVE), request(host, "busy2", SAVE));
-    assertTrue(host.did("start busy1") && host.did("start busy2"));
+    assertTrue(host.hasAction("start busy1") && host.hasAction("start busy2"));
   }
 
   @Test
@@ -101,10 +101,10 @@
     RecordingHost host = host();
     fillCores(host);
     host.read(request(host, "third", SAVE));
-    assertFalse(host.did("start third"));
+    assertFalse(host.hasAction("start third"));
     assertFalse(host.answered("third"));
     host.finish("busy1", RunOutcome.SUCCEEDED);
-    assertTrue(host.did("start third"));
+    assertTrue(host.hasAction("start third"));
   }
 
   @Test
@@ -113,17 +113,17 @@
     fillCores(host);
     host.read(request(host, "low", READ), request(host, "high", COMMIT));
     host.finish("busy1", RunOutcome.SUCCEEDED);
-    assertTrue(host.did("start high"));
-    assertFalse(host.did("start low"));
+    assertTrue(host.hasAction("start high"));
+    assertFalse(host.hasAction("start low"));
   }
 
   @Test
   void answersEveryRequestBeforeItIsDue() {
     RecordingHost host = host();
     fillCores(host);
-    host.read(request(host, "held", READ), request(host, "guarded", COMMIT));
+    host.read(request(host, "held", READ), request(host, "commit", COMMIT));
     host.advanceTo(START + 6 * SECOND);
-    for (String id : List.of("busy1", "busy2", "held", "guarded")) {
+    for (String id : List.of("busy1", "busy2", "held", "commit")) {
       assertTrue(host.answered(id), id);
     }
   }
@@ -141,7 +141,7 @@
   void rejectsRequestReadAfterItsDueTimeAtOnce() {
     RecordingHost host = host();
     host.read(request(host, "late", READ, null, -SECOND));
-    assertTrue(host.did("reject late"));
+    assertTrue(host.hasAction("reject late"));
   }
 
   @Test
@@ -162,37 +162,37 @@
     host.read(request(host, "next", SAVE));
     host.advanceTo(START + 6 * SECOND);
     assertEquals(0, host.count("stop"));
-    assertFalse(host.did("start next"), "the failed runs still hold both cores");
+    assertFalse(host.hasAction("start next"), "the failed runs still hold both cores");
   }
 
   @Test
   void remembersIdempotencyKeyBeforeRunStarts() {
     RecordingHost host = host();
-    host.read(request(host, "turn", COMMIT));
-    int remembered = host.actions.indexOf("remember turn");
-    assertTrue(remembered >= 0 && remembered < host.actions.indexOf("start turn"));
+    host.read(request(host, "commit", COMMIT));
+    int remembered = host.actions.indexOf("remember commit");
+    assertTrue(remembered >= 0 && remembered < host.actions.indexOf("start commit"));
   }
 
   @Test
   void repeatWaitsForResultOfItsOriginal() {
     RecordingHost host = host();
     fillCores(host);
-    host.read(request(host, "turn", COMMIT));
-    host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
-    assertTrue(host.did("replay again"), "also while the original is held");
+    host.read(request(host, "commit", COMMIT));
+    host.read(request(host, "again", COMMIT, "commit", 3 * SECOND));
+    assertTrue(host.hasAction("replay again"), "also while the original is held");
     host.finish("busy1", RunOutcome.SUCCEEDED);
-    host.finish("turn", RunOutcome.SUCCEEDED);
-    host.read(request(host, "third", COMMIT, "turn", 3 * SECOND));
-    assertTrue(host.did("replay third"));
+    host.finish("commit", RunOutcome.SUCCEEDED);
+    host.read(request(host, "third", COMMIT, "commit", 3 * SECOND));
+    assertTrue(host.hasAction("replay third"));
   }
 
   @Test
   void failsRepeatOfRequestThatRanInsteadOfRejectingIt() {
     RecordingHost host = host();
-    host.read(request(host, "turn", COMMIT));
-    host.finish("turn", RunOutcome.SUCCEEDED);
-    host.read(request(host, "again", COMMIT, "turn", -SECOND));
-    assertTrue(host.did("fail again"));
+    host.read(request(host, "commit", COMMIT));
+    host.finish("commit", RunOutcome.SUCCEEDED);
+    host.read(request(host, "again", COMMIT, "commit", -SECOND));
+    assertTrue(host.hasAction("fail again"));
   }
 
   @Test
@@ -200,18 +200,18 @@
     RecordingHost host = host();
     host.gauges(1.0, 3.0);
     fillCores(host);
-    host.read(request(host, "turn", COMMIT));
+    host.read(request(host, "commit", COMMIT));
     host.advanceTo(START + 4 * SECOND);
-    assertTrue(host.did("forget turn") && !host.did("start turn"));
+    assertTrue(host.hasAction("forget commit") && !host.hasAction("start commit"));
   }
 
   @Test
   void rejectsRequestsWhoseKeysExceedMemory() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 6 * KEY_KB, false, 5), START);
     for (int i = 0; i < 10; i++) {
-      host.read(request(host, "turn" + i, COMMIT));
-      if (!host.answered("turn" + i)) {
-        host.finish("turn" + i, RunOutcome.SUCCEEDED);
+      host.read(request(host, "commit" + i, COMMIT));
+      if (!host.answered("commit" + i)) {
+        host.finish("commit" + i, RunOutcome.SUCCEEDED);
       }
     }
     assertTrue(host.count("reject") > 0);
@@ -231,11 +231,11 @@
   @Test
   void retriesCallOnlyIfItProvablyHadNoEffect() {
     RecordingHost host = host();
-    host.read(request(host, "turn", COMMIT), request(host, "load", READ));
-    host.reachCall("turn");
+    host.read(request(host, "commit", COMMIT), request(host, "load", READ));
+    host.reachCall("commit");
     host.reachCall("load");
-    host.callEnded("turn", RunOutcome.TIMED_OUT);
-    assertTrue(host.did("fail turn"));
+    host.callEnded("commit", RunOutcome.TIMED_OUT);
+    assertTrue(host.hasAction("fail commit"));
     host.callEnded("load", RunOutcome.REJECTED);
     assertEquals(1, host.actions.stream().filter("call load"::equals).count(), "not at once");
     host.advanceTo(host.now() + SECOND / 2);
@@ -245,14 +245,14 @@
   @Test
   void keepsCallsWithinDependencyQuota() {
     RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
-    host.read(request(host, "one", READ), request(host, "two", READ));
-    host.reachCall("one");
-    host.reachCall("two");
+    host.read(request(host, "first", READ), request(host, "second", READ));
+    host.reachCall("first");
+    host.reachCall("second");
     assertEquals(1, host.count("call"));
-    host.callEnded("one", RunOutcome.SUCCEEDED);
-    host.finish("one", RunOutcome.SUCCEEDED);
+    host.callEnded("first", RunOutcome.SUCCEEDED);
+    host.finish("first", RunOutcome.SUCCEEDED);
     host.advanceTo(host.now() + SECOND);
-    assertTrue(host.did("call two"));
+    assertTrue(host.hasAction("call second"));
   }
 
   @Test
@@ -261,10 +261,10 @@
     fillCores(host);
     host.read(request(host, "held", READ));
     host.drain(START + 3 * SECOND);
-    assertTrue(host.did("health false"));
+    assertTrue(host.hasAction("health false"));
     host.advanceTo(START + 2_500_000);
     host.read(request(host, "late", READ));
-    assertTrue(host.did("reject late"));
+    assertTrue(host.hasAction("reject late"));
     host.advanceTo(START + 3 * SECOND);
     for (String id : List.of("busy1", "busy2", "held")) {
       assertTrue(host.answered(id), id);
@@ -278,9 +278,12 @@
     host.read(request(host, "held", READ));
     host.cancel("held");
     host.cancel("busy1");
-    assertTrue(host.did("stop busy1"));
+    assertTrue(host.hasAction("stop busy1"));
     host.advanceTo(START + 6 * SECOND);
-    assertFalse(host.did("fail held") || host.did("reject held") || host.did("fail busy1"));
+    assertFalse(
+        host.hasAction("fail held")
+            || host.hasAction("reject held")
+            || host.hasAction("fail busy1"));
   }
 
   @Test
@@ -291,7 +294,7 @@
     for (int i = 0; i < 400; i++) {
       String id = "r" + i;
       host.read(request(host, id, i % 2));
-      rejectedOnRead += host.did("reject " + id) ? 1 : 0;
+      rejectedOnRead += host.hasAction("reject " + id) ? 1 : 0;
       host.advanceTo(host.now() + 20_000);
     }
     assertTrue(rejectedOnRead > 40, "rejected on read: " + rejectedOnRead);
@@ -306,7 +309,7 @@
       host.advanceTo(host.now() + 1);
     }
     host.read(request(host, "after", READ));
-    assertTrue(host.did("start after"));
+    assertTrue(host.hasAction("start after"));
     assertEquals(0, host.count("reject"));
   }
 
@@ -326,7 +329,7 @@
     assertTrue(host.count("start") - startsBefore <= 1);
     host.advanceTo(host.now() + SECOND);
     host.read(request(host, "probe", SAVE));
-    assertTrue(host.did("start probe"), "a few attempts are made");
+    assertTrue(host.hasAction("start probe"), "a few attempts are made");
   }
 
   @Test
@@ -338,7 +341,8 @@
       host.read(request(host, "high" + i, COMMIT));
     }
     host.read(request(host, "low", SAVE));
-    assertTrue(host.did("reject low final"), "and its caller should not retry at another server");
+    assertTrue(
+        host.hasAction("reject low final"), "the caller is advised not to retry at another server");
     assertFalse(host.answered("high0"));
   }
 
@@ -390,7 +394,9 @@
       host.advanceTo(host.now() + SECOND / 10);
       host.read(request(host, "next", SAVE, null, SECOND * 6 / 10));
       assertEquals(
-          reportedDuration > 0, host.did("start next"), "reported duration: " + reportedDuration);
+          reportedDuration > 0,
+          host.hasAction("start next"),
+          "reported duration: " + reportedDuration);
     }
   }
 
@@ -409,7 +415,7 @@
   void runsForLateAnswersOnlyOnIdleCores() {
     assertTrue(
         hostWithQueuedReads(1).count("reject") >= 20,
-        "2 s of work on two cores, an objective of 1 s");
+        "4 s of work takes two cores 2 s; the objective is 1 s");
     assertEquals(0, hostWithQueuedReads(0.3).count("reject"));
   }
 
@@ -423,7 +429,7 @@
     for (int i = 0; i < 60; i++) {
       host.read(request(host, "s" + i, i % 3));
       host.advanceTo(host.now() + 30_000);
-      if (host.did("start s" + (i / 2)) && !host.answered("s" + (i / 2)) && i % 2 == 0) {
+      if (host.hasAction("start s" + (i / 2)) && !host.answered("s" + (i / 2)) && i % 2 == 0) {
         host.finish("s" + (i / 2), RunOutcome.SUCCEEDED);
       }
     }
@@ -437,7 +443,7 @@
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 1_000), START);
     hostWithManyCallers.advanceTo(START + SECOND);
     assertTrue(
-        hostWithManyCallers.did("idleTimeout 10000"),
+        hostWithManyCallers.hasAction("idleTimeout 10000"),
         "a table full of idle connections leaves no room for others");
     RecordingHost hostWithFewCallers =
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10), START);
@@ -466,7 +472,7 @@
               true));
       assertEquals(
           utilization == 0,
-          host.did("start large"),
+          host.hasAction("start large"),
           "expected to miss its objective at utilization " + utilization);
     }
   }
@@ -478,7 +484,7 @@
     for (int i = 0; i < 12; i++) {
       String id = "slow" + i;
       host.read(request(host, id, READ, null, 60 * SECOND));
-      if (host.did("start " + id)) {
+      if (host.hasAction("start " + id)) {
         host.reachCall(id);
         host.advanceTo(host.now() + 3 * SECOND);
         host.callEnded(id, RunOutcome.SUCCEEDED);
@@ -486,10 +492,11 @@
       }
     }
     host.read(request(host, "late", READ));
-    assertTrue(host.did("reject late"), "a call is expected to take as long as the caller waits");
+    assertTrue(
+        host.hasAction("reject late"), "a call is expected to take as long as the caller waits");
     host.advanceTo(host.now() + 10 * SECOND);
     host.read(request(host, "again", READ));
-    assertTrue(host.did("start again"));
+    assertTrue(host.hasAction("start again"));
   }
 
   @Test
@@ -504,13 +511,13 @@
         host.finish(id, RunOutcome.STOPPED);
       }
     }
-    host.read(request(host, "turn", COMMIT));
-    assertTrue(host.did("reject turn"), "the core time of its run would be wasted");
+    host.read(request(host, "commit", COMMIT));
+    assertTrue(host.hasAction("reject commit"), "the core time of its run would be wasted");
     host.read(request(host, "draft", SAVE));
-    assertTrue(host.did("start draft"), "it does not call");
+    assertTrue(host.hasAction("start draft"), "it does not call");
     host.advanceTo(host.now() + 2 * SECOND);
     host.read(request(host, "high", COMMIT), request(host, "low", READ));
-    assertTrue(host.did("start high"), "an attempt detects the recovery");
+    assertTrue(host.hasAction("start high"), "an attempt detects the recovery");
   }
 
   @Test
@@ -520,13 +527,14 @@
     host.read(request(host, "early", SAVE, null, 100_000));
     host.advanceTo(START + SECOND / 10);
     assertTrue(
-        host.did("reject early final"),
+        host.hasAction("reject early final"),
         "runs within their expected core time are no sign of a fault");
     host.advanceTo(START + SECOND);
     host.read(request(host, "late", SAVE, null, 100_000));
     host.advanceTo(host.now() + SECOND / 10);
     assertTrue(
-        host.did("reject late") && !host.did("reject late final"), "another server can serve it");
+        host.hasAction("reject late") && !host.hasAction("reject late final"),
+        "another server can serve it");
   }
 
   @Test
@@ -540,7 +548,7 @@
     }
     host.advanceTo(host.now() + 3 * SECOND);
     host.read(request(host, "before", SAVE, null, SECOND * 7 / 10));
-    assertTrue(host.did("start before"));
+    assertTrue(host.hasAction("start before"));
     host.finish("before", RunOutcome.SUCCEEDED);
     for (int i = 0; i < 2; i++) {
       host.read(request(host, "left" + i, SAVE), request(host, "right" + i, SAVE));
@@ -549,7 +557,7 @@
       host.finish("right" + i, RunOutcome.SUCCEEDED);
     }
     host.read(request(host, "after", SAVE, null, SECOND * 7 / 10));
-    assertTrue(host.did("reject after"), "four runs show the current cost of work");
+    assertTrue(host.hasAction("reject after"), "four runs show the current cost of work");
   }
 
   /**
@@ -575,7 +583,7 @@
     host.gauges(0.3, 0);
     host.advanceTo(host.now() + SECOND / 10);
     host.read(request(host, "tried", SAVE));
-    assertTrue(host.did("start tried"), "no other request needs the core");
+    assertTrue(host.hasAction("start tried"), "no other request needs the core");
   }
 
   /** A rejected class must be attempted again also while other classes keep the cores busy. */
@@ -593,12 +601,12 @@
       host.callEnded(running[i % 2], RunOutcome.SUCCEEDED);
       if (i == 4) {
         host.read(request(host, "early", SAVE));
-        assertTrue(host.did("reject early"), "the class is still expected to be slow");
+        assertTrue(host.hasAction("reject early"), "the class is still expected to be slow");
       }
       host.advanceTo(host.now() + SECOND / 10);
     }
     host.read(request(host, "again", SAVE));
-    assertFalse(host.did("reject again"));
+    assertFalse(host.hasAction("reject again"));
   }
 
   /** Low priorities must not take the cores that frequent arrivals of high priority will need. */
@@ -609,9 +617,9 @@
       host.gauges(1, 2);
       for (int i = 0; i < 20; i++) {
         int classIndex = highPriorityTraffic ? COMMIT : SAVE;
-        host.read(request(host, "one" + i, classIndex), request(host, "two" + i, classIndex));
+        host.read(request(host, "first" + i, classIndex), request(host, "second" + i, classIndex));
         host.advanceTo(host.now() + SECOND / 10);
-        for (String id : List.of("one" + i, "two" + i)) {
+        for (String id : List.of("first" + i, "second" + i)) {
           if (highPriorityTraffic) {
             host.reachCall(id);
             host.callEnded(id, RunOutcome.SUCCEEDED);
@@ -625,7 +633,7 @@
       host.read(request(host, "low", READ, null, SECOND));
       assertEquals(
           highPriorityTraffic,
-          host.did("reject low"),
+          host.hasAction("reject low"),
           "high-priority traffic: " + highPriorityTraffic);
     }
   }
@@ -659,13 +667,13 @@
     for (int i = 0; host.now() < START + 5 * SECOND; i++) {
       String id = "read" + i;
       host.read(request(host, id, READ));
-      if (host.did("start " + id)) {
+      if (host.hasAction("start " + id)) {
         host.reachCall(id);
       }
       if (host.count("call") > calls) {
         calls = host.count("call");
         long startedAt = host.now();
-        host.advanceTo(Math.min(host.lastCallTimeout(), START + 5 * SECOND));
+        host.advanceTo(Math.min(host.lastCallAbandonedAt(), START + 5 * SECOND));
         host.callEnded(id, RunOutcome.TIMED_OUT);
         heldMicros += host.now() - startedAt + 200_000;
       }
@@ -685,21 +693,23 @@
     host.finish("slow", RunOutcome.SUCCEEDED);
     host.read(request(host, "low", READ));
     assertTrue(
-        host.did("reject low"), "its call cannot be made in time, so it must take no core time");
+        host.hasAction("reject low"),
+        "its call cannot be made in time, so it must take no core time");
     host.read(request(host, "free", SAVE));
-    assertTrue(host.did("start free"), "it does not call");
+    assertTrue(host.hasAction("start free"), "it does not call");
     host.finish("free", RunOutcome.SUCCEEDED);
     host.advanceTo(host.now() + 8 * SECOND);
     host.read(request(host, "less", READ), request(host, "more", COMMIT));
     assertTrue(
-        host.did("start less") && host.did("start more"), "the bucket of call time is refilled");
+        host.hasAction("start less") && host.hasAction("start more"),
+        "the bucket of call time is refilled");
     host.reachCall("less");
     host.reachCall("more");
-    assertFalse(host.did("call more"), "only one call at a time");
+    assertFalse(host.hasAction("call more"), "only one call at a time");
     host.advanceTo(host.now() + SECOND / 4);
     host.callEnded("less", RunOutcome.FAILED);
     host.advanceTo(host.now() + 2 * SECOND);
-    assertTrue(host.did("call more"), "the higher priority is called first");
+    assertTrue(host.hasAction("call more"), "the request of higher priority makes its call first");
     assertEquals(
         1, host.actions.stream().filter("call less"::equals).count(), "the failed call waits");
   }
@@ -715,9 +725,7 @@
     host.advanceTo(host.now() + SECOND / 10);
     host.read(request(host, "high", COMMIT));
     host.finish("busy1", RunOutcome.SUCCEEDED);
-    assertTrue(
-        host.did("start high"),
-        "rejected requests do not count, so the tenant is within its quota");
+    assertTrue(host.hasAction("start high"), "rejected requests do not use up the quota");
   }
 
   @Test
@@ -781,7 +789,7 @@
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 200_000, false, 0.5), START);
     for (int i = 0; i < 40; i++) {
       host.read(request(host, "read" + i, READ));
-      if (host.did("start read" + i)) {
+      if (host.hasAction("start read" + i)) {
         host.reachCall("read" + i);
       }
     }
@@ -791,18 +799,20 @@
       }
       host.advanceTo(host.now() + SECOND / 20);
     }
-    assertTrue(host.count("call") > 2, "the host asserts the concurrency bound");
+    // The host asserts the concurrency bound.
+    assertTrue(host.count("call") > 2, "calls are made");
   }
 
   @Test
   void waitingRepeatsNeverFillMemory() {
     RecordingHost host = new RecordingHost(settings(StopMode.NONE, 400, false, 5), START);
-    host.read(request(host, "turn", COMMIT));
+    host.read(request(host, "commit", COMMIT));
     for (int i = 0; i < 60; i++) {
-      host.read(request(host, "again" + i, COMMIT, "turn", 3 * SECOND));
+      host.read(request(host, "again" + i, COMMIT, "commit", 3 * SECOND));
     }
+    // The host asserts the memory bound.
     assertTrue(
-        host.count("replay") > 2 && host.count("fail") > 20, "the host asserts the memory bound");
+        host.count("replay") > 2 && host.count("fail") > 20, "some repeats wait and some fail");
   }
 
   @Test
@@ -814,9 +824,9 @@
     host.finish("left", RunOutcome.STOPPED);
     host.read(request(host, "next", READ));
     host.reachCall("next");
-    assertFalse(host.did("call next"), "the first call is abandoned but has not ended");
+    assertFalse(host.hasAction("call next"), "the first call is abandoned but has not ended");
     host.advanceTo(host.now() + SECOND / 2);
-    assertTrue(host.did("call next"));
+    assertTrue(host.hasAction("call next"));
   }
 
   /** The dependency may still work on a call whose connection was lost. */
@@ -824,12 +834,12 @@
   void callOnLostConnectionCountsUntilItEnds() {
     for (RunOutcome outcome : List.of(RunOutcome.CONNECTION_LOST, RunOutcome.REJECTED)) {
       RecordingHost host = new RecordingHost(settings(StopMode.ABORT, 20_000, false, 0.5), START);
-      host.read(request(host, "one", READ));
-      host.reachCall("one");
-      host.callEnded("one", outcome);
+      host.read(request(host, "first", READ));
+      host.reachCall("first");
+      host.callEnded("first", outcome);
       host.read(request(host, "next", READ));
       host.reachCall("next");
-      assertEquals(outcome == RunOutcome.REJECTED, host.did("call next"), "after " + outcome);
+      assertEquals(outcome == RunOutcome.REJECTED, host.hasAction("call next"), "after " + outcome);
       host.advanceTo(host.now() + SECOND / 2);
       assertTrue(host.count("call") > 1, "calls resume once the first one must have ended");
     }
@@ -855,9 +865,9 @@
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
-    host.read(request(host, "turn", COMMIT), request(host, "load", READ));
-    host.read(request(host, "again", COMMIT, "turn", 3 * SECOND));
-    host.reachCall("turn");
+    host.read(request(host, "commit", COMMIT), request(host, "load", READ));
+    host.read(request(host, "again", COMMIT, "commit", 3 * SECOND));
+    host.reachCall("commit");
     host.reachCall("load");
     host.read(
         request(host, "busy1", SAVE), request(host, "busy2", SAVE), request(host, "held", SAVE));
@@ -888,15 +898,15 @@
             .toList();
     RecordingHost host = new RecordingHost(withClasses(base, classes), START);
     host.gauges(1, 3);
-    host.read(request(host, "turn", COMMIT), request(host, "load", READ));
-    host.reachCall("turn");
+    host.read(request(host, "commit", COMMIT), request(host, "load", READ));
+    host.reachCall("commit");
     host.reachCall("load");
-    assertTrue(host.did("call turn") && !host.did("call load"), "one call at a time");
+    assertTrue(host.hasAction("call commit") && !host.hasAction("call load"), "one call at a time");
     host.advanceTo(START + SECOND / 2);
-    assertFalse(host.did("skip load"), "there is time for the call");
+    assertFalse(host.hasAction("skip load"), "there is time for the call");
     host.advanceTo(START + SECOND);
-    assertTrue(host.did("skip load"), "the degraded answer still arrives in time");
-    assertFalse(host.did("skip turn"));
+    assertTrue(host.hasAction("skip load"), "the degraded answer still arrives in time");
+    assertFalse(host.hasAction("skip commit"));
   }
 
   @Test
@@ -905,13 +915,13 @@
         new RecordingHost(settings(StopMode.ABORT, 20_000, false, 5, 10_000), START);
     host.gauges(1, 8);
     host.advanceTo(START + SECOND);
-    assertTrue(host.did("idleTimeout 10000"));
+    assertTrue(host.hasAction("idleTimeout 10000"));
     for (int i = 0; i < 300; i++) {
-      host.read(request(host, "one" + i, SAVE), request(host, "two" + i, SAVE));
+      host.read(request(host, "first" + i, SAVE), request(host, "second" + i, SAVE));
       host.advanceTo(host.now() + 10_000);
     }
     assertTrue(
-        host.did("idleTimeout 30000000"),
+        host.hasAction("idleTimeout 30000000"),
         "nearly all requests are rejected, so each reconnect would be wasted");
     host.gauges(0, 0);
     host.advanceTo(host.now() + 4 * SECOND);
@@ -936,10 +946,10 @@
       RecordingHost host = new RecordingHost(settings(stopMode, 20_000, false, 5), START);
       host.gauges(1, 3);
       fillCores(host);
-      host.read(request(host, "held", READ, null, 0), request(host, "turn", COMMIT, null, 0));
+      host.read(request(host, "held", READ, null, 0), request(host, "commit", COMMIT, null, 0));
       host.drain(START + SECOND);
       host.advanceTo(START + SECOND);
-      for (String id : List.of("busy1", "busy2", "held", "turn")) {
+      for (String id : List.of("busy1", "busy2", "held", "commit")) {
         assertTrue(host.answered(id), id + " is answered before the process is stopped");
       }
     }
@@ -969,7 +979,7 @@
       host.read(tenantRequest(host, "first", 0), tenantRequest(host, "second", 1));
       host.finish("busy1", RunOutcome.SUCCEEDED);
       assertTrue(
-          host.did(sameName ? "start second" : "start first"),
+          host.hasAction(sameName ? "start second" : "start first"),
           "the debt stays with the tenant that incurred it");
     }
   }
--- a/src/test/java/mothwing/overload/RandomFaultTest.java
+++ b/src/test/java/mothwing/overload/RandomFaultTest.java
@@ -73,13 +73,13 @@
 
   @Test
   void guaranteesHoldUnderRandomFaults() {
-    long answered = 0;
+    long actions = 0;
     for (StopMode stopMode : StopMode.values()) {
       for (int seed = 0; seed < SEQUENCES; seed++) {
-        answered += runSequence(new Random(seed * 31L + stopMode.ordinal()), stopMode);
+        actions += runSequence(new Random(seed * 31L + stopMode.ordinal()), stopMode);
       }
     }
-    assertTrue(answered > 10_000, "requests with an outcome: " + answered);
+    assertTrue(actions > 10_000, "starts, rejections and failures: " + actions);
   }
 
   private static long runSequence(Random random, StopMode stopMode) {
@@ -97,19 +97,19 @@
       if (step == settingsChangeStep) {
         host.changeSettings(changedSettings(host.settings()));
       }
-      double choice = random.nextDouble();
-      if (choice < 0.45) {
+      double eventChoice = random.nextDouble();
+      if (eventChoice < 0.45) {
         host.read(request(host, random, "r" + step, hasCallerDeadline, lastOriginals));
-      } else if (choice < 0.6) {
+      } else if (eventChoice < 0.6) {
         pick(random, host.onCores())
             .ifPresent(
                 id ->
                     host.finish(
                         id, random.nextInt(5) > 0 ? RunOutcome.SUCCEEDED : RunOutcome.FAILED));
-      } else if (choice < 0.75) {
-        pick(random, host.onCores().stream().filter(host::calls).toList())
+      } else if (eventChoice < 0.75) {
+        pick(random, host.onCores().stream().filter(host::callsDependency).toList())
             .ifPresent(host::reachCall);
-      } else if (choice < 0.88) {
+      } else if (eventChoice < 0.88) {
         RunOutcome[] outcomes = {
           RunOutcome.SUCCEEDED,
           RunOutcome.SUCCEEDED,
@@ -119,7 +119,7 @@
         };
         pick(random, host.callsInFlight())
             .ifPresent(id -> host.callEnded(id, outcomes[random.nextInt(5)]));
-      } else if (choice < 0.91) {
+      } else if (eventChoice < 0.91) {
         pick(random, host.pending()).ifPresent(host::cancel);
       }
       host.advanceTo(host.now() + 5_000L * (1 + random.nextInt(random.nextInt(10) == 0 ? 60 : 6)));
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -38,7 +38,7 @@
     boolean onCore;
     boolean atCall;
     boolean calling;
-    long callUntil;
+    long callAbandonAt;
     boolean replaying;
     boolean stopRequested;
     RunOutcome lastCallOutcome;
@@ -52,7 +52,7 @@
   private final List<Long> timers = new ArrayList<>();
   private long now;
   private long drainingSince = Long.MAX_VALUE;
-  private long lastCallTimeout;
+  private long lastCallAbandonedAt;
   private final long startedAt;
   private double averageRunning;
   private double[] gauges;
@@ -222,7 +222,8 @@
 
   // Queries
 
-  boolean did(String action) {
+  /** Returns whether an action that equals or begins with the given words was recorded. */
+  boolean hasAction(String action) {
     return actions.stream()
         .anyMatch(entry -> entry.equals(action) || entry.startsWith(action + " "));
   }
@@ -236,8 +237,8 @@
   }
 
   /** Returns the time at which the last call is abandoned. */
-  long lastCallTimeout() {
-    return lastCallTimeout;
+  long lastCallAbandonedAt() {
+    return lastCallAbandonedAt;
   }
 
   /**
@@ -252,7 +253,7 @@
       }
       if ((state.stopRequested && state.onCore) || (state.atCall && state.answered)) {
         finish(entry.getKey(), RunOutcome.STOPPED);
-      } else if (state.calling && state.callUntil <= now) {
+      } else if (state.calling && state.callAbandonAt <= now) {
         callEnded(entry.getKey(), RunOutcome.TIMED_OUT);
       } else if (state.replaying && state(state.request.originalId()).ended) {
         boolean ran = state(state.request.originalId()).ran;
@@ -267,7 +268,7 @@
   }
 
   /** Returns whether the class of a request may call the dependency. */
-  boolean calls(String id) {
+  boolean callsDependency(String id) {
     return state(id).requestClass.callsDependency();
   }
 
@@ -310,7 +311,7 @@
     assertTrue(
         state.arrivedAt - settings.limits().drainGracePeriod() <= drainingSince,
         id + " arrived after the grace period");
-    assertRepeatsNothingThatRan(state);
+    assertRepeatsNoRunOrHeldOriginal(state);
     if (state.requestClass.idempotency() == Idempotency.WITH_KEY && !state.ran) {
       assertTrue(keys.containsKey(id), id + " runs without a remembered key");
     }
@@ -323,7 +324,7 @@
   }
 
   /** Asserts that a request does not repeat one with an idempotency key that ran or is held. */
-  private void assertRepeatsNothingThatRan(RequestState state) {
+  private void assertRepeatsNoRunOrHeldOriginal(RequestState state) {
     String originalId = state.request.originalId();
     if (originalId != null && state.requestClass.idempotency() == Idempotency.WITH_KEY) {
       RequestState original = requests.get(originalId);
@@ -333,17 +334,17 @@
   }
 
   @Override
-  public void startCall(String id, long until) {
+  public void startCall(String id, long abandonAt) {
     RequestState state = state(id);
     assertTrue(state.atCall, id + " awaits no call");
     boolean mayCall = state.lastCallOutcome == null || state.lastCallOutcome.provesNoEffect();
     assertTrue(
         mayCall || state.requestClass.idempotency() == Idempotency.ALWAYS,
         id + " repeats a call that may have had an effect");
-    assertTrue(until > now, "the call timeout is in the past");
+    assertTrue(abandonAt > now, "the call timeout is in the past");
     state.calling = true;
-    state.callUntil = until;
-    lastCallTimeout = until;
+    state.callAbandonAt = abandonAt;
+    lastCallAbandonedAt = abandonAt;
     actions.add("call " + id);
   }
 
@@ -429,7 +430,7 @@
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean healthy) {
+  public void setHealth(boolean shallow, boolean healthy) {
     actions.add("health " + healthy);
   }
 
--- a/src/test/java/mothwing/overload/TrackedRequestTest.java
+++ b/src/test/java/mothwing/overload/TrackedRequestTest.java
@@ -17,17 +17,17 @@
     assertEquals(State.RUNNING, request.state());
     request.awaitCall(5);
     assertEquals(State.AWAITING_CALL, request.state());
-    assertEquals(5, request.call().nextAttemptAt());
+    assertEquals(5, request.callProgress().nextAttemptAt());
     request.startCall(6);
     request.retryCallAt(9);
     assertEquals(State.AWAITING_CALL, request.state());
     request.startCall(9);
     assertEquals(State.CALLING, request.state());
-    assertEquals(2, request.call().attempts());
+    assertEquals(2, request.callProgress().attempts());
     request.enterCore(0);
     request.awaitCall(20);
-    assertEquals(0, request.call().attempts(), "the next call has no attempts yet");
-    assertEquals(2, request.call().reached());
+    assertEquals(0, request.callProgress().attempts(), "the next call has no attempts yet");
+    assertEquals(2, request.callProgress().reachedCalls());
   }
 
   @Test
