--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -11,17 +11,17 @@
 import mothwing.control.Tenant;
 
 /**
- * The settings in force: classes and tenants have indexes that do not change while an open request
- * refers to them.
+ * Holds the settings in force. The indexes of classes and tenants do not change while an open
+ * request refers to them.
  */
 final class ActiveSettings {
   private final StableIndex<RequestClass> classes = new StableIndex<>(RequestClass::name);
   private final StableIndex<Tenant> tenants = new StableIndex<>(Tenant::name);
   private Settings settings;
-  private boolean setColdStart;
+  private boolean coldStart;
 
   /**
-   * Makes the first settings.
+   * Creates the holder with the initial settings.
    *
    * @param next the settings
    */
@@ -29,36 +29,36 @@
     apply(next, Set.of());
   }
 
-  /** Takes new settings; what is open goes on under the class that it was read under. */
+  /** Replaces the settings; open requests keep the class that they were read under. */
   void apply(Settings next, Collection<Exchange> open) {
     BitSet classesUsed = new BitSet();
     BitSet tenantsUsed = new BitSet();
     for (Exchange exchange : open) {
-      classesUsed.set(exchange.classIndex()); // what is open has one
-      tenantsUsed.set(exchange.tenantIndex() + 1); // 0 stands for none
+      classesUsed.set(exchange.classIndex()); // an open request always has a known class
+      tenantsUsed.set(exchange.tenantIndex() + 1); // bit 0 stands for no tenant
     }
     classes.update(next.classes(), classesUsed::get);
-    tenants.update(next.tenants(), place -> tenantsUsed.get(place + 1));
-    settings = placed(next);
+    tenants.update(next.tenants(), index -> tenantsUsed.get(index + 1));
+    settings = withStableIndexes(next);
   }
 
-  /** The pool says whether the machine has just started. */
-  void setColdStart(boolean now) {
-    setColdStart = now;
-    settings = placed(settings);
+  /** Records whether the machine has just started, as the pool reports it. */
+  void setColdStart(boolean isColdStart) {
+    coldStart = isColdStart;
+    settings = withStableIndexes(settings);
   }
 
-  private Settings placed(Settings next) {
-    Machine stated = next.machine();
+  private Settings withStableIndexes(Settings next) {
+    Machine configured = next.machine();
     Machine machine =
         new Machine(
-            stated.cores(),
-            stated.memoryKb(),
-            stated.runMemoryFactor(),
+            configured.cores(),
+            configured.memoryKb(),
+            configured.runMemoryFactor(),
             0,
-            setColdStart,
-            stated.gaugeNames(),
-            stated.stopMode());
+            coldStart,
+            configured.gaugeNames(),
+            configured.stopMode());
     return new Settings(
         next.seed(),
         next.batchInterval(),
@@ -76,37 +76,37 @@
         next.signals());
   }
 
-  /** The settings as the controller knows them: by place. */
+  /** The settings as the controller sees them, with classes and tenants at their stable indexes. */
   Settings settings() {
     return settings;
   }
 
-  /** The longest retry advice of a rejection, or 0 where the settings allow none. */
+  /** The longest retry advice of a rejection, in microseconds, or 0 if the settings allow none. */
   long maxRetryAfterMicros() {
     return settings.signals().retryAfterHonoured() ? settings.signals().maxRetryAfter() : 0;
   }
 
-  /** The class of a name that is known now, or null. */
+  /** The class of this name in the current settings, or null. */
   RequestClass findClass(String className) {
-    Integer place = classes.indexOf(className);
-    return place == null ? null : settings.classes().get(place);
+    Integer index = classes.indexOf(className);
+    return index == null ? null : settings.classes().get(index);
   }
 
   int classIndex(String className) {
-    Integer place = classes.indexOf(className);
-    return place == null ? -1 : place;
+    Integer index = classes.indexOf(className);
+    return index == null ? -1 : index;
   }
 
   int tenantIndex(String tenant) {
-    Integer place = tenants.indexOf(tenant);
-    return place == null ? -1 : place;
+    Integer index = tenants.indexOf(tenant);
+    return index == null ? -1 : index;
   }
 
   boolean isKnownTenant(String tenant) {
     return tenants.isEmpty() || tenants.indexOf(tenant) != null;
   }
 
-  /** The names of the classes that are known now. */
+  /** The names of the classes in the current settings. */
   Set<String> classNames() {
     return settings.classes().stream()
         .map(RequestClass::name)
--- a/src/main/java/mothwing/broker/AwaitedCall.java
+++ b/src/main/java/mothwing/broker/AwaitedCall.java
@@ -1,27 +1,27 @@
 package mothwing.broker;
 
-/** The dependency call that the run of one request awaits, if there is one, and its result. */
+/** The dependency call, if any, that the run of one request awaits, and the result of the call. */
 final class AwaitedCall {
   private byte[] content;
   private byte[] unsentResult;
   private boolean inProgress;
   private boolean answerSent;
   private boolean answerUnsent;
-  private long until;
+  private long timeoutAt;
 
-  /** What the run asks for, or null where it awaits no call. */
+  /** The content of the call, or null if the run awaits none. */
   byte[] content() {
     return content;
   }
 
-  /** Whether the call was started and has not ended. */
+  /** Whether the call has been started and has not ended. */
   boolean isInProgress() {
     return inProgress;
   }
 
-  /** When the call counts as timed out. */
-  long until() {
-    return until;
+  /** When the call times out, in microseconds of the monotonic clock. */
+  long timeoutAt() {
+    return timeoutAt;
   }
 
   /** Whether the last command to the pool was the answer to a call. */
@@ -29,24 +29,24 @@
     return answerSent;
   }
 
-  /** Whether the run is to be resumed, and no connection has carried that yet. */
+  /** Whether the command to resume the run has not been written to a connection yet. */
   boolean isAnswerUnsent() {
     return answerUnsent;
   }
 
-  /** The result for an answer that is unsent; null where the run is resumed without one. */
+  /** The result of an answer that is not sent yet; null if the run is resumed without a result. */
   byte[] unsentResult() {
     return unsentResult;
   }
 
-  void await(byte[] asked) {
+  void await(byte[] callContent) {
     clear();
-    content = asked;
+    content = callContent;
   }
 
-  void start(long timeOutAt) {
+  void start(long callTimeoutAt) {
     inProgress = true;
-    until = timeOutAt;
+    timeoutAt = callTimeoutAt;
   }
 
   /** Ends the call. Returns whether it was in progress. */
@@ -56,7 +56,7 @@
     return wasInProgress;
   }
 
-  /** The run is resumed, with a result or null, now or once there is a connection. */
+  /** Records that the run is resumed, with a result or null: now or once there is a connection. */
   void answer(byte[] result, boolean connected) {
     content = null;
     unsentResult = connected ? null : result;
--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -11,17 +11,18 @@
 import mothwing.control.Settings;
 
 /**
- * The core of the server and its entry points: fronts bring requests and cancellations, the pool
- * brings the ends of runs and gauges, the dependency brings the ends of calls, and the controller
- * asks for actions as events reach it. The parts behind the entry points have one job each.
+ * The entry points of the server's core. Fronts submit and cancel requests, the pool reports gauges
+ * and the ends of runs, the dependency client reports the ends of calls, and the controller
+ * requests actions as it handles events. Each entry point delegates to a part with one job.
  *
- * <p>It knows no wire. All methods are called on the one thread that owns the broker.
+ * <p>Independent of any wire protocol. All methods are called on the one thread that owns the
+ * broker.
  */
 public final class Broker implements ControllerHost {
-  /** Requests open at once; those beyond are rejected without the controller. */
+  /** Bounds the open requests; any beyond the bound are rejected without asking the controller. */
   public static final int MAX_OPEN_REQUESTS = RequestIntake.MAX_OPEN_REQUESTS;
 
-  /** What {@link #retryAfterIfOverloaded} returns for a request that is to be submitted. */
+  /** Returned by {@link #retryAfterIfOverloaded} for a request that is to be submitted. */
   public static final long NOT_OVERLOADED = -1;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -33,14 +34,14 @@
   private Runnable onReady = () -> {};
 
   /**
-   * Makes a broker; the controller is made once the pool is connected.
+   * Creates a broker. The controller is created when the pool is connected for the first time.
    *
-   * @param settings the settings of the site
-   * @param controllerFactory makes the controller
+   * @param settings the settings of the server
+   * @param controllerFactory creates the controller
    * @param pool runs the requests
-   * @param scheduler the clocks
-   * @param counters counts what happens
-   * @param log takes log lines
+   * @param scheduler the clocks and timers
+   * @param counters the counters of events
+   * @param log receives the log lines
    */
   public Broker(
       Settings settings,
@@ -55,10 +56,10 @@
   }
 
   /**
-   * Replaces the settings. Classes and tenants keep their indexes by name; open requests keep the
-   * class and the deadline that they were read under, and counts stay.
+   * Replaces the settings. Classes and tenants keep their indexes by name, open requests keep the
+   * class and the deadline that they were read under, and statistics are preserved.
    *
-   * @param settings the new settings of the site
+   * @param settings the new settings of the server
    */
   public void applySettings(Settings settings) {
     BrokerContext context = parts.context;
@@ -72,58 +73,58 @@
   }
 
   /**
-   * Sets what is done, once, when the pool is connected and requests are taken.
+   * Sets a callback that runs once, when the pool is connected and requests are accepted.
    *
-   * @param work the work
+   * @param callback the callback
    */
-  public void whenReady(Runnable work) {
-    onReady = work;
+  public void whenReady(Runnable callback) {
+    onReady = callback;
   }
 
-  /** Sets who closes idle connections; it takes the idle span in microseconds. */
+  /** Sets the handler that closes idle connections; it receives the idle time in microseconds. */
   public void setIdleConnectionCloser(Consumer<Long> closer) {
     actions.setIdleConnectionCloser(closer);
   }
 
   /**
-   * Sets who knows whether this process lags too far behind to decide.
+   * Sets the check for whether this process lags too far behind to decide on a request.
    *
-   * @param isOverloaded asked once for each request; true where it is to be rejected undecided
+   * @param isOverloaded called once for each request; true if the request is to be rejected
    */
   public void setOverloadCheck(BooleanSupplier isOverloaded) {
     parts.intake.setOverloadCheck(isOverloaded);
   }
 
-  /** Sets who makes the dependency calls of runs. */
+  /** Sets the client that makes the dependency calls of runs. */
   public void setDependencyClient(DependencyClient client) {
     parts.calls.setClient(client);
   }
 
   /**
-   * Sets with whom the runs of requests with an idempotency key are shared.
+   * Sets the claims that decide which process runs a request with an idempotency key.
    *
-   * @param shared grants them, among all processes at this address
+   * @param shared the claims, shared by all processes at this address
    */
   public void setRunClaims(RunClaims shared) {
     parts.admission.setClaims(shared);
   }
 
   /**
-   * Whether a request is to be rejected before its fields are parsed, as this process lags so far
-   * behind that deciding would cost more than it has. Such a request is counted as rejected.
+   * Whether a request is to be rejected before its fields are parsed, because this process lags so
+   * far behind that it cannot afford a decision. Such a request is counted as rejected.
    *
-   * @param path the path of the request; one that names no class is never rejected so
-   * @return the milliseconds of the retry advice, or {@link #NOT_OVERLOADED}
+   * @param path the path of the request; a path that names no class is never rejected here
+   * @return the retry advice in milliseconds, or {@link #NOT_OVERLOADED}
    */
   public long retryAfterIfOverloaded(String path) {
     return isServing() ? parts.intake.retryAfterIfOverloaded(path) : NOT_OVERLOADED;
   }
 
   /**
-   * Takes a request that was read completely.
+   * Accepts a request that was read completely.
    *
    * @param request the request
-   * @param caller takes its answer
+   * @param caller receives its answer
    * @return its exchange
    */
   public Exchange submit(InboundRequest request, ResponseSink caller) {
@@ -131,7 +132,7 @@
   }
 
   /**
-   * The caller of a request no longer waits.
+   * Reports that the caller of a request no longer waits for the answer.
    *
    * @param exchange the request
    */
@@ -156,8 +157,8 @@
   /**
    * Answers a health check.
    *
-   * @param deep whether the pool is to prove that it works
-   * @param answer takes whether the check succeeded, once
+   * @param deep whether the pool has to prove that it works
+   * @param answer called once, with whether the check succeeded
    */
   public void healthCheck(boolean deep, Consumer<Boolean> answer) {
     parts.checks.check(deep, answer);
@@ -165,13 +166,13 @@
 
   /**
    * Takes the server out of rotation, by failing health checks, or puts it back. Requests are
-   * answered as usual, and repeating the call changes nothing.
+   * answered as usual. Idempotent.
    *
-   * @param now whether it is to be out of rotation
-   * @return false once a shutdown was requested, in which case nothing has changed
+   * @param outOfRotation whether the server is to be out of rotation
+   * @return false after a shutdown was requested, in which case nothing has changed
    */
-  public boolean setOutOfRotation(boolean now) {
-    return parts.shutdown.setOutOfRotation(now);
+  public boolean setOutOfRotation(boolean outOfRotation) {
+    return parts.shutdown.setOutOfRotation(outOfRotation);
   }
 
   /** Whether the server was taken out of rotation and not put back. */
@@ -179,19 +180,19 @@
     return parts.shutdownState.isOutOfRotation();
   }
 
-  /** Whether requests are decided: the pool was connected, and no shutdown was requested. */
+  /** Whether requests are decided on: the pool was connected, and no shutdown was requested. */
   public boolean isServing() {
     return controller != null && !parts.shutdownState.isDraining();
   }
 
-  /** What operators see of requests: counts by class, and the number of pending ones. */
+  /** The request statistics for operators: counts by class, and the number of pending requests. */
   public Map<String, Object> statistics() {
     Map<String, Object> snapshot = parts.statistics.snapshot();
     snapshot.put("pending", pendingCount());
     return snapshot;
   }
 
-  /** The free value that goes out with answers, or none where the settings give it no meaning. */
+  /** The free value that is sent with answers, or none if the settings give it no meaning. */
   public OptionalDouble freeValue() {
     return parts.freeValue.value();
   }
@@ -201,30 +202,30 @@
     return parts.shutdownState.isDraining();
   }
 
-  /** How many requests still wait for their answer. */
+  /** The number of requests that wait for their answer. */
   public long pendingCount() {
     return parts.context.open().pendingCount();
   }
 
-  /** The counts so far, one line of {@code name=value} words. */
+  /** The current counters, on one line as space-separated {@code name=value} pairs. */
   public String counts() {
     String open = "open=" + parts.context.open().size();
     return open + " pending=" + pendingCount() + " " + parts.context.counters();
   }
 
   /**
-   * Requests the shutdown. In a handover, where another process takes clients at the same address,
-   * nothing is said that keeps gateways away, and what still comes is run for a while.
+   * Requests a graceful shutdown. In a handover another process serves clients at the same address:
+   * no answer or health check keeps gateways away, and new requests are still run for a while.
    *
-   * @param noticeAt when it was requested, in microseconds of the monotonic clock
-   * @param stopAt when the process is stopped
-   * @param handover whether another process takes clients at the same address
+   * @param requestedAt when it was requested, in microseconds of the monotonic clock
+   * @param stopAt when the process is stopped, on the same clock
+   * @param handover whether another process serves clients at the same address
    */
-  public void drain(long noticeAt, long stopAt, boolean handover) {
-    parts.shutdown.request(noticeAt, stopAt, handover);
+  public void drain(long requestedAt, long stopAt, boolean handover) {
+    parts.shutdown.request(requestedAt, stopAt, handover);
   }
 
-  /** Fails all pending requests, as the process ends now. */
+  /** Fails all pending requests, because the process is about to end. */
   public void failPending() {
     for (Exchange exchange : parts.context.open().snapshot()) {
       if (exchange.isPending()) {
@@ -235,12 +236,12 @@
   }
 
   /**
-   * The pool is connected; the notices that were missed follow.
+   * Reports that the pool is connected; the notices that were missed follow.
    *
-   * @param coldStart whether the machine had just started when the pool did
-   * @param age microseconds since the start of the pool
+   * @param coldStart whether the machine had just started when the pool started
+   * @param ageMicros microseconds since the start of the pool
    */
-  public void poolConnected(boolean coldStart, long age) {
+  public void poolConnected(boolean coldStart, long ageMicros) {
     if (controller != null) {
       return;
     }
@@ -253,19 +254,19 @@
     parts.gauges.start();
     context
         .log()
-        .write(EventNames.READY + " cold=" + coldStart + " age_ms=" + age / MICROS_PER_MILLI);
-    controller.serverStarted(context.scheduler().now() - age);
+        .write(EventNames.READY + " cold=" + coldStart + " age_ms=" + ageMicros / MICROS_PER_MILLI);
+    controller.serverStarted(context.scheduler().now() - ageMicros);
     parts.deadlines.start();
     parts.shutdown.controllerStarted();
     onReady.run();
   }
 
-  /** The missed notices have been read: runs in doubt are reconciled. */
+  /** Reports that all missed notices have been read: runs in doubt are reconciled. */
   public void resynchronized() {
     parts.reconciler.resynchronized(parts.context.scheduler().now());
   }
 
-  /** The connection to the pool is lost. */
+  /** Reports that the connection to the pool is lost. */
   public void poolDisconnected() {
     parts.reconciler.poolDisconnected();
     parts.gauges.poolDisconnected();
@@ -273,40 +274,40 @@
   }
 
   /**
-   * A run has ended.
+   * Reports that a run has ended.
    *
    * @param id the request
    * @param outcome how it ended
-   * @param tookMicros microseconds it took
-   * @param result the result of a run that succeeded
+   * @param tookMicros its duration in microseconds
+   * @param result the result, or null unless the run succeeded
    */
   public void runEnded(String id, RunOutcome outcome, long tookMicros, byte[] result) {
     parts.runs.ended(id, outcome, tookMicros, result);
   }
 
   /**
-   * A run awaits a dependency call.
+   * Reports that a run awaits a dependency call.
    *
    * @param id the request
-   * @param content what it asks of the dependency
+   * @param content the content of the call
    */
   public void runAwaitsCall(String id, byte[] content) {
     parts.calls.awaited(id, content);
   }
 
   /**
-   * A dependency call has ended.
+   * Reports that a dependency call has ended.
    *
    * @param id the request
    * @param outcome how it ended
-   * @param result what was returned, where it succeeded
+   * @param result the result, or null unless the call succeeded
    */
   public void callEnded(String id, RunOutcome outcome, byte[] result) {
     parts.calls.ended(id, outcome, result);
   }
 
   /**
-   * The pool has sent its gauges.
+   * Reports the gauges that the pool has sent.
    *
    * @param echo the echo of the request for them
    * @param values the gauges
@@ -316,13 +317,13 @@
   }
 
   /**
-   * A deep health check has ended.
+   * Reports that a deep health check has ended.
    *
    * @param echo the echo of its request
-   * @param good whether the work was done
+   * @param succeeded whether the pool did the work
    */
-  public void healthCheckEnded(String echo, boolean good) {
-    parts.checks.ended(echo, good);
+  public void healthCheckEnded(String echo, boolean succeeded) {
+    parts.checks.ended(echo, succeeded);
   }
 
   @Override
--- a/src/main/java/mothwing/broker/BrokerContext.java
+++ b/src/main/java/mothwing/broker/BrokerContext.java
@@ -1,16 +1,16 @@
 package mothwing.broker;
 
 /**
- * What the parts of one broker share.
+ * The state and services that the parts of one broker share.
  *
  * @param open the open requests
  * @param settings the settings in force
- * @param pool runs the requests
- * @param scheduler the clocks
- * @param events takes events for the controller
- * @param counters counts what happens
- * @param log takes log lines
- * @param reasons takes log lines about single requests, at a bounded rate
+ * @param pool the worker pool that runs the requests
+ * @param scheduler the clocks and timers
+ * @param events queues the events for the controller
+ * @param counters the counters of events
+ * @param log receives the log lines
+ * @param reasons logs events of single requests at a bounded rate
  */
 record BrokerContext(
     OpenRequests open,
--- a/src/main/java/mothwing/broker/BrokerParts.java
+++ b/src/main/java/mothwing/broker/BrokerParts.java
@@ -2,7 +2,7 @@
 
 import mothwing.control.Settings;
 
-/** Makes the parts of one broker and connects them. */
+/** Creates the parts of one broker and connects them. */
 final class BrokerParts {
   final BrokerContext context;
   final RequestStatistics statistics = new RequestStatistics();
--- a/src/main/java/mothwing/broker/ControllerActions.java
+++ b/src/main/java/mothwing/broker/ControllerActions.java
@@ -4,8 +4,8 @@
 import mothwing.control.ControllerHost;
 
 /**
- * Carries out the actions of the controller. An action on a request that is no longer open has no
- * effect.
+ * Carries out the actions that the controller requests. An action on a request that is no longer
+ * open has no effect.
  */
 final class ControllerActions implements ControllerHost {
   private static final long MICROS_PER_MILLI = 1000;
@@ -34,15 +34,16 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
+  public void rejectRequest(String id, boolean dontRetry, long retryAfter) {
     Exchange exchange = open.get(id);
     if (exchange == null) {
       return;
     }
-    if (exchange.hasRunForGood()) {
-      parts.answers.fail(exchange, FailureReason.RAN_BEFORE); // a rejection states: nothing ran
+    if (exchange.mustNotRunAgain()) {
+      // a rejection would state that nothing ran
+      parts.answers.fail(exchange, FailureReason.RAN_BEFORE);
     } else {
-      long retryAfterMicros = parts.shutdownState.retryAfter(stayAway);
+      long retryAfterMicros = parts.shutdownState.allowedRetryAfter(retryAfter);
       long retryAfterMillis = (retryAfterMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
       parts.answers.reject(exchange, RejectionReason.DECIDED, dontRetry, retryAfterMillis);
     }
@@ -96,7 +97,8 @@
 
   @Override
   public void publishFreeValue(double value) {
-    if (!parts.shutdownState.isHandingOver()) { // it would be taken for that of the next process
+    // during a handover gateways would apply the value to the process that takes over
+    if (!parts.shutdownState.isHandingOver()) {
       parts.freeValue.publish(value);
     }
   }
--- a/src/main/java/mothwing/broker/CounterNames.java
+++ b/src/main/java/mothwing/broker/CounterNames.java
@@ -20,10 +20,10 @@
   /** Requests that the controller left pending beyond their deadline. */
   static final String OVERDUE = "overdue";
 
-  /** Requests that repeat another one with the same idempotency key. */
+  /** Requests that repeat an earlier one with the same idempotency key. */
   static final String REPEATS = "repeats";
 
-  /** Repeats that were answered from the run of their original. */
+  /** Repeats that were answered after the end of their original. */
   static final String REPLAYED = "replayed";
 
   /** Requests whose stated arrival time was implausible. */
@@ -35,28 +35,28 @@
   /** Starts that were sent again after a reconnect to the pool. */
   static final String RUNS_RETRIED = "runs-retried";
 
-  /** Stops sent to the pool, those sent again not counted. */
+  /** Runs that a stop was sent for; repeated stops are not counted. */
   static final String RUNS_STOPPED = "runs-stopped";
 
   /** Prefix, followed by the outcome of a run. */
   static final String RUN_ENDED_PREFIX = "run-ended-";
 
-  /** Ends of runs that were not in the pool. */
+  /** Reported ends of runs that were not in the pool. */
   static final String RUN_ENDED_UNEXPECTED = "run-ended-unexpected";
 
-  /** Questions to the pool whether it has a run. */
+  /** Probes for whether the pool has a run. */
   static final String RUNS_PROBED = "runs-probed";
 
-  /** Runs given up, as the pool shows no trace of them. */
+  /** Runs given up, because the pool shows no trace of them. */
   static final String LOST_RUNS = "lost-runs";
 
   /** Runs that began to await a dependency call. */
   static final String CALLS_AWAITED = "calls-awaited";
 
-  /** The same of runs that were not in the pool. */
+  /** Awaited dependency calls reported for runs that were not in the pool. */
   static final String CALLS_AWAITED_UNEXPECTED = "calls-awaited-unexpected";
 
-  /** Runs that awaited a call as the pool was connected again. */
+  /** Runs that awaited a dependency call when the pool was reconnected. */
   static final String CALLS_AWAITED_AT_RECONNECT = "calls-awaited-at-reconnect";
 
   /** Dependency calls that were started. */
@@ -65,19 +65,19 @@
   /** Runs resumed without the call that they awaited. */
   static final String CALLS_SKIPPED = "calls-skipped";
 
-  /** Calls abandoned before their end. */
+  /** Dependency calls that were abandoned before their end. */
   static final String CALL_ABANDONED = "call-abandoned";
 
-  /** Ends of calls that were not in progress. */
+  /** Reported ends of calls that were not in progress. */
   static final String CALL_ENDED_UNEXPECTED = "call-ended-unexpected";
 
   /** Prefix, followed by the outcome of a call. */
   static final String CALL_ENDED_PREFIX = "call-";
 
-  /** Timers that fired without gauges, as the pool did not answer in time. */
+  /** Timers that fired without gauges, because the pool did not answer in time. */
   static final String GAUGES_LATE = "gauges-late";
 
-  /** Health checks. */
+  /** Health checks of both kinds. */
   static final String HEALTH_CHECKS = "checks";
 
   /** Events that the controller failed to handle. */
--- a/src/main/java/mothwing/broker/Counters.java
+++ b/src/main/java/mothwing/broker/Counters.java
@@ -5,52 +5,52 @@
 import java.util.TreeMap;
 
 /**
- * Counts of what was taken in, sent and answered, by name. Names come from the program alone, so
- * they are few.
+ * Named event counters. Names are never derived from input, apart from codes of a fixed set, so
+ * that their number is bounded.
  */
 public final class Counters {
   private final Map<String, Long> counts = new HashMap<>();
 
-  /** Makes counters that all stand at 0. */
+  /** Creates an empty set of counters. */
   public Counters() {}
 
   /**
-   * Adds one.
+   * Increments a counter by one.
    *
-   * @param name what is counted
+   * @param name the name of the counter
    */
   public void add(String name) {
     add(name, 1);
   }
 
   /**
-   * Adds some.
+   * Increments a counter.
    *
-   * @param name what is counted
-   * @param more how many
+   * @param name the name of the counter
+   * @param amount the increment
    */
-  public void add(String name, long more) {
-    counts.merge(name, more, Long::sum);
+  public void add(String name, long amount) {
+    counts.merge(name, amount, Long::sum);
   }
 
   /**
-   * How many were counted.
+   * Returns the value of a counter.
    *
-   * @param name what was counted
-   * @return the count, 0 where there was none
+   * @param name the name of the counter
+   * @return the value, 0 if nothing was counted
    */
   public long get(String name) {
     return counts.getOrDefault(name, 0L);
   }
 
-  /** All counts as {@code name=value} words, in order of their names. */
+  /** All counters as space-separated {@code name=value} pairs, sorted by name. */
   @Override
   public String toString() {
-    StringBuilder all = new StringBuilder();
+    StringBuilder text = new StringBuilder();
     new TreeMap<>(counts)
         .forEach(
             (name, count) ->
-                all.append(all.isEmpty() ? "" : " ").append(name).append('=').append(count));
-    return all.toString();
+                text.append(text.isEmpty() ? "" : " ").append(name).append('=').append(count));
+    return text.toString();
   }
 }
--- a/src/main/java/mothwing/broker/DeadlineWatch.java
+++ b/src/main/java/mothwing/broker/DeadlineWatch.java
@@ -4,14 +4,15 @@
 import java.util.List;
 
 /**
- * Looks at all open requests in short intervals and enforces what is due: the limits of calls, the
- * deadlines of requests (the controller gets a batch just before, and what it leaves pending is
- * failed here), and the time limits of checks, keys and questions to the pool.
+ * Scans the open requests periodically and enforces time limits: the timeouts of dependency calls,
+ * the deadlines of requests (the controller gets a batch shortly before, and any request that it
+ * leaves pending is failed here), and the time limits of health checks, idempotency keys and
+ * queries to the pool.
  */
 final class DeadlineWatch {
   private static final long INTERVAL_MICROS = 20_000;
 
-  /** The parts whose time limits are enforced. */
+  /** The parts of the broker whose time limits are enforced. */
   record Parts(
       DependencyCalls calls,
       RequestAnswers answers,
@@ -28,7 +29,7 @@
     this.parts = parts;
   }
 
-  /** Starts the watch, which then goes on until the process ends. */
+  /** Starts the periodic scan, which continues until the process ends. */
   void start() {
     context
         .scheduler()
@@ -44,7 +45,7 @@
     List<Exchange> overdue = new ArrayList<>();
     for (Exchange exchange : context.open().view()) {
       almostDue |= exchange.isPending() && now >= exchange.deadline() - INTERVAL_MICROS;
-      if (exchange.call().isInProgress() && now >= exchange.call().until()) {
+      if (exchange.call().isInProgress() && now >= exchange.call().timeoutAt()) {
         timedOutCalls.add(exchange);
       }
       if (exchange.isPending() && now >= exchange.deadline() + answerSlack) {
--- a/src/main/java/mothwing/broker/DependencyCalls.java
+++ b/src/main/java/mothwing/broker/DependencyCalls.java
@@ -5,13 +5,13 @@
 import mothwing.control.RunOutcome;
 
 /**
- * The dependency calls of runs: makes them as the controller asks, bounds their time, and resumes
- * the run that awaits one with its result or without.
+ * Manages the dependency calls of runs: starts them at the controller's request, enforces their
+ * timeouts, and resumes the run that awaits a call with its result or without.
  */
 final class DependencyCalls {
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** Beyond a call's limit, as the dependency reports a timeout itself and the report travels. */
+  /** Time past a call's limit in which the dependency's own report of the timeout may arrive. */
   private static final long TIMEOUT_SLACK_MICROS = 20 * MICROS_PER_MILLI;
 
   private final OpenRequests open;
@@ -23,14 +23,14 @@
   private DependencyClient client = DependencyClient.UNAVAILABLE;
 
   /**
-   * Makes one without a client: all calls fail as unreachable.
+   * Creates the calls without a client: until one is set, all calls fail as unreachable.
    *
    * @param open the open requests
-   * @param pool holds the runs
-   * @param sentPolls how many polls the pool has been sent
-   * @param events for the controller
+   * @param pool the worker pool that has the runs
+   * @param sentPolls the number of polls that were sent to the pool
+   * @param events queues the events for the controller
    * @param scheduler the clock
-   * @param counters counts calls
+   * @param counters the counters of calls
    */
   DependencyCalls(
       OpenRequests open,
@@ -51,7 +51,7 @@
     client = dependency;
   }
 
-  /** A run awaits a call. */
+  /** Handles the pool's report that a run awaits a call. */
   void awaited(String id, byte[] content) {
     Exchange exchange = open.get(id);
     if (exchange == null || !exchange.isInPool()) {
@@ -64,8 +64,8 @@
     events.enqueue((to, at) -> to.callAwaited(at, id));
   }
 
-  /** Makes the call that a run awaits, until a time of the monotonic clock. */
-  void start(String id, long until) {
+  /** Starts the call that a run awaits; it times out at a time of the monotonic clock. */
+  void start(String id, long timeoutAt) {
     Exchange exchange = open.get(id);
     if (exchange == null
         || !exchange.isPending()
@@ -73,7 +73,7 @@
         || exchange.call().isInProgress()) {
       return;
     }
-    long limit = Math.max(MICROS_PER_MILLI, until - scheduler.now());
+    long limit = Math.max(MICROS_PER_MILLI, timeoutAt - scheduler.now());
     exchange.call().start(scheduler.now() + limit + TIMEOUT_SLACK_MICROS);
     counters.add(CounterNames.CALLS_STARTED);
     if (!client.startCall(id, limit / MICROS_PER_MILLI, exchange.call().content())) {
@@ -90,7 +90,7 @@
     }
   }
 
-  /** A call is over; the result is there where it succeeded. */
+  /** Handles the end of a call; the result is null unless the call succeeded. */
   void ended(String id, RunOutcome outcome, byte[] result) {
     Exchange exchange = open.get(id);
     if (exchange == null || !exchange.call().end()) {
--- a/src/main/java/mothwing/broker/DependencyClient.java
+++ b/src/main/java/mothwing/broker/DependencyClient.java
@@ -1,8 +1,8 @@
 package mothwing.broker;
 
-/** The calls of the broker to the dependency, for runs that await one. */
+/** Makes calls to the dependency for runs that await one. */
 public interface DependencyClient {
-  /** Stands for a dependency that is not configured: no call can be made. */
+  /** The client when no dependency is configured: no call can be made. */
   DependencyClient UNAVAILABLE =
       new DependencyClient() {
         @Override
@@ -21,7 +21,7 @@
    * most once; the end of an abandoned call, or of one whose id was used again, is not reported.
    *
    * @param id the request whose run awaits the call
-   * @param timeoutMillis milliseconds after which the dependency is to give the call up, above 0
+   * @param timeoutMillis milliseconds after which the dependency gives up the call, above 0
    * @param content the content of the call
    * @return false if no call can be made; then no end is reported
    */
--- a/src/main/java/mothwing/broker/EventBatcher.java
+++ b/src/main/java/mothwing/broker/EventBatcher.java
@@ -7,7 +7,7 @@
 
 /**
  * Queues the events for the controller and delivers them in batches, at most one per batch
- * interval. A failure of the controller costs one event, not the process.
+ * interval. An exception of the controller loses one event and does not end the process.
  */
 final class EventBatcher {
   /** One event for the controller. */
@@ -29,7 +29,9 @@
   private final Queue<ControllerEvent> queue = new ArrayDeque<>();
   private Controller controller;
   private boolean batchScheduled;
-  private long lastBatchAt = Long.MIN_VALUE / 2; // half, so that adding an interval cannot overflow
+
+  /** Initially half the minimum, so that adding an interval cannot overflow. */
+  private long lastBatchAt = Long.MIN_VALUE / 2;
 
   EventBatcher(
       Scheduler scheduler, LongSupplier batchIntervalMicros, Counters counters, EventLog log) {
@@ -39,7 +41,7 @@
     this.log = log;
   }
 
-  /** Sets the receiver; no event may be queued before. */
+  /** Sets the receiver of the events; no event may be queued before this call. */
   void setController(Controller receiver) {
     controller = receiver;
   }
@@ -53,7 +55,7 @@
     }
   }
 
-  /** Has an empty batch delivered, so that the controller may act on the time alone. */
+  /** Schedules an empty batch, so that the controller can react to the elapsed time alone. */
   void requestBatch() {
     enqueue((to, at) -> {});
   }
--- a/src/main/java/mothwing/broker/EventLog.java
+++ b/src/main/java/mothwing/broker/EventLog.java
@@ -1,6 +1,6 @@
 package mothwing.broker;
 
-/** Takes one line of the log: a code, then words of the form {@code name=value}. */
+/** Receives log lines: an event code, then fields of the form {@code name=value}. */
 @FunctionalInterface
 public interface EventLog {
   /**
--- a/src/main/java/mothwing/broker/Exchange.java
+++ b/src/main/java/mothwing/broker/Exchange.java
@@ -3,8 +3,8 @@
 import java.util.Locale;
 
 /**
- * One request between the front that read it and the pool that runs it: the only place where the
- * two sides meet. Its answer is given at most once, and never after its caller has cancelled it.
+ * The state of one request, from the front that read it to the pool that runs it; the only object
+ * that both sides share. It is answered at most once, and never after its caller has cancelled it.
  *
  * <table>
  * <caption>State after an event; in a final state no event changes the state, and no answer is
@@ -23,15 +23,15 @@
  * <tr><td>CANCELLED (final)</td><td colspan="6">CANCELLED</td></tr>
  * </table>
  *
- * <p>The run may outlive the answer: what the pool has is kept apart, in {@link RunRecord} and
+ * <p>The run may outlive the answer, so its state is kept separately, in {@link RunRecord} and
  * {@link AwaitedCall}.
  */
 public final class Exchange {
   /** The state of a request. */
   public enum State {
-    /** Read; the controller does not know it yet. */
+    /** Read, and not reported to the controller yet. */
     READ,
-    /** Known to the controller, not running. */
+    /** Reported to the controller, and not running. */
     HELD,
     /** Handed to the pool. */
     RUNNING,
@@ -39,14 +39,14 @@
     PAUSED,
     /** Its final answer was sent. */
     ANSWERED,
-    /** Its caller left before an answer. */
+    /** Its caller cancelled it before an answer. */
     CANCELLED;
 
     private boolean isFinal() {
       return this == ANSWERED || this == CANCELLED;
     }
 
-    /** The state after an event: the table above. */
+    /** The state after an event, as in the table of {@link Exchange}. */
     State after(Event event) {
       if (isFinal()) {
         return this;
@@ -62,29 +62,29 @@
     }
   }
 
-  /** What changes the state of a request. */
+  /** An event that changes the state of a request. */
   enum Event {
     /** It is reported to the controller. */
     REPORTED,
     /** It is handed to the pool. */
     RUN_STARTED,
-    /** Its paused run goes on. */
+    /** Its paused run is resumed. */
     RUN_RESUMED,
     /** The pool has stopped its run and keeps it. */
     RUN_PAUSED,
-    /** The pool has stopped its run and thrown its work away. */
+    /** The pool has aborted its run and discarded the work. */
     RUN_ABORTED,
     /** It is completed, rejected or failed. */
     ANSWERED,
-    /** Its caller leaves. */
+    /** Its caller cancels it. */
     CANCELLED
   }
 
   /**
    * The times of a request, in microseconds of the monotonic clock.
    *
-   * @param readAt when its last byte was read, so that it was sent at that time at the latest
-   * @param arrivedAt when it reached the machine, as far as its gateway is to be believed
+   * @param readAt when its last byte was read: the latest time at which it can have been sent
+   * @param arrivedAt when it reached the machine, as its gateway states if that is plausible
    * @param deadline when its answer is due
    */
   record Times(long readAt, long arrivedAt, long deadline) {}
@@ -96,7 +96,7 @@
    * @param classIndex the index of its class in the settings, or -1 for an unknown class
    * @param tenantIndex the index of its tenant in the settings, or -1 for none
    * @param idempotencyWindow microseconds from its arrival in which its repeats are recognised; 0
-   *     where it has no idempotency key that counts
+   *     if it has no idempotency key, or its class does not use keys
    */
   record Handling(boolean isIdempotent, int classIndex, int tenantIndex, long idempotencyWindow) {}
 
@@ -116,7 +116,7 @@
     this.handling = handling;
   }
 
-  /** What was read. */
+  /** The request as it was read. */
   public InboundRequest request() {
     return request;
   }
@@ -125,7 +125,7 @@
     return state;
   }
 
-  /** Whether its caller still waits for its answer. */
+  /** Whether its caller still waits for the answer. */
   boolean isPending() {
     return !state.isFinal();
   }
@@ -135,12 +135,12 @@
     return run.isInPool();
   }
 
-  /** What is known of its run. */
+  /** The state of its run as far as it is known. */
   RunRecord run() {
     return run;
   }
 
-  /** The call that its run awaits. */
+  /** The dependency call that its run awaits. */
   AwaitedCall call() {
     return call;
   }
@@ -149,8 +149,8 @@
     return handling.isIdempotent();
   }
 
-  /** Whether it may have had its effect and must not be run again. */
-  boolean hasRunForGood() {
+  /** Whether it may have taken effect and is not idempotent. */
+  boolean mustNotRunAgain() {
     return run.hasStarted() && !isIdempotent();
   }
 
@@ -178,12 +178,12 @@
     return handling.idempotencyWindow();
   }
 
-  /** Whether it has an idempotency key that counts. */
+  /** Whether it has an idempotency key that its class uses. */
   boolean hasIdempotencyKey() {
     return handling.idempotencyWindow() > 0;
   }
 
-  /** Its entry among the idempotency keys, or null. */
+  /** Its entry in the table of idempotency keys, or null. */
   IdempotencyKeys.Entry idempotencyEntry() {
     return idempotencyEntry;
   }
@@ -201,66 +201,66 @@
   }
 
   /**
-   * It was handed to the pool.
+   * Records that it was handed to the pool.
    *
-   * @param polls how many polls the pool has been sent
-   * @param connected whether the start was put on a connection
-   * @return whether that was so for the first time
+   * @param polls the number of polls that were sent to the pool so far
+   * @param connected whether the start was written to a connection
+   * @return whether the start was written to a connection for the first time
    */
   boolean runStarted(long polls, boolean connected) {
     apply(Event.RUN_STARTED);
     return run.start(polls, connected);
   }
 
-  /** Its paused run goes on, after so many polls. */
+  /** Records that its paused run is resumed, after this number of polls. */
   void runResumed(long polls) {
     apply(Event.RUN_RESUMED);
     run.resume(polls);
   }
 
-  /** The pool has stopped its run, and keeps it or has thrown its work away. */
+  /** Records that the pool has stopped its run, and keeps it paused or has discarded its work. */
   void runStopped(boolean paused) {
     call.clear();
     run.stopped(paused, isPending());
     apply(paused ? Event.RUN_PAUSED : Event.RUN_ABORTED);
   }
 
-  /** The pool has nothing of it any longer. */
+  /** Records that the pool no longer has a run of it. */
   void runEnded() {
     call.clear();
     run.end();
   }
 
-  /** Its run awaits a dependency call. */
+  /** Records that its run awaits a dependency call. */
   void callAwaited(byte[] content) {
     run.confirm();
     call.await(content);
   }
 
-  /** Its run is resumed with the result of the call, or null, after so many polls. */
+  /** Records that its run is resumed with the call's result or null, after this number of polls. */
   void callAnswered(byte[] result, long polls, boolean connected) {
     call.answer(result, connected);
     run.commandSent(polls);
   }
 
-  /** The caller leaves. Returns whether its answer was pending. */
+  /** Cancels it for its caller. Returns whether its answer was pending. */
   boolean cancel() {
     boolean wasPending = isPending();
     apply(Event.CANCELLED);
     return wasPending;
   }
 
-  /** Sends the result of its run. Returns false where its answer was not pending. */
+  /** Sends the result of its run. Returns false if no answer was pending. */
   boolean complete(byte[] result) {
     return answer(() -> caller.sendResult(result));
   }
 
-  /** Sends a rejection. Returns false where its answer was not pending. */
+  /** Sends a rejection. Returns false if no answer was pending. */
   boolean reject(boolean dontRetry, long retryAfterMillis) {
     return answer(() -> caller.sendRejection(dontRetry, retryAfterMillis));
   }
 
-  /** Sends a failure. Returns false where its answer was not pending. */
+  /** Sends a failure. Returns false if no answer was pending. */
   boolean fail(FailureReason reason) {
     return answer(() -> caller.sendFailure(reason.code()));
   }
--- a/src/main/java/mothwing/broker/GaugeSampler.java
+++ b/src/main/java/mothwing/broker/GaugeSampler.java
@@ -7,18 +7,18 @@
 import mothwing.control.GaugeSample;
 
 /**
- * The timers of the controller: each fires with the pool's gauges of that moment. Where the pool is
- * not connected, or does not answer in time, it fires with the age of the last known gauges alone,
- * never with old values.
+ * Runs the timers of the controller. Each fires with a fresh sample of the pool's gauges. If the
+ * pool is not connected or does not answer in time, the timer fires with only the age of the last
+ * known gauges, never with old values.
  */
 final class GaugeSampler {
-  /** Longer than the machine may stall, since a stall delays timers and answers alike. */
+  /** Longer than any expected stall of the machine, which delays timers and answers alike. */
   private static final long ANSWER_TIMEOUT_MICROS = 500_000;
 
   /** The name of the gauge that counts runnable threads. */
   private static final String RUNNABLE = "runnable";
 
-  private static final double NOT_KNOWN = -1;
+  private static final double UNKNOWN = -1;
 
   private final WorkerPool pool;
   private final Scheduler scheduler;
@@ -44,12 +44,12 @@
     this.counters = counters;
   }
 
-  /** The controller starts: the age of gauges counts from now on. */
+  /** Starts with the controller: the age of the gauges counts from now on. */
   void start() {
     sampledAt = scheduler.now();
   }
 
-  /** Fires a timer of the controller at a time of the monotonic clock. */
+  /** Schedules a timer of the controller for a time of the monotonic clock. */
   void scheduleTimer(long at, String tag) {
     scheduler.schedule(at, () -> timerDue(tag));
   }
@@ -74,10 +74,10 @@
   }
 
   /**
-   * The pool has sent its gauges.
+   * Handles gauges that the pool has sent.
    *
    * @param echo the echo of the request for them
-   * @param gauges their values; all are ignored where their number is not that of the settings
+   * @param gauges their values; ignored unless their number matches the settings
    */
   void received(String echo, double[] gauges) {
     List<String> names = settings.settings().machine().gaugeNames();
@@ -86,11 +86,11 @@
       sampledAt = scheduler.now();
     }
     int runnable = names.indexOf(RUNNABLE);
-    reconciler.pollAnswered(echo, complete && runnable >= 0 ? gauges[runnable] : NOT_KNOWN);
+    reconciler.pollAnswered(echo, complete && runnable >= 0 ? gauges[runnable] : UNKNOWN);
     deliver(echo, complete ? GaugeSample.of(gauges) : absentSample());
   }
 
-  /** The connection is lost: no answer will come. */
+  /** Fires all waiting timers without gauges, because a lost connection brings no answers. */
   void poolDisconnected() {
     for (String echo : new ArrayList<>(tagsByEcho.keySet())) {
       deliver(echo, absentSample());
--- a/src/main/java/mothwing/broker/HealthChecks.java
+++ b/src/main/java/mothwing/broker/HealthChecks.java
@@ -6,23 +6,23 @@
 import java.util.function.Consumer;
 
 /**
- * Answers health checks. A deep check has the pool do some work; both the number of deep checks in
- * progress and their time are bounded, and what exceeds a bound fails.
+ * Answers health checks. A deep check has the pool do some work. The number of deep checks in
+ * progress and their duration are bounded; a check that exceeds a bound fails.
  */
 final class HealthChecks {
-  /** Deep checks in progress at the same time. */
+  /** Bounds the deep checks in progress. */
   static final int MAX_CHECKS = 64;
 
   private static final long CHECK_TIMEOUT_MICROS = 2_000_000;
 
-  private record Check(Consumer<Boolean> answer, long until) {}
+  private record Check(Consumer<Boolean> answer, long expiresAt) {}
 
   private final WorkerPool pool;
   private final Scheduler scheduler;
   private final ShutdownState shutdown;
   private final Counters counters;
   private final Map<String, Check> checksByEcho = new LinkedHashMap<>();
-  private long startedChecks;
+  private long deepChecksStarted;
   private boolean started;
   private boolean shallowOnly;
   private boolean healthy = true;
@@ -34,27 +34,27 @@
     this.counters = counters;
   }
 
-  /** The controller has started; before that all checks fail. */
+  /** Starts with the controller; all earlier checks fail. */
   void start() {
     started = true;
   }
 
   /**
-   * Sets what the controller answers to checks.
+   * Sets the health that the controller decided on.
    *
    * @param shallow whether deep checks are answered without work of the pool
-   * @param good whether checks may succeed
+   * @param mayPass whether checks may succeed
    */
-  void setHealth(boolean shallow, boolean good) {
+  void setHealth(boolean shallow, boolean mayPass) {
     shallowOnly = shallow;
-    healthy = good;
+    healthy = mayPass;
   }
 
   /**
    * Answers a check.
    *
-   * @param deep whether the pool is to prove that it works
-   * @param answer takes whether the check succeeded, once
+   * @param deep whether the pool has to prove that it works
+   * @param answer called once, with whether the check succeeded
    */
   void check(boolean deep, Consumer<Boolean> answer) {
     counters.add(CounterNames.HEALTH_CHECKS);
@@ -63,31 +63,31 @@
     } else if (!pool.isReady() || checksByEcho.size() >= MAX_CHECKS) {
       answer.accept(false);
     } else {
-      startedChecks++;
-      String echo = "c" + startedChecks;
+      deepChecksStarted++;
+      String echo = "c" + deepChecksStarted;
       checksByEcho.put(echo, new Check(answer, scheduler.now() + CHECK_TIMEOUT_MICROS));
       pool.startHealthCheck(echo);
     }
   }
 
-  /** The pool has done, or failed to do, the work of a deep check. */
-  void ended(String echo, boolean good) {
+  /** Handles the pool's report on whether it did the work of a deep check. */
+  void ended(String echo, boolean succeeded) {
     Check check = checksByEcho.remove(echo);
     if (check != null) {
-      check.answer().accept(good && isHealthy());
+      check.answer().accept(succeeded && isHealthy());
     }
   }
 
-  /** Fails the checks that have run out of time. */
+  /** Fails the checks that have timed out. */
   void expire(long now) {
     for (Map.Entry<String, Check> check : new ArrayList<>(checksByEcho.entrySet())) {
-      if (now >= check.getValue().until()) {
+      if (now >= check.getValue().expiresAt()) {
         ended(check.getKey(), false);
       }
     }
   }
 
-  /** The connection is lost: the checks in progress fail. */
+  /** Fails the checks in progress, because the connection to the pool is lost. */
   void poolDisconnected() {
     for (String echo : new ArrayList<>(checksByEcho.keySet())) {
       ended(echo, false);
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -7,22 +7,25 @@
 import mothwing.control.RunOutcome;
 
 /**
- * Which request is the original of each idempotency key, and how its run ended. An entry whose run
- * may have begun outlives its window for a while, since a repeat counts by its arrival and may be
- * read later; an entry whose request ended without a run is dropped. Bounded in number and bytes:
- * without room no key is remembered, and no request with a new key is run.
+ * The table of idempotency keys: the original request of each key, and how its run ended. An entry
+ * whose run may have started is kept for a while after its window, because a repeat counts by its
+ * arrival time and may be read later. An entry whose request ended without a run is dropped. The
+ * table is bounded in entries and bytes: when it is full no further key is stored, and no request
+ * with a new key is run.
  */
 final class IdempotencyKeys {
-  /** Entries at the same time. */
+  /** Bounds the entries. */
   static final int MAX_ENTRIES = 4096;
 
-  /** Bytes of all results; one still to come counts as the largest that a pool gives. */
-  static final int MAX_RESULT_BYTES = 6 << 20;
+  /**
+   * Bounds the bytes of all results; a pending result counts as the largest that a pool returns.
+   */
+  static final int MAX_TOTAL_RESULT_BYTES = 6 << 20;
 
   /** The largest result that the protocol of the pool allows. */
-  private static final int LARGEST_RESULT_BYTES = 4 << 10;
+  private static final int MAX_SINGLE_RESULT_BYTES = 4 << 10;
 
-  /** How long past its window a repeat may still be read. */
+  /** The time after the end of its window in which a repeat may still be read. */
   static final long READ_DELAY_MICROS = 10_000_000;
 
   /** The original request of a key, and its run. */
@@ -30,11 +33,17 @@
     private final IdempotencyKey key;
     private final String originalId;
     private final byte[] bodyDigest;
-    private Exchange original; // null once its run is over, so that it can be collected
-    private long until;
-    private boolean runBegun;
-    private byte[] result; // null unless the run succeeded and its result found room
-    private int reservedBytes = LARGEST_RESULT_BYTES;
+
+    /** Null after the end of its run, so that it can be garbage-collected. */
+    private Exchange original;
+
+    private long expiresAt;
+    private boolean runStarted;
+
+    /** Null unless the run succeeded and there was room for its result. */
+    private byte[] result;
+
+    private int reservedBytes = MAX_SINGLE_RESULT_BYTES;
 
     private Entry(IdempotencyKey key, Exchange original) {
       this.key = key;
@@ -48,28 +57,28 @@
       return originalId;
     }
 
-    /** Whether the run was begun, or may have been. */
-    boolean isRunBegun() {
-      return runBegun;
+    /** Whether the run was started, or may have been. */
+    boolean isRunStarted() {
+      return runStarted;
     }
 
-    /** Whether an end is still to come: the original is pending, or its run goes on. */
+    /** Whether the original has not ended: its answer is pending, or the pool has its run. */
     boolean isPending() {
       return original != null && (original.isPending() || original.isInPool());
     }
 
-    /** The result of the run; null where it failed, or its result found no room. */
+    /** The result of the run; null if it failed, or there was no room for its result. */
     byte[] result() {
       return result;
     }
 
-    /** Whether a repeat asks for the same as the original. */
+    /** Whether a repeat has the same body as the original. */
     boolean hasSameBody(Exchange repeat) {
       return MessageDigest.isEqual(bodyDigest, digestOfBody(repeat));
     }
 
     private boolean isValid() {
-      return runBegun || isPending();
+      return runStarted || isPending();
     }
   }
 
@@ -80,11 +89,13 @@
     try {
       return MessageDigest.getInstance("SHA-256").digest(exchange.request().body());
     } catch (NoSuchAlgorithmException impossible) {
-      throw new IllegalStateException(impossible); // every Java runtime has it
+      throw new IllegalStateException("every Java runtime must provide SHA-256", impossible);
     }
   }
 
-  /** The entry that a request repeats, as it arrived within the window; or null. */
+  /**
+   * The entry of the original that a request repeats, having arrived within its window; or null.
+   */
   Entry findOriginal(Exchange exchange) {
     if (!exchange.hasIdempotencyKey()) {
       return null;
@@ -94,33 +105,36 @@
         entry != null
             && entry != exchange.idempotencyEntry()
             && entry.isValid()
-            && exchange.arrivedAt() < entry.until;
+            && exchange.arrivedAt() < entry.expiresAt;
     return repeats ? entry : null;
   }
 
-  /** Whether the request that this one repeats was run, so that this one must not be. */
+  /** Whether the original of a request was run, so that the request itself must not be. */
   boolean originalRan(Exchange exchange) {
     Entry entry = findOriginal(exchange);
-    return entry != null && entry.runBegun;
+    return entry != null && entry.runStarted;
   }
 
-  /** Whether a request has no key or an entry of its key, or there is room for one. */
+  /** Whether a request needs no new entry, or there is room for one. */
   boolean hasRoom(Exchange exchange) {
     return !exchange.hasIdempotencyKey()
         || entries.containsKey(IdempotencyKey.of(exchange))
         || (entries.size() < MAX_ENTRIES
-            && reservedBytes + LARGEST_RESULT_BYTES <= MAX_RESULT_BYTES);
+            && reservedBytes + MAX_SINGLE_RESULT_BYTES <= MAX_TOTAL_RESULT_BYTES);
   }
 
-  /** Makes a request the original of its key, until a time at least; a run of another stays. */
-  void remember(Exchange exchange, long until) {
+  /**
+   * Makes a request the original of its key, at least until a time of the monotonic clock. An
+   * original that was run is not replaced within its window.
+   */
+  void remember(Exchange exchange, long minExpiresAt) {
     if (!exchange.hasIdempotencyKey()) {
       return;
     }
     if (exchange.idempotencyEntry() == null) {
       IdempotencyKey key = IdempotencyKey.of(exchange);
       Entry previous = entries.get(key);
-      if (previous != null && previous.runBegun && exchange.arrivedAt() < previous.until) {
+      if (previous != null && previous.runStarted && exchange.arrivedAt() < previous.expiresAt) {
         return;
       }
       drop(previous);
@@ -130,26 +144,26 @@
       reservedBytes += entry.reservedBytes;
     }
     Entry entry = exchange.idempotencyEntry();
-    entry.until = Math.max(entry.until, until);
+    entry.expiresAt = Math.max(entry.expiresAt, minExpiresAt);
   }
 
-  /** Drops the entry of a request that was not run. */
+  /** Drops the entry of a request, unless its run was started. */
   void forget(Exchange exchange) {
     Entry entry = exchange.idempotencyEntry();
-    if (entry != null && !entry.runBegun) {
+    if (entry != null && !entry.runStarted) {
       drop(entry);
     }
   }
 
-  /** A request is handed to the pool. */
+  /** Records that a request is handed to the pool. */
   void runStarted(Exchange exchange) {
     remember(exchange, exchange.arrivedAt() + exchange.idempotencyWindow());
     if (exchange.idempotencyEntry() != null) {
-      exchange.idempotencyEntry().runBegun = true;
+      exchange.idempotencyEntry().runStarted = true;
     }
   }
 
-  /** The run of a request has ended. Without room for its result its repeats will fail. */
+  /** Records the end of a run. If there is no room for its result, the repeats of it fail. */
   void runEnded(Exchange exchange, RunOutcome outcome, byte[] result) {
     Entry entry = exchange.idempotencyEntry();
     if (entry == null) {
@@ -158,7 +172,7 @@
     entry.original = null;
     boolean keepsResult =
         outcome == RunOutcome.SUCCEEDED
-            && reservedBytes - entry.reservedBytes + result.length <= MAX_RESULT_BYTES;
+            && reservedBytes - entry.reservedBytes + result.length <= MAX_TOTAL_RESULT_BYTES;
     entry.result = keepsResult ? result : null;
     int resultBytes = keepsResult ? result.length : 0;
     if (entries.get(entry.key) == entry) {
@@ -174,14 +188,14 @@
     }
   }
 
-  /** Drops what no repeat can ask for any longer. */
+  /** Drops the entries that no repeat can refer to any longer. */
   void expire(long now) {
     entries.values().removeIf(entry -> expire(entry, now));
   }
 
   private boolean expire(Entry entry, long now) {
-    boolean outOfTime = now > entry.until + READ_DELAY_MICROS && !entry.isPending();
-    boolean expired = !entry.isValid() || outOfTime;
+    boolean pastWindow = now > entry.expiresAt + READ_DELAY_MICROS && !entry.isPending();
+    boolean expired = !entry.isValid() || pastWindow;
     reservedBytes -= expired ? entry.reservedBytes : 0;
     return expired;
   }
--- a/src/main/java/mothwing/broker/InboundRequest.java
+++ b/src/main/java/mothwing/broker/InboundRequest.java
@@ -1,19 +1,19 @@
 package mothwing.broker;
 
 /**
- * A request as a front decoded it: the fields that decisions need, and the body unchanged.
+ * A request as a front decoded it: the fields that the controller needs, and the unchanged body.
  *
- * @param id its id, new with every attempt
+ * @param id its id, new for every attempt
  * @param acceptedAtMs when it reached the machine, in Unix milliseconds of the gateway's clock
  * @param tenant the name of its tenant, or an empty string
  * @param className the name of its class
  * @param memoryKb kilobytes reserved for it while it is queued
- * @param rank its rank, from 0 to under 1
- * @param cacheKey the subject of a read, or null
- * @param idempotencyKey what all attempts of one request have in common, or null
- * @param maxWaitMs milliseconds that its caller waits from when it reached the machine, or {@link
+ * @param rank its rank, at least 0 and below 1
+ * @param cacheKey the key of the resource that it reads, or null
+ * @param idempotencyKey the key that all attempts of one request share, or null
+ * @param maxWaitMs milliseconds that its caller waits, from when it reached the machine, or {@link
  *     #NOT_STATED}
- * @param body the body, unchanged
+ * @param body the unchanged body
  */
 public record InboundRequest(
     String id,
@@ -26,15 +26,15 @@
     String idempotencyKey,
     long maxWaitMs,
     byte[] body) {
-  /** The wait of a request that states none. */
+  /** The value of {@link #maxWaitMs} in a request that states none. */
   public static final long NOT_STATED = -1;
 
-  /** Characters of an idempotency key at most. */
+  /** Bounds the characters of an idempotency key. */
   public static final int MAX_KEY_CHARS = 128;
 
-  /** Bytes of a body at most. */
+  /** Bounds the bytes of a body. */
   public static final int MAX_BODY_BYTES = 2048;
 
-  /** Precedes the name of the class in the path. */
+  /** The prefix of a request's path, followed by the name of its class. */
   public static final String PATH_PREFIX = "/call/";
 }
--- a/src/main/java/mothwing/broker/OpenRequests.java
+++ b/src/main/java/mothwing/broker/OpenRequests.java
@@ -8,18 +8,18 @@
 import java.util.Map;
 
 /**
- * The table of all open requests by id, in the order in which they were read. A request stays open
- * while its answer is pending or the pool has a run of it.
+ * The open requests by id, in the order in which they were read. A request is open while its answer
+ * is pending or the pool has a run of it.
  */
 final class OpenRequests {
   private final Map<String, Exchange> byId = new LinkedHashMap<>();
 
-  /** The open request of an id, or null. */
+  /** The open request with this id, or null. */
   Exchange get(String id) {
     return byId.get(id);
   }
 
-  /** Adds a request whose id is not open yet. */
+  /** Adds a request; no open request may have its id. */
   void add(Exchange exchange) {
     byId.put(exchange.request().id(), exchange);
   }
@@ -39,17 +39,17 @@
     return byId.size();
   }
 
-  /** All open requests, as a view that must not be held while requests are added or removed. */
+  /** All open requests, as a view that must not be iterated while requests are added or removed. */
   Collection<Exchange> view() {
     return Collections.unmodifiableCollection(byId.values());
   }
 
-  /** A copy of the table, for loops that add or remove requests. */
+  /** A copy of all open requests, for loops that add or remove requests. */
   List<Exchange> snapshot() {
     return new ArrayList<>(byId.values());
   }
 
-  /** How many requests still wait for their answer. */
+  /** The number of requests that wait for their answer. */
   long pendingCount() {
     return byId.values().stream().filter(Exchange::isPending).count();
   }
--- a/src/main/java/mothwing/broker/PublishedFreeValue.java
+++ b/src/main/java/mothwing/broker/PublishedFreeValue.java
@@ -3,7 +3,7 @@
 import java.util.OptionalDouble;
 import mothwing.control.FreeValue;
 
-/** The free value that goes out with answers; the settings say what it means. */
+/** The free value that is sent with answers; the settings define its meaning. */
 final class PublishedFreeValue {
   private FreeValue meaning;
   private double value;
@@ -12,21 +12,21 @@
     this.meaning = meaning;
   }
 
-  /** Takes the meaning of new settings; a value of another meaning would be misread. */
-  void setMeaning(FreeValue next) {
-    if (next != meaning) {
-      value = next == FreeValue.SHARE ? 1 : 0;
+  /** Sets the meaning; a change resets the value, which callers would misread. */
+  void setMeaning(FreeValue newMeaning) {
+    if (newMeaning != meaning) {
+      value = newMeaning == FreeValue.SHARE ? 1 : 0;
     }
-    meaning = next;
+    meaning = newMeaning;
   }
 
-  void publish(double next) {
-    value = next;
+  void publish(double newValue) {
+    value = newValue;
   }
 
   /**
-   * The value, or none where the settings give it no meaning, or one that the controller does not
-   * fill: callers would read a 0 as a window for no request at all.
+   * The value, or none if the settings give it no meaning. It is also none for a window, which the
+   * controller does not compute: callers would take a 0 for a window that permits no request.
    */
   OptionalDouble value() {
     return meaning == FreeValue.LEVEL || meaning == FreeValue.SHARE
--- a/src/main/java/mothwing/broker/RateLimitedEventLog.java
+++ b/src/main/java/mothwing/broker/RateLimitedEventLog.java
@@ -1,59 +1,59 @@
 package mothwing.broker;
 
 /**
- * Logs why a request was rejected, failed or run again, with its id, at a bounded rate. Lines
- * beyond the bound are counted, and their number is logged before the first line of a later second.
+ * Logs why a request was rejected, failed or run again, with its id, at a bounded rate. Lines that
+ * exceed the rate are counted, and their number is logged before the first line of a later second.
  *
- * <p>Thread: the event loop's.
+ * <p>Used on the event loop's thread only.
  */
 final class RateLimitedEventLog {
-  /** Bounds the cost of logging to a thousandth of a core, at 20 microseconds a line. */
+  /** Bounds the cost of logging to a thousandth of a core, at 20 microseconds per line. */
   static final int MAX_LINES_PER_SECOND = 50;
 
   private static final long MICROS_PER_SECOND = 1_000_000;
 
   private final EventLog log;
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private long second = Long.MIN_VALUE;
-  private int lines;
+  private int linesThisSecond;
   private long suppressed;
 
   /**
-   * Makes one.
+   * Creates a log without suppressed lines.
    *
-   * @param log takes the lines
-   * @param timers the clocks
+   * @param log receives the lines
+   * @param scheduler the clock
    */
-  RateLimitedEventLog(EventLog log, Scheduler timers) {
+  RateLimitedEventLog(EventLog log, Scheduler scheduler) {
     this.log = log;
-    this.timers = timers;
+    this.scheduler = scheduler;
   }
 
   /**
-   * Writes a line about a request, unless this second has had its number of lines.
+   * Writes a line about a request, or counts it as suppressed if the bound is reached.
    *
-   * @param event what happened to it
-   * @param request the request
-   * @param reason why, a code of the counters
+   * @param event the event code of the line
+   * @param exchange the request
+   * @param reason the reason, as a code that counters use too
    */
-  void write(String event, Exchange request, String reason) {
-    long now = Math.floorDiv(timers.now(), MICROS_PER_SECOND);
+  void write(String event, Exchange exchange, String reason) {
+    long now = Math.floorDiv(scheduler.now(), MICROS_PER_SECOND);
     if (now != second) {
       second = now;
-      lines = 0;
+      linesThisSecond = 0;
       if (suppressed > 0) {
         log.write(EventNames.EVENTS_SUPPRESSED + " lines=" + suppressed);
         suppressed = 0;
       }
     }
-    if (lines < MAX_LINES_PER_SECOND) {
-      lines++;
+    if (linesThisSecond < MAX_LINES_PER_SECOND) {
+      linesThisSecond++;
       log.write(
           event
               + " id="
-              + request.request().id()
+              + exchange.request().id()
               + " class="
-              + request.request().className()
+              + exchange.request().className()
               + " reason="
               + reason);
     } else {
--- a/src/main/java/mothwing/broker/RejectionReason.java
+++ b/src/main/java/mothwing/broker/RejectionReason.java
@@ -1,21 +1,21 @@
 package mothwing.broker;
 
 /**
- * Why a request was rejected: nothing of it ran. The codes are part of the names of counters and of
- * log lines; answers carry none.
+ * The reason for rejecting a request of which nothing ran. The codes are part of counter names and
+ * log lines; answers do not carry them.
  */
 enum RejectionReason {
   /** The worker pool has not been connected yet. */
   NOT_READY("not-ready"),
   /** Too many requests are open. */
   TABLE_FULL("table-full"),
-  /** There is no room for another idempotency key. */
+  /** The table of idempotency keys is full. */
   KEYS_FULL("keys-full"),
-  /** The controller asked for the rejection. */
+  /** The controller decided that it is rejected. */
   DECIDED("decided"),
   /** It was read after the grace period of the shutdown. */
   DRAINED("drained"),
-  /** It repeats a request of which nothing ran. */
+  /** It repeats a request that was never run. */
   REPLAYED_NOTHING("replayed-nothing"),
   /** The process lags so far behind that it cannot decide in time. */
   BEHIND("behind");
--- a/src/main/java/mothwing/broker/Replays.java
+++ b/src/main/java/mothwing/broker/Replays.java
@@ -6,8 +6,8 @@
 import mothwing.control.RunOutcome;
 
 /**
- * Repeats of requests with an idempotency key that wait for the result of the original run. A
- * repeat whose original never ran is rejected, since nothing of it ran either.
+ * The repeats of requests with an idempotency key that wait for the result of the original run. A
+ * repeat whose original was never run is rejected, since nothing of it ran either.
  */
 final class Replays {
   private final OpenRequests open;
@@ -30,7 +30,7 @@
     this.counters = counters;
   }
 
-  /** Answers a repeat from the run of its original, now or once that has ended. */
+  /** Answers a repeat with the result of its original, at once or when the original ends. */
   void replay(String id) {
     Exchange repeat = open.get(id);
     if (repeat == null || !repeat.isPending()) {
@@ -43,18 +43,18 @@
     }
   }
 
-  /** Answers the repeats whose original has ended, and drops those that wait no longer. */
+  /** Answers the repeats whose original has ended, and drops those that no longer wait. */
   void answerEnded() {
     for (Map.Entry<String, IdempotencyKeys.Entry> entry :
         new ArrayList<>(originalsByRepeatId.entrySet())) {
       String id = entry.getKey();
       Exchange repeat = open.get(id);
-      boolean waits = repeat != null && repeat.isPending();
-      if (waits && entry.getValue().isPending()) {
+      boolean isWaiting = repeat != null && repeat.isPending();
+      if (isWaiting && entry.getValue().isPending()) {
         continue;
       }
       originalsByRepeatId.remove(id);
-      if (waits) {
+      if (isWaiting) {
         answer(repeat, entry.getValue());
       }
     }
@@ -62,17 +62,17 @@
 
   private void answer(Exchange repeat, IdempotencyKeys.Entry original) {
     counters.add(CounterNames.REPLAYED);
-    boolean good = original.result() != null;
-    if (good) {
+    boolean hasResult = original.result() != null;
+    if (hasResult) {
       answers.complete(repeat, original.result());
-    } else if (original.isRunBegun()) {
+    } else if (original.isRunStarted()) {
       answers.fail(repeat, FailureReason.REPLAYED_FAILURE);
     } else {
       answers.reject(repeat, RejectionReason.REPLAYED_NOTHING, false, 0);
     }
     String id = repeat.request().id();
     open.remove(id);
-    RunOutcome outcome = good ? RunOutcome.SUCCEEDED : RunOutcome.FAILED;
+    RunOutcome outcome = hasResult ? RunOutcome.SUCCEEDED : RunOutcome.FAILED;
     events.enqueue((to, at) -> to.runEnded(at, id, outcome, 0));
   }
 }
--- a/src/main/java/mothwing/broker/RequestAnswers.java
+++ b/src/main/java/mothwing/broker/RequestAnswers.java
@@ -1,8 +1,8 @@
 package mothwing.broker;
 
 /**
- * Answers requests, and counts and logs each answer. An exchange takes only its first answer; what
- * comes later has no effect and is not counted.
+ * Answers requests, and counts and logs each answer. Only the first answer of an exchange is sent;
+ * further ones have no effect and are not counted.
  */
 final class RequestAnswers {
   private final Counters counters;
@@ -32,9 +32,9 @@
    * Rejects a request of which nothing ran.
    *
    * @param exchange the request
-   * @param reason why
-   * @param dontRetry whether no other server should be tried
-   * @param retryAfterMillis how long to stay away, or 0 for no advice
+   * @param reason the reason
+   * @param dontRetry whether the caller should try no other server
+   * @param retryAfterMillis milliseconds after which to retry, or 0 for no advice
    */
   void reject(Exchange exchange, RejectionReason reason, boolean dontRetry, long retryAfterMillis) {
     if (exchange.reject(dontRetry, retryAfterMillis)) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** Fails a request that may have taken effect; a call of its run is abandoned. */
+  /** Fails a request, which may have taken effect; the dependency call of its run is abandoned. */
   void fail(Exchange exchange, FailureReason reason) {
     if (exchange.fail(reason)) {
       calls.abandon(exchange);
@@ -55,7 +55,7 @@
   }
 
   private void count(Exchange exchange, RequestStatistics.End end) {
-    if (exchange.classIndex() >= 0) { // unknown names must not fill the table
+    if (exchange.classIndex() >= 0) { // unknown class names would fill the statistics
       statistics.recordEnd(exchange.request().className(), end);
     }
   }
--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -7,16 +7,16 @@
 import mothwing.control.RequestClass;
 
 /**
- * Takes requests that fronts have read: answers at once what cannot be decided, and reports all
- * else to the controller.
+ * Accepts requests that fronts have read. Requests that need no decision of the controller, such as
+ * invalid ones, are answered at once; all others are reported to the controller.
  */
 final class RequestIntake {
-  /** Requests open at once; the controller never sees those beyond. */
+  /** Bounds the open requests; the controller never sees any beyond the bound. */
   static final int MAX_OPEN_REQUESTS = 4096;
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** How far a gateway's wall clock may be ahead of ours with nothing wrong. */
+  /** The permitted lead of a gateway's wall clock over the clock of this machine. */
   private static final long MAX_CLOCK_LEAD_MILLIS = 1000;
 
   private final BrokerContext context;
@@ -37,7 +37,7 @@
     this.statistics = statistics;
   }
 
-  /** The controller has started; before that all requests are rejected. */
+  /** Starts with the controller; all earlier requests are rejected. */
   void start() {
     ready = true;
   }
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Rejects a request undecided where this process lags too far behind.
+   * Rejects a request without a decision of the controller if this process lags too far behind.
    *
    * @param path the path of the request
-   * @return the milliseconds of its retry advice, or {@link Broker#NOT_OVERLOADED}
+   * @return the retry advice in milliseconds, or {@link Broker#NOT_OVERLOADED}
    */
   long retryAfterIfOverloaded(String path) {
     if (!path.startsWith(InboundRequest.PATH_PREFIX) || !overloadCheck.getAsBoolean()) {
@@ -66,7 +66,7 @@
     return retryAfterMillis();
   }
 
-  /** Takes a request and answers it, or queues it for the controller. */
+  /** Accepts a request, and answers it or queues it for the controller. */
   Exchange submit(InboundRequest request, ResponseSink caller) {
     context.counters().add(CounterNames.REQUESTS_READ);
     RequestClass requestClass = context.settings().findClass(request.className());
@@ -121,9 +121,9 @@
   }
 
   /**
-   * For how long a request lay unread: the one place where wall time becomes a span of the
-   * monotonic clock. The wall clock may have stepped since the arrival; an arrival in the future,
-   * or longer ago than the deadline of its class, is ignored.
+   * The time from a request's arrival to its reading, in microseconds. Only here is wall-clock time
+   * converted to a span of the monotonic clock. Because the wall clock may have been stepped since,
+   * an arrival in the future, or longer ago than the deadline of the class, is ignored.
    */
   private long unreadMicros(InboundRequest request, RequestClass requestClass) {
     long millis = context.scheduler().wallClockMillis() - request.acceptedAtMs();
@@ -136,7 +136,7 @@
     return Math.max(0, millis * MICROS_PER_MILLI);
   }
 
-  /** How long the caller waits from the arrival on, at most the deadline of the class. */
+  /** The time that the caller waits after the arrival, at most the deadline of the class. */
   private static long waitMicros(InboundRequest request, RequestClass requestClass) {
     boolean shorter =
         request.maxWaitMs() != InboundRequest.NOT_STATED
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Reports a request to the controller. Which request it repeats is looked up only here, as those
-   * read before it in the same batch have been decided by now.
+   * Reports a request to the controller. The original of a repeat is looked up only here, because
+   * requests read earlier in the same batch have been decided by now.
    */
   private void deliver(Exchange exchange, Controller to, long at) {
     IdempotencyKeys.Entry original = keys.findOriginal(exchange);
--- a/src/main/java/mothwing/broker/RequestStatistics.java
+++ b/src/main/java/mothwing/broker/RequestStatistics.java
@@ -6,18 +6,18 @@
 import java.util.function.ToLongFunction;
 
 /**
- * What operators see of requests, by class since the process began. It is counted where an exchange
- * comes to its one end, and where a run is first handed to the pool. A class that the settings no
- * longer name keeps its counts.
+ * Request counts by class since the start of the process, for operators. An exchange is counted
+ * when it ends, and a run when it is first handed to the pool. A class that is no longer in the
+ * settings keeps its counts.
  */
 public final class RequestStatistics {
-  /** Classes that are counted apart; those beyond are counted under {@link #OTHERS}. */
+  /** Bounds the classes with own counts; any further class is counted as {@link #OTHERS}. */
   static final int MAX_CLASSES = 256;
 
-  /** Stands for all classes beyond the bound. */
+  /** The common name of all classes beyond the bound. */
   static final String OTHERS = "others";
 
-  /** How an exchange ended, in the words of the figures. */
+  /** How an exchange ended; the lower-case names are keys of the snapshot. */
   enum End {
     COMPLETED,
     REJECTED,
@@ -39,7 +39,7 @@
     return rows.computeIfAbsent(rows.size() < MAX_CLASSES ? className : OTHERS, name -> new Row());
   }
 
-  /** A class is known from now on, with counts of 0 where it is new. */
+  /** Adds a class with counts of 0, unless it is known. */
   void register(String className) {
     row(className);
   }
@@ -52,14 +52,14 @@
     row(className).runs++;
   }
 
-  /** All counts by name and class, in the order in which the classes came. */
+  /** All counts by name and class, in the order in which the classes were added. */
   Map<String, Object> snapshot() {
-    Map<String, Object> all = new LinkedHashMap<>();
+    Map<String, Object> snapshot = new LinkedHashMap<>();
     for (End end : End.values()) {
-      all.put(end.name().toLowerCase(Locale.ROOT), byClass(row -> row.ends[end.ordinal()]));
+      snapshot.put(end.name().toLowerCase(Locale.ROOT), byClass(row -> row.ends[end.ordinal()]));
     }
-    all.put("upstream_requests", byClass(row -> row.runs));
-    return all;
+    snapshot.put("upstream_requests", byClass(row -> row.runs));
+    return snapshot;
   }
 
   private Map<String, Long> byClass(ToLongFunction<Row> count) {
--- a/src/main/java/mothwing/broker/ResponseSink.java
+++ b/src/main/java/mothwing/broker/ResponseSink.java
@@ -1,7 +1,7 @@
 package mothwing.broker;
 
 /**
- * Takes the answer to a request; each exchange calls exactly one of these methods, at most once.
+ * Sends the answer to a request. For each exchange at most one of these methods is called, once.
  */
 public interface ResponseSink {
   /**
@@ -14,15 +14,15 @@
   /**
    * Answers that the request was rejected and never ran.
    *
-   * @param finalAnswer whether no other server should be tried
-   * @param retryAfterMillis milliseconds before the caller should return, or 0
+   * @param finalAnswer whether the caller should try no other server
+   * @param retryAfterMillis milliseconds after which the caller may retry, or 0 for no advice
    */
   void sendRejection(boolean finalAnswer, long retryAfterMillis);
 
   /**
    * Answers that the request failed; it may have taken effect.
    *
-   * @param code the reason, as it is sent
+   * @param code the reason code to send
    */
   void sendFailure(String code);
 }
--- a/src/main/java/mothwing/broker/RunAdmission.java
+++ b/src/main/java/mothwing/broker/RunAdmission.java
@@ -1,9 +1,9 @@
 package mothwing.broker;
 
 /**
- * Whether a request may be run in this process, whatever the controller decides: at most one
- * attempt per idempotency key among all processes at this address, and nothing after the grace
- * period of a shutdown. A request that may not run is answered here.
+ * Enforces the limits on runs that hold regardless of the controller: at most one attempt per
+ * idempotency key is run among all processes at this address, and no request that was read after
+ * the grace period of a shutdown. A request that may not run is answered here.
  */
 final class RunAdmission {
   private static final long MICROS_PER_MILLI = 1000;
@@ -26,14 +26,15 @@
     claims = shared;
   }
 
-  /** Whether a request may be run; otherwise it has been answered. */
+  /** Returns whether a request may be run; otherwise it has been answered. */
   boolean admit(Exchange exchange) {
     if (keys.originalRan(exchange)) {
-      answers.fail(exchange, FailureReason.RAN_BEFORE); // it has to be answered from that run
+      // only the result of that run may answer it
+      answers.fail(exchange, FailureReason.RAN_BEFORE);
       return false;
     }
     if (!shutdown.mayStillRun(exchange.readAt())) {
-      long retryAfter = shutdown.retryAfter(context.settings().maxRetryAfterMicros());
+      long retryAfter = shutdown.allowedRetryAfter(context.settings().maxRetryAfterMicros());
       answers.reject(exchange, RejectionReason.DRAINED, false, retryAfter / MICROS_PER_MILLI);
       return false;
     }
@@ -41,12 +42,12 @@
   }
 
   private boolean claim(Exchange exchange) {
-    long span =
+    long spanMicros =
         exchange.arrivedAt()
             + exchange.idempotencyWindow()
             + IdempotencyKeys.READ_DELAY_MICROS
             - context.scheduler().now();
-    RunClaims.Claim claim = claims.claim(IdempotencyKey.of(exchange).claimText(), span);
+    RunClaims.Claim claim = claims.claim(IdempotencyKey.of(exchange).claimText(), spanMicros);
     switch (claim) {
       case HELD -> answers.fail(exchange, FailureReason.RAN_BESIDE);
       case UNKNOWN -> answers.fail(exchange, FailureReason.CLAIM_UNKNOWN);
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -5,7 +5,7 @@
 import mothwing.control.RunOutcome;
 import mothwing.control.StopMode;
 
-/** Starts, resumes and stops runs in the pool, and takes their ends. */
+/** Starts, resumes and stops runs in the pool, and handles their ends. */
 final class RunLifecycle implements RunReconciler.Actions {
   private final BrokerContext context;
   private final IdempotencyKeys keys;
@@ -17,16 +17,16 @@
   private final LongSupplier sentPolls;
 
   /**
-   * Makes one.
+   * Creates the lifecycle of all runs of one broker.
    *
-   * @param context what the parts of the broker share
+   * @param context the state that the parts of the broker share
    * @param keys the idempotency keys
-   * @param admission decides whether a request may run here
+   * @param admission the limits on runs in this process
    * @param answers answers requests
    * @param calls the dependency calls of runs
    * @param replays the repeats that wait for the end of a run
-   * @param statistics counts requests that were handed to the pool
-   * @param sentPolls how many polls the pool has been sent
+   * @param statistics counts the requests that were handed to the pool
+   * @param sentPolls the number of polls that were sent to the pool
    */
   RunLifecycle(
       BrokerContext context,
@@ -55,8 +55,9 @@
     }
     if (exchange.state() == Exchange.State.PAUSED) {
       resume(exchange);
-    } else if (exchange.hasRunForGood()) {
-      answers.fail(exchange, FailureReason.RAN_BEFORE); // the aborted run may have had its effect
+    } else if (exchange.mustNotRunAgain()) {
+      // the aborted run may have taken effect
+      answers.fail(exchange, FailureReason.RAN_BEFORE);
       context.open().removeUnlessInPool(exchange);
     } else if (admission.admit(exchange)) {
       context.counters().add(CounterNames.RUNS_STARTED);
@@ -79,15 +80,13 @@
     }
   }
 
-  /**
-   * Reports the end of a start that was not carried out, as the controller counts it as running.
-   */
+  /** Reports the end of a run that was not started, since the controller counts it as running. */
   private void reportNotStarted(String id) {
     context.open().remove(id);
     context.events().enqueue((to, at) -> to.runEnded(at, id, RunOutcome.NOT_STARTED, 0));
   }
 
-  /** Stops a run as the stop mode of the settings says. */
+  /** Stops a run in the stop mode of the settings. */
   void stop(String id) {
     Exchange exchange = context.open().get(id);
     if (exchange != null && exchange.isInPool() && !exchange.run().isStopping()) {
@@ -97,7 +96,7 @@
     }
   }
 
-  /** The pool reports the end of a run; the result is there where it succeeded. */
+  /** Handles the pool's report of the end of a run; the result is null unless it succeeded. */
   void ended(String id, RunOutcome outcome, long tookMicros, byte[] result) {
     context.counters().add(CounterNames.RUN_ENDED_PREFIX + outcome.name().toLowerCase(Locale.ROOT));
     Exchange exchange = context.open().get(id);
@@ -107,8 +106,9 @@
     }
     calls.abandon(exchange);
     if (outcome == RunOutcome.STOPPED && wasStoppedToProbe(exchange)) {
+      // the stop is not reported, as the controller did not request it
       exchange.runStopped(true);
-      resume(exchange); // the controller need not know
+      resume(exchange);
       return;
     }
     if (outcome == RunOutcome.STOPPED) {
@@ -127,7 +127,7 @@
     replays.answerEnded();
   }
 
-  /** Whether a run was stopped only to find out whether the pool has it. */
+  /** Whether a run was stopped only to determine whether the pool has it. */
   private boolean wasStoppedToProbe(Exchange exchange) {
     return exchange.isPending() && !exchange.run().isStopping() && stopMode() == StopMode.SUSPEND;
   }
@@ -146,24 +146,24 @@
   }
 
   @Override
-  public void retryStart(Exchange run) {
+  public void retryStart(Exchange exchange) {
     context.counters().add(CounterNames.RUNS_RETRIED);
-    context.reasons().write(EventNames.RUN_RETRIED, run, "reconnected");
-    dispatch(run);
+    context.reasons().write(EventNames.RUN_RETRIED, exchange, "reconnected");
+    dispatch(exchange);
   }
 
   @Override
-  public void deliverCallResult(Exchange run) {
-    calls.resume(run, run.call().unsentResult());
+  public void deliverCallResult(Exchange exchange) {
+    calls.resume(exchange, exchange.call().unsentResult());
   }
 
   @Override
-  public void abort(Exchange run) {
-    stop(run.request().id());
+  public void abort(Exchange exchange) {
+    stop(exchange.request().id());
   }
 
   @Override
-  public void giveUp(Exchange run) {
-    ended(run.request().id(), RunOutcome.NOT_STARTED, 0, null);
+  public void giveUp(Exchange exchange) {
+    ended(exchange.request().id(), RunOutcome.NOT_STARTED, 0, null);
   }
 }
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -5,68 +5,68 @@
 import mothwing.control.StopMode;
 
 /**
- * Reconciles the runs that are in doubt: those whose last command, or whose end, may have been lost
- * with a connection to the worker pool.
+ * Reconciles the runs in doubt after a reconnect to the worker pool: those whose last command, or
+ * whose end, may have been lost with the previous connection.
  *
- * <p>Invariant: a run has ended only once the pool has reported so. The absence of a report proves
- * nothing, since a pool whose cores hang goes on answering polls. Until that report a run counts as
- * running for the controller, however many connections come and go.
+ * <p>Invariant: a run has ended only when the pool has reported its end. The absence of a report
+ * proves nothing, since a pool whose cores hang still answers polls. Until that report the
+ * controller counts the run as running, regardless of the number of reconnects.
  *
  * <table>
- * <caption>What the pool is asked, by what is known of the run</caption>
- * <tr><th>run</th><th>question</th><th>report that decides</th></tr>
- * <tr><td>being stopped</td><td>the stop again; without a report before the answer to a later poll
- * also the start, which does nothing to a run, and finds a request that has ended
- * {@code stale}</td><td>aborted, done, crashed, stale</td></tr>
- * <tr><td>paused and resumed</td><td>the resume again</td><td>its end</td></tr>
- * <tr><td>started; idempotent, or never put on a connection</td><td>the start again</td>
+ * <caption>The commands that are sent again, by what is known of the run</caption>
+ * <tr><th>run</th><th>command</th><th>report that resolves the doubt</th></tr>
+ * <tr><td>being stopped</td><td>the stop; if no report precedes the answer to a later poll, also
+ * the start, which has no effect on an existing run and makes the pool report a request that has
+ * ended as {@code stale}</td><td>aborted, done, crashed, stale</td></tr>
+ * <tr><td>paused and resumed</td><td>the resume</td><td>its end</td></tr>
+ * <tr><td>started; idempotent, or never written to a connection</td><td>the start</td>
  * <td>its end</td></tr>
- * <tr><td>started; at most once</td><td>a stop: a report that it was stopped shows that it ran, and
- * it is resumed; without a report, the start again</td><td>its end</td></tr>
+ * <tr><td>started; at most once</td><td>a stop: a report that it was stopped proves that it ran,
+ * and it is resumed; without a report, the start</td><td>its end</td></tr>
  * </table>
  *
- * <p>Thread: the event loop. It holds no request of its own.
+ * <p>Used on the event loop's thread only. Holds no request of its own.
  */
 final class RunReconciler {
-  /** What is done about a run in doubt. */
+  /** The actions on runs in doubt. */
   interface Actions {
     /** Sends the start of a run again. */
-    void retryStart(Exchange run);
+    void retryStart(Exchange exchange);
 
-    /** Resumes a run with the answer to its call that no connection has carried yet. */
-    void deliverCallResult(Exchange run);
+    /** Resumes a run with the answer to its call that was not written to a connection yet. */
+    void deliverCallResult(Exchange exchange);
 
     /** Aborts a run. */
-    void abort(Exchange run);
+    void abort(Exchange exchange);
 
     /** Gives up a lost run. */
-    void giveUp(Exchange run);
+    void giveUp(Exchange exchange);
   }
 
-  /** The echo of the poll that follows the questions about runs in doubt. */
-  private static final String DOUBT_POLL = "resolve";
+  /** The echo of the poll that follows the queries about runs in doubt. */
+  private static final String DOUBT_POLL_ECHO = "resolve";
 
-  /** The echo of a poll for whether anything is runnable. */
-  private static final String IDLE_POLL = "idle";
+  /** The echo of a poll for whether any thread of the pool is runnable. */
+  private static final String IDLE_POLL_ECHO = "idle";
 
-  /** The echoes of {@link #nextPoll}; a pool may send any other. */
-  private static final Pattern NUMBERED = Pattern.compile("t[0-9]{1,18}");
+  /** Matches the echoes of {@link #nextPoll}; a pool may send any other text. */
+  private static final Pattern NUMBERED_ECHO = Pattern.compile("t[0-9]{1,18}");
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** When a poll without an answer is repeated: ten round trips of a busy machine. */
+  /** The delay before an unanswered poll is repeated: ten round trips on a busy machine. */
   private static final long REPEAT_POLL_MICROS = 300 * MICROS_PER_MILLI;
 
-  /** When a stop without effect is repeated, as cores that hung may work again. */
+  /** The delay before a stop without effect is repeated, as cores that hung may have recovered. */
   static final long REPEAT_STOP_MICROS = 500 * MICROS_PER_MILLI;
 
-  /** How long past its deadline the end of a run counts as lost. */
+  /** The time after its request's deadline from which the end of a run counts as lost. */
   private static final long END_LOST_MICROS = 10_000 * MICROS_PER_MILLI;
 
-  /** The interval of polls for whether anything is runnable, while the end of a run is lost. */
+  /** The interval of polls for whether any thread is runnable, while the end of a run is lost. */
   private static final long IDLE_POLL_INTERVAL_MICROS = 100 * MICROS_PER_MILLI;
 
-  /** Idle answers in a row that prove that nothing runs; a run may wait for a disk at one. */
+  /** Consecutive idle answers that prove that nothing runs; at one, a run may wait for a disk. */
   private static final int REQUIRED_IDLE_ANSWERS = 3;
 
   /** The interval of probes for a run whose end is lost. */
@@ -80,22 +80,22 @@
   private final Actions actions;
   private long sentPolls;
   private long lastAnsweredPoll;
-  private boolean awaitsDoubtAnswer;
-  private long questionsSentAt;
-  private long pollsBeforeQuestions; // polls sent before the questions
+  private boolean awaitingDoubtAnswer;
+  private long queriesSentAt;
+  private long pollsBeforeQueries;
   private long idlePolledAt;
   private int idleAnswers;
   private int runsWithLostEnd;
 
   /**
-   * Makes one.
+   * Creates a reconciler without runs in doubt.
    *
    * @param open the open requests
-   * @param pool has the runs
-   * @param counters counts questions
-   * @param log takes a line for each change
-   * @param stopMode what the pool does with stopped runs, by the settings in force
-   * @param actions what is done about a run in doubt
+   * @param pool the worker pool that has the runs
+   * @param counters the counters of probes and lost runs
+   * @param log receives the log lines
+   * @param stopMode the stop mode of the settings in force
+   * @param actions the actions on runs in doubt
    */
   RunReconciler(
       OpenRequests open,
@@ -112,24 +112,24 @@
     this.actions = actions;
   }
 
-  /** How many polls were sent; a command is in doubt until a later poll is answered. */
+  /** The number of polls sent; a command is in doubt until a later poll is answered. */
   long sentPolls() {
     return sentPolls;
   }
 
-  /** The echo of a further poll. */
+  /** Counts another poll and returns its echo. */
   String nextPoll() {
     return "t" + ++sentPolls;
   }
 
   /**
-   * All missed notices have been read on a new connection. Commands sent since the last poll that
-   * was answered may have been lost with the previous one.
+   * Reconciles all runs after the missed notices have been read on a new connection. Commands sent
+   * since the last answered poll may have been lost with the previous connection.
    */
   void resynchronized(long now) {
     int inDoubt = 0;
-    for (Exchange run : open.view()) {
-      inDoubt += reconcile(run) ? 1 : 0;
+    for (Exchange exchange : open.view()) {
+      inDoubt += reconcile(exchange) ? 1 : 0;
     }
     log.write(
         EventNames.POOL_RESYNCHRONIZED
@@ -143,164 +143,169 @@
   }
 
   /**
-   * Repeats the command about a run that the pool may not have received. Returns whether the run is
-   * in doubt until the pool reports.
+   * Repeats the last command for a run if the pool may not have received it. Returns whether the
+   * run is in doubt until the next report of the pool.
    */
-  private boolean reconcile(Exchange run) {
-    boolean mayBeLost = run.run().pollsBeforeCommand() >= lastAnsweredPoll;
-    if (run.isInPool() && run.run().isStopping()) {
-      return markInDoubt(run);
-    } else if (run.call().isAnswerUnsent()) {
-      actions.deliverCallResult(run);
-    } else if (run.call().content() != null) {
-      counters.add(CounterNames.CALLS_AWAITED_AT_RECONNECT); // no command was sent since
-    } else if (run.call().isAnswerSent() && mayBeLost) {
-      if (run.isIdempotent() && stopMode.get() == StopMode.ABORT) {
-        actions.abort(run); // the result is not repeated, as the run may await its next call by now
+  private boolean reconcile(Exchange exchange) {
+    boolean mayBeLost = exchange.run().pollsBeforeCommand() >= lastAnsweredPoll;
+    if (exchange.isInPool() && exchange.run().isStopping()) {
+      return markInDoubt(exchange);
+    } else if (exchange.call().isAnswerUnsent()) {
+      actions.deliverCallResult(exchange);
+    } else if (exchange.call().content() != null) {
+      // the run reported the call after its last command, so no command is lost
+      counters.add(CounterNames.CALLS_AWAITED_AT_RECONNECT);
+    } else if (exchange.call().isAnswerSent() && mayBeLost) {
+      if (exchange.isIdempotent() && stopMode.get() == StopMode.ABORT) {
+        // the result is not sent again, because the run may already await its next call
+        actions.abort(exchange);
       }
-    } else if (run.isInPool() && run.state() == Exchange.State.RUNNING && mayBeLost) {
-      return reconcileRunning(run);
-    } else if (run.isInPool() && !run.isPending() && mayBeLost) {
-      return markInDoubt(run); // not stopped, as runs cannot be; its start may be lost
+    } else if (exchange.isInPool() && exchange.state() == Exchange.State.RUNNING && mayBeLost) {
+      return reconcileRunning(exchange);
+    } else if (exchange.isInPool() && !exchange.isPending() && mayBeLost) {
+      // it was not stopped, as the pool cannot stop runs; its start may be lost
+      return markInDoubt(exchange);
     }
     return false;
   }
 
-  private boolean reconcileRunning(Exchange run) {
-    if (run.run().isBegun()) {
-      run.runResumed(sentPolls);
-      pool.resumeRun(run.request().id());
-    } else if (run.isIdempotent() || !run.run().isSent()) {
-      actions.retryStart(run);
+  private boolean reconcileRunning(Exchange exchange) {
+    if (exchange.run().isKnownToHaveRun()) {
+      exchange.runResumed(sentPolls);
+      pool.resumeRun(exchange.request().id());
+    } else if (exchange.isIdempotent() || !exchange.run().isSent()) {
+      actions.retryStart(exchange);
     } else if (stopMode.get() == StopMode.SUSPEND) {
-      return markInDoubt(run);
-    } // else a stop would abort it: it waits for its end or its deadline
+      return markInDoubt(exchange);
+    }
+    // a stop would abort it, so it is left until its end or its deadline
     return false;
   }
 
-  private boolean markInDoubt(Exchange run) {
-    run.run().setInDoubt(true);
+  private boolean markInDoubt(Exchange exchange) {
+    exchange.run().setInDoubt(true);
     if (stopMode.get() != StopMode.NONE) {
-      pool.stopRun(run.request().id());
+      pool.stopRun(exchange.request().id());
     }
     return true;
   }
 
   private void sendDoubtPoll(long now) {
-    awaitsDoubtAnswer = true;
-    questionsSentAt = now;
-    pollsBeforeQuestions = sentPolls;
-    pool.requestGauges(DOUBT_POLL);
+    awaitingDoubtAnswer = true;
+    queriesSentAt = now;
+    pollsBeforeQueries = sentPolls;
+    pool.requestGauges(DOUBT_POLL_ECHO);
   }
 
   /**
-   * The pool has answered a poll, so it has read all commands sent before.
+   * Handles the answer to a poll, which proves that the pool has read all commands sent before it.
    *
    * @param echo the echo of the poll
-   * @param runnable the number of runnable threads, or -1 where it is unknown
+   * @param runnable the number of runnable threads, or -1 if it is unknown
    */
   void pollAnswered(String echo, double runnable) {
-    if (echo.equals(IDLE_POLL)) {
+    if (echo.equals(IDLE_POLL_ECHO)) {
       idleAnswers = runnable == 0 ? idleAnswers + 1 : 0;
       return;
     }
-    long number = number(echo);
+    long number = pollNumber(echo);
     lastAnsweredPoll = Math.max(lastAnsweredPoll, number);
-    if (awaitsDoubtAnswer && (echo.equals(DOUBT_POLL) || number > pollsBeforeQuestions)) {
-      awaitsDoubtAnswer = false;
+    if (awaitingDoubtAnswer && (echo.equals(DOUBT_POLL_ECHO) || number > pollsBeforeQueries)) {
+      awaitingDoubtAnswer = false;
       resolve();
     }
   }
 
-  /** The number of a poll of {@link #nextPoll} that has been sent, or -1. */
-  private long number(String echo) {
-    if (!NUMBERED.matcher(echo).matches()) {
+  /** The number of the poll with this echo, or -1 unless {@link #nextPoll} returned the echo. */
+  private long pollNumber(String echo) {
+    if (!NUMBERED_ECHO.matcher(echo).matches()) {
       return -1;
     }
     long number = Long.parseLong(echo, 1, echo.length(), 10);
     return number <= sentPolls ? number : -1;
   }
 
-  /** The pool has read all questions, and did not report the runs that are still in doubt. */
+  /** Resolves the runs still in doubt, as the pool has read all queries without reporting them. */
   private void resolve() {
-    for (Exchange run : open.snapshot()) {
-      if (!run.run().isInDoubt()) {
+    for (Exchange exchange : open.snapshot()) {
+      if (!exchange.run().isInDoubt()) {
         continue;
       }
-      run.run().setInDoubt(false);
-      if (run.isPending()) {
-        actions.retryStart(run);
+      exchange.run().setInDoubt(false);
+      if (exchange.isPending()) {
+        actions.retryStart(exchange);
       } else {
-        probe(run);
+        probe(exchange);
       }
     }
   }
 
   /**
-   * Asks by a start whether the pool has a run of a request that has ended: it reports the request
-   * as stale, or does nothing to the run.
+   * Probes for the run of a request that has ended by sending its start: the pool either reports
+   * the request as stale, or has the run and ignores the command.
    */
-  private void probe(Exchange run) {
+  private void probe(Exchange exchange) {
     counters.add(CounterNames.RUNS_PROBED);
-    log.write(EventNames.RUN_IN_DOUBT + " id=" + run);
-    boolean runsOnceAtMost =
-        run.isIdempotent()
-            || stopMode.get() != StopMode.ABORT; // an abort under way may have thrown its work away
-    if (runsOnceAtMost) {
-      pool.startRun(run);
+    log.write(EventNames.RUN_IN_DOUBT + " id=" + exchange);
+    // an abort in progress may discard the work, after which the start would run it again
+    boolean isStartSafe = exchange.isIdempotent() || stopMode.get() != StopMode.ABORT;
+    if (isStartSafe) {
+      pool.startRun(exchange);
     }
     if (stopMode.get() != StopMode.NONE) {
-      pool.stopRun(run.request().id());
+      pool.stopRun(exchange.request().id());
     }
   }
 
-  /** The connection is lost; the questions are sent again after the next resynchronization. */
+  /** Discards the pending polls; the queries are sent again after the next resynchronization. */
   void poolDisconnected() {
-    awaitsDoubtAnswer = false;
+    awaitingDoubtAnswer = false;
     idleAnswers = 0;
   }
 
-  /** Repeats polls without an answer and stops without effect, and looks for lost runs. */
+  /** Repeats unanswered polls and stops without effect, and detects lost runs. */
   void watch(long now) {
     if (!pool.isReady()) {
       return;
     }
-    if (awaitsDoubtAnswer && now - questionsSentAt >= REPEAT_POLL_MICROS) {
-      questionsSentAt = now;
-      pool.requestGauges(DOUBT_POLL);
+    if (awaitingDoubtAnswer && now - queriesSentAt >= REPEAT_POLL_MICROS) {
+      queriesSentAt = now;
+      pool.requestGauges(DOUBT_POLL_ECHO);
     }
     runsWithLostEnd = 0;
-    for (Exchange run : open.snapshot()) {
-      repeatStop(run, now);
-      if (!run.isPending() && now >= run.deadline() + END_LOST_MICROS) {
-        endIsLost(run, now);
+    for (Exchange exchange : open.snapshot()) {
+      repeatStop(exchange, now);
+      if (!exchange.isPending() && now >= exchange.deadline() + END_LOST_MICROS) {
+        handleLostEnd(exchange, now);
       }
     }
     if (runsWithLostEnd > 0 && now - idlePolledAt >= IDLE_POLL_INTERVAL_MICROS) {
       idlePolledAt = now;
-      pool.requestGauges(IDLE_POLL);
+      pool.requestGauges(IDLE_POLL_ECHO);
     }
   }
 
-  private void repeatStop(Exchange run, long now) {
-    if (run.isInPool() && run.run().isStopping() && now >= run.run().repeatStopAt()) {
-      run.run().setRepeatStopAt(now + REPEAT_STOP_MICROS);
-      pool.stopRun(run.request().id());
+  private void repeatStop(Exchange exchange, long now) {
+    if (exchange.isInPool()
+        && exchange.run().isStopping()
+        && now >= exchange.run().repeatStopAt()) {
+      exchange.run().setRepeatStopAt(now + REPEAT_STOP_MICROS);
+      pool.stopRun(exchange.request().id());
     }
   }
 
-  private void endIsLost(Exchange run, long now) {
+  private void handleLostEnd(Exchange exchange, long now) {
     if (idleAnswers >= REQUIRED_IDLE_ANSWERS) {
       counters.add(CounterNames.LOST_RUNS);
-      log.write(EventNames.LOST_RUN + " id=" + run);
-      actions.giveUp(run);
+      log.write(EventNames.LOST_RUN + " id=" + exchange);
+      actions.giveUp(exchange);
       return;
     }
     runsWithLostEnd++;
-    if (now >= run.deadline() + END_LOST_MICROS + PROBE_INTERVAL_MICROS
-        && now >= run.run().probeAt()) {
-      run.run().setProbeAt(now + PROBE_INTERVAL_MICROS);
-      probe(run);
+    if (now >= exchange.deadline() + END_LOST_MICROS + PROBE_INTERVAL_MICROS
+        && now >= exchange.run().probeAt()) {
+      exchange.run().setProbeAt(now + PROBE_INTERVAL_MICROS);
+      probe(exchange);
     }
   }
 }
--- a/src/main/java/mothwing/broker/RunRecord.java
+++ b/src/main/java/mothwing/broker/RunRecord.java
@@ -1,22 +1,22 @@
 package mothwing.broker;
 
 /**
- * What is known of the run of one request in the pool, and which commands about it the pool may not
- * have received. Only {@link Exchange} changes it as events come; {@link RunReconciler} marks doubt
- * and paces its questions.
+ * The known state of the run of one request in the pool, and whether the pool may have missed its
+ * last command. {@link Exchange} updates it on events; {@link RunReconciler} marks doubt and
+ * schedules the repetition of stops and probes.
  */
 final class RunRecord {
   private boolean started;
   private boolean inPool;
   private boolean sent;
-  private boolean begun;
+  private boolean knownToHaveRun;
   private boolean stopping;
   private boolean inDoubt;
   private long pollsBeforeCommand;
   private long repeatStopAt;
   private long probeAt;
 
-  /** Whether a start was ever asked for, so that the request may have had its effect. */
+  /** Whether the run was ever started, so that the request may have taken effect. */
   boolean hasStarted() {
     return started;
   }
@@ -26,22 +26,22 @@
     return inPool;
   }
 
-  /** Whether a start was ever put on a connection; if not, the pool cannot have run it. */
+  /** Whether a start was ever written to a connection; if not, the pool cannot have run it. */
   boolean isSent() {
     return sent;
   }
 
-  /** Whether the pool is known to have begun the run. */
-  boolean isBegun() {
-    return begun;
+  /** Whether the pool is known to have run it, as it reported the run as paused. */
+  boolean isKnownToHaveRun() {
+    return knownToHaveRun;
   }
 
-  /** Whether a stop was asked for, and no end was reported since. */
+  /** Whether a stop was sent, and no end was reported since. */
   boolean isStopping() {
     return stopping;
   }
 
-  /** Whether the last command may be lost, so that the next report of the pool decides. */
+  /** Whether the last command may be lost, until the next report of the pool. */
   boolean isInDoubt() {
     return inDoubt;
   }
@@ -50,12 +50,12 @@
     inDoubt = doubt;
   }
 
-  /** How many polls had been sent before the last command. */
+  /** The number of polls that were sent before the last command. */
   long pollsBeforeCommand() {
     return pollsBeforeCommand;
   }
 
-  /** From when on a stop without effect is to be repeated. */
+  /** The time from which a stop without effect is repeated. */
   long repeatStopAt() {
     return repeatStopAt;
   }
@@ -64,7 +64,7 @@
     repeatStopAt = at;
   }
 
-  /** From when on the pool may be asked again whether it has the run. */
+  /** The time from which the pool may be probed for the run again. */
   long probeAt() {
     return probeAt;
   }
@@ -73,7 +73,7 @@
     probeAt = at;
   }
 
-  /** A start was asked for. Returns whether it was put on a connection for the first time. */
+  /** Records a start. Returns whether it was written to a connection for the first time. */
   boolean start(long polls, boolean connected) {
     boolean first = connected && !sent;
     started = true;
@@ -97,18 +97,18 @@
     repeatStopAt = repeatAt;
   }
 
-  /** The pool has reported the run, so its start was not lost. */
+  /** Records that the pool has reported the run, so that its start was not lost. */
   void confirm() {
     sent = true;
     inDoubt = false;
   }
 
-  /** The pool has stopped the run; it keeps a paused run, and drops an aborted one. */
-  void stopped(boolean paused, boolean stillWanted) {
+  /** Records that the pool has stopped the run: a paused run is kept, an aborted one is dropped. */
+  void stopped(boolean paused, boolean answerPending) {
     stopping = false;
-    begun = paused;
+    knownToHaveRun = paused;
     inDoubt = false;
-    inPool = paused && stillWanted;
+    inPool = paused && answerPending;
   }
 
   void end() {
--- a/src/main/java/mothwing/broker/Scheduler.java
+++ b/src/main/java/mothwing/broker/Scheduler.java
@@ -1,6 +1,6 @@
 package mothwing.broker;
 
-/** The clocks, and delayed work. All work runs on the one thread that owns the broker. */
+/** The clocks and timers of the broker. All work runs on the one thread that owns the broker. */
 public interface Scheduler {
   /** Microseconds of the monotonic clock. */
   long now();
@@ -9,11 +9,11 @@
   long wallClockMillis();
 
   /**
-   * Runs work at a time of the monotonic clock, or as soon as possible where that has passed; never
-   * at once.
+   * Schedules work for a time of the monotonic clock, or for as soon as possible if that time has
+   * passed. The work never runs within this call.
    *
-   * @param at the time
-   * @param work what to do
+   * @param at the time, in microseconds
+   * @param work the work to run
    */
   void schedule(long at, Runnable work);
 }
--- a/src/main/java/mothwing/broker/ShutdownSequence.java
+++ b/src/main/java/mothwing/broker/ShutdownSequence.java
@@ -1,8 +1,8 @@
 package mothwing.broker;
 
 /**
- * Carries out a requested shutdown: closes admission at the right time by telling the controller,
- * and logs changes of the rotation.
+ * Carries out a requested shutdown: reports it to the controller when admission is to close, and
+ * logs changes of the rotation.
  */
 final class ShutdownSequence {
   private static final long MICROS_PER_MILLI = 1000;
@@ -16,7 +16,7 @@
     this.state = state;
   }
 
-  /** The controller has started; a shutdown that was requested before is reported to it now. */
+  /** Starts with the controller, and reports to it a shutdown that was requested before. */
   void controllerStarted() {
     controllerStarted = true;
     if (state.isDraining()) {
@@ -24,27 +24,27 @@
     }
   }
 
-  /** Takes the server out of rotation or puts it back; false once a shutdown was requested. */
-  boolean setOutOfRotation(boolean now) {
-    boolean before = state.isOutOfRotation();
-    if (!state.setOutOfRotation(now)) {
+  /** Takes the server out of rotation or puts it back; false after a shutdown was requested. */
+  boolean setOutOfRotation(boolean outOfRotation) {
+    boolean wasOutOfRotation = state.isOutOfRotation();
+    if (!state.setOutOfRotation(outOfRotation)) {
       return false;
     }
-    if (now != before) {
-      log(now ? EventNames.OUT_OF_ROTATION : EventNames.IN_ROTATION, "");
+    if (outOfRotation != wasOutOfRotation) {
+      log(outOfRotation ? EventNames.OUT_OF_ROTATION : EventNames.IN_ROTATION, "");
     }
     return true;
   }
 
   /** Requests the shutdown; only the first request counts. Times are of the monotonic clock. */
-  void request(long noticeAt, long stopAt, boolean handover) {
+  void request(long requestedAt, long stopAt, boolean handover) {
     if (state.isDraining()) {
       return;
     }
-    long grace = context.settings().settings().limits().drainGracePeriod();
-    state.begin(noticeAt, stopAt, grace, handover);
-    long leftMillis = (stopAt - noticeAt) / MICROS_PER_MILLI;
-    log(EventNames.SHUTDOWN_REQUESTED, " stop_ms=" + leftMillis + " handover=" + handover);
+    long gracePeriod = context.settings().settings().limits().drainGracePeriod();
+    state.begin(requestedAt, stopAt, gracePeriod, handover);
+    long remainingMillis = (stopAt - requestedAt) / MICROS_PER_MILLI;
+    log(EventNames.SHUTDOWN_REQUESTED, " stop_ms=" + remainingMillis + " handover=" + handover);
     if (!controllerStarted) {
       return;
     }
--- a/src/main/java/mothwing/broker/ShutdownState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -1,33 +1,33 @@
 package mothwing.broker;
 
 /**
- * Whether this process serves, is out of rotation, hands over to another at the same address, or
- * shuts down; and what that means for admission, health checks and retry advice. Times are
- * microseconds of the monotonic clock.
+ * Holds whether this process serves, is out of rotation, hands over to another process at the same
+ * address, or shuts down, and derives the effect on admission, health checks and retry advice.
+ * Times are microseconds of the monotonic clock.
  */
 final class ShutdownState {
   /** The kind of shutdown. */
   enum Mode {
-    /** None was requested. */
+    /** No shutdown was requested. */
     NONE,
-    /** Another process takes clients at the same address; nothing may keep them away. */
+    /** Another process serves clients at the same address; they must not be kept away. */
     HANDING_OVER,
-    /** The server ends. */
+    /** The server leaves, and no other process serves its clients. */
     LEAVING
   }
 
   private Mode mode = Mode.NONE;
   private boolean outOfRotation;
-  private long noticeAt;
+  private long requestedAt;
   private long stopAt;
-  private long grace;
+  private long gracePeriod;
 
-  /** Takes the server out of rotation or puts it back; false once a shutdown was requested. */
-  boolean setOutOfRotation(boolean now) {
+  /** Takes the server out of rotation or puts it back; false after a shutdown was requested. */
+  boolean setOutOfRotation(boolean isOut) {
     if (isDraining()) {
       return false;
     }
-    outOfRotation = now;
+    outOfRotation = isOut;
     return true;
   }
 
@@ -36,15 +36,15 @@
   }
 
   /**
-   * A shutdown is requested; what is read in the grace period after it may still run. Only the
-   * first request counts.
+   * Begins a shutdown. Requests that are read within the grace period may still run. Only the first
+   * call has an effect.
    */
-  void begin(long at, long stop, long spanOfGrace, boolean handover) {
+  void begin(long shutdownAt, long processStopAt, long graceMicros, boolean handover) {
     if (!isDraining()) {
       mode = handover ? Mode.HANDING_OVER : Mode.LEAVING;
-      noticeAt = at;
-      stopAt = stop;
-      grace = spanOfGrace;
+      requestedAt = shutdownAt;
+      stopAt = processStopAt;
+      gracePeriod = graceMicros;
     }
   }
 
@@ -61,30 +61,33 @@
   }
 
   /**
-   * When the controller is to reject new requests: at once, or in a handover after half of the time
-   * that is left.
+   * The time from which the controller rejects new requests: when the shutdown was requested, or in
+   * a handover after the grace period, but no later than half of the time until the process stops.
    */
   long admissionClosesAt() {
-    return isHandingOver() ? noticeAt + Math.min(grace, (stopAt - noticeAt) / 2) : noticeAt;
+    return isHandingOver()
+        ? requestedAt + Math.min(gracePeriod, (stopAt - requestedAt) / 2)
+        : requestedAt;
   }
 
   /**
-   * Whether a request may still be run, by when it was read completely; the arrival that a gateway
-   * states proves nothing.
+   * Whether a request may still be run, by the time at which it was read completely. The arrival
+   * time that its gateway states is not used, as its last byte may have been sent long after.
    */
   boolean mayStillRun(long readAt) {
-    return !isDraining() || readAt <= noticeAt + grace;
+    return !isDraining() || readAt <= requestedAt + gracePeriod;
   }
 
-  /** Whether health checks may succeed, given whether the controller lets them. */
-  boolean isHealthy(boolean controller) {
-    return !outOfRotation && (controller || isHandingOver());
+  /** Whether health checks may succeed, given whether the controller permits it. */
+  boolean isHealthy(boolean permitted) {
+    return !outOfRotation && (permitted || isHandingOver());
   }
 
   /**
-   * The retry advice of a rejection: none in a handover, as it would hold for the next process too.
+   * The retry advice of a rejection: none in a handover, since gateways would apply it to the
+   * process that takes over too.
    */
-  long retryAfter(long span) {
-    return isHandingOver() ? 0 : span;
+  long allowedRetryAfter(long retryAfter) {
+    return isHandingOver() ? 0 : retryAfter;
   }
 }
--- a/src/main/java/mothwing/broker/StableIndex.java
+++ b/src/main/java/mothwing/broker/StableIndex.java
@@ -9,37 +9,38 @@
 import java.util.function.IntPredicate;
 
 /**
- * Gives named entries of the settings an index that does not change while an open request refers to
- * it. A removed entry keeps its index until no request refers to it, and its name is unknown at
- * once; there are never more indexes than entries and references at the same time.
+ * Assigns each named entry of the settings an index that does not change while an open request
+ * refers to it. A removed entry keeps its index until no request refers to it, but can no longer be
+ * found by its name. The number of indexes never exceeds the largest number of entries and
+ * references held at one time.
  *
  * @param <T> the type of the entries
  */
 final class StableIndex<T> {
-  private final Function<T, String> name;
+  private final Function<T, String> nameOf;
   private final List<T> entries = new ArrayList<>();
-  private final Map<String, Integer> known = new HashMap<>();
+  private final Map<String, Integer> indexByName = new HashMap<>();
 
   /**
-   * Makes an empty index.
+   * Creates an empty index.
    *
-   * @param name gives the name of an entry
+   * @param nameOf returns the name of an entry
    */
-  StableIndex(Function<T, String> name) {
-    this.name = name;
+  StableIndex(Function<T, String> nameOf) {
+    this.nameOf = nameOf;
   }
 
   /**
-   * Takes the entries of new settings.
+   * Replaces the entries with those of new settings.
    *
-   * @param added the entries, each name once
-   * @param used whether an open request refers to an index
+   * @param current the entries, with unique names
+   * @param isUsed whether an open request refers to an index
    */
-  void update(List<T> added, IntPredicate used) {
-    known.clear();
+  void update(List<T> current, IntPredicate isUsed) {
+    indexByName.clear();
     List<T> unplaced = new ArrayList<>();
-    for (T entry : added) {
-      int index = previousIndexOf(name.apply(entry));
+    for (T entry : current) {
+      int index = previousIndexOf(nameOf.apply(entry));
       if (index >= 0) {
         put(index, entry);
       } else {
@@ -49,16 +50,17 @@
     int next = 0;
     for (T entry : unplaced) {
       while (next < entries.size()
-          && (used.test(next) || Objects.equals(known.get(name.apply(entries.get(next))), next))) {
+          && (isUsed.test(next)
+              || Objects.equals(indexByName.get(nameOf.apply(entries.get(next))), next))) {
         next++;
       }
       put(next, entry);
     }
   }
 
-  private int previousIndexOf(String wanted) {
+  private int previousIndexOf(String name) {
     for (int i = 0; i < entries.size(); i++) {
-      if (name.apply(entries.get(i)).equals(wanted)) {
+      if (nameOf.apply(entries.get(i)).equals(name)) {
         return i;
       }
     }
@@ -71,20 +73,20 @@
     } else {
       entries.set(index, entry);
     }
-    known.put(name.apply(entry), index);
+    indexByName.put(nameOf.apply(entry), index);
   }
 
-  /** The index of a name in the current settings, or null. */
-  Integer indexOf(String wanted) {
-    return known.get(wanted);
+  /** The index of the entry with this name in the current settings, or null. */
+  Integer indexOf(String name) {
+    return indexByName.get(name);
   }
 
   /** Whether the current settings have no entries. */
   boolean isEmpty() {
-    return known.isEmpty();
+    return indexByName.isEmpty();
   }
 
-  /** The entries at all indexes, removed ones included. */
+  /** The entries at all indexes, including removed ones. */
   List<T> entries() {
     return List.copyOf(entries);
   }
--- a/src/main/java/mothwing/broker/WorkerPool.java
+++ b/src/main/java/mothwing/broker/WorkerPool.java
@@ -1,10 +1,8 @@
 package mothwing.broker;
 
-/**
- * The commands of the broker to the worker pool. They do nothing while {@link #isReady} is false.
- */
+/** Sends commands to the worker pool. Commands have no effect while {@link #isReady} is false. */
 public interface WorkerPool {
-  /** Whether commands reach the pool now. */
+  /** Whether commands can be sent to the pool. */
   boolean isReady();
 
   /**
@@ -23,12 +21,12 @@
 
   /** Resumes a run that awaits a dependency call, with the result of the call. */
   default void resumeWithResult(String id, byte[] result) {
-    throw new UnsupportedOperationException("runs here make no calls");
+    throw new UnsupportedOperationException("this worker pool does not support dependency calls");
   }
 
   /** Resumes a run that awaits a dependency call, without a result. */
   default void resumeWithoutResult(String id) {
-    throw new UnsupportedOperationException("runs here make no calls");
+    throw new UnsupportedOperationException("this worker pool does not support dependency calls");
   }
 
   /** Requests the gauges; the answer carries the echo. */
--- a/src/test/java/mothwing/broker/ExchangeTest.java
+++ b/src/test/java/mothwing/broker/ExchangeTest.java
@@ -121,7 +121,7 @@
     assertEquals(true, exchange.isInPool());
     exchange.runEnded();
     assertEquals(false, exchange.isInPool());
-    assertEquals(true, exchange.hasRunForGood());
+    assertEquals(true, exchange.mustNotRunAgain());
   }
 
   @Test
