--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -23,55 +23,55 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The guards of the core, with decisions that go wrong on purpose. */
+/** Tests the broker with a controller that takes no decisions, or wrong ones. */
 class BrokerTest {
   private static final long SECOND = 1_000_000;
 
-  /** Decisions by hand: it notes what it is told and does nothing, or throws. */
-  private static final class ByHand implements Controller {
-    private final List<String> told = new ArrayList<>();
-    private boolean broken;
+  /** Records the events that it receives and takes no decision, or throws. */
+  private static final class RecordingController implements Controller {
+    private final List<String> events = new ArrayList<>();
+    private boolean isFailing;
 
-    private void note(String what) {
-      told.add(what);
-      if (broken) {
+    private void recordEvent(String event) {
+      events.add(event);
+      if (isFailing) {
         throw new IllegalStateException("on purpose");
       }
     }
 
     @Override
     public void serverStarted(long now) {
-      note("started");
+      recordEvent("started");
     }
 
     @Override
     public void requestRead(long now, Request request) {
-      note("read");
+      recordEvent("read");
     }
 
     @Override
     public void requestCancelled(long now, String id) {
-      note("gone");
+      recordEvent("cancelled");
     }
 
     @Override
     public void callAwaited(long now, String id) {
-      note("call");
+      recordEvent("call awaited");
     }
 
     @Override
     public void callEnded(long now, String id, RunOutcome outcome, long took) {
-      note("call ended");
+      recordEvent("call ended");
     }
 
     @Override
     public void runEnded(long now, String id, RunOutcome outcome, long took) {
-      note("finished " + outcome);
+      recordEvent("run ended " + outcome);
     }
 
     @Override
     public void timerFired(long now, String tag, GaugeSample sample) {
-      note(
+      recordEvent(
           "timer "
               + tag
               + " "
@@ -82,44 +82,45 @@
 
     @Override
     public void settingsChanged(long now, Settings settings) {
-      note("retuned " + settings.classes().stream().map(RequestClass::name).toList());
+      recordEvent(
+          "settings changed " + settings.classes().stream().map(RequestClass::name).toList());
     }
 
     @Override
     public void shutdownRequested(long now, long stopAt) {
-      note("drain");
+      recordEvent("shutdown requested");
     }
 
     @Override
     public void batchEnded(long now) {
-      note("settled");
+      recordEvent("batch ended");
     }
   }
 
-  private final ByHand decisions = new ByHand();
+  private final RecordingController controller = new RecordingController();
   private final List<String> answers = new ArrayList<>();
-  private BrokerFixture stand;
+  private BrokerFixture fixture;
 
   @BeforeEach
-  void bound() {
-    stand = new BrokerFixture(decisions).bound();
-    decisions.told.clear();
+  void connectPool() {
+    fixture = new BrokerFixture(controller).bound();
+    controller.events.clear();
   }
 
-  private Exchange ask(int number, String kind) {
-    return stand.ask(BrokerFixture.id(number), kind, new byte[0], caller());
+  private Exchange submit(int number, String className) {
+    return fixture.ask(BrokerFixture.id(number), className, new byte[0], responseSink());
   }
 
-  private ResponseSink caller() {
+  private ResponseSink responseSink() {
     return new ResponseSink() {
       @Override
       public void sendResult(byte[] result) {
-        answers.add("served");
+        answers.add("result");
       }
 
       @Override
-      public void sendRejection(boolean last, long holdOffMs) {
-        answers.add("refused " + last + " " + holdOffMs);
+      public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
+        answers.add("rejected " + finalAnswer + " " + retryAfterMillis);
       }
 
       @Override
@@ -130,37 +131,38 @@
   }
 
   @Test
-  void gathersTheEventsOfARoundIntoOneBatch() {
-    ask(1, BrokerFixture.LOOK);
-    stand.pass(1);
-    stand.broker.cancelled(ask(2, BrokerFixture.LOOK));
-    stand.pass(10_000);
-    assertEquals(List.of("read", "settled", "read", "gone", "settled"), decisions.told);
+  void deliversEventsOfOneBatchIntervalInOneBatch() {
+    submit(1, BrokerFixture.LOOK);
+    fixture.pass(1);
+    fixture.broker.cancelled(submit(2, BrokerFixture.LOOK));
+    fixture.pass(10_000);
+    assertEquals(
+        List.of("read", "batch ended", "read", "cancelled", "batch ended"), controller.events);
   }
 
-  /** Guards against decisions that leave a request beyond its due time. */
+  /** Guards against a request that stays open because the controller leaves it pending. */
   @Test
-  void failsWhatTheControllerLeavesOverdue() {
-    ask(1, BrokerFixture.LOOK);
-    stand.pass(4 * SECOND);
+  void failsRequestLeftPendingAfterItsDeadline() {
+    submit(1, BrokerFixture.LOOK);
+    fixture.pass(4 * SECOND);
     assertEquals(List.of(), answers);
-    stand.pass(SECOND);
+    fixture.pass(SECOND);
     assertEquals(List.of("failed overdue"), answers);
-    assertEquals(0, stand.broker.pendingCount());
+    assertEquals(0, fixture.broker.pendingCount());
   }
 
   /**
-   * Guards against an answer after its caller has given up, where requests tell how long that
-   * waits.
+   * Guards against an answer after the caller has given up, if the request states how long its
+   * caller waits.
    */
   @Test
-  void aRequestIsDueWhenItsCallerGivesUpAndNoLaterThanItsClassHasIt() {
+  void limitsDeadlineToWaitOfCallerAndDeadlineOfClass() {
     for (long wait : new long[] {300, 0, 60_000}) {
       answers.clear();
-      stand.broker.submit(
+      fixture.broker.submit(
           new InboundRequest(
               BrokerFixture.id((int) wait + 1),
-              stand.wallClockMillis(),
+              fixture.wallClockMillis(),
               "one",
               BrokerFixture.LOOK,
               10,
@@ -169,175 +171,177 @@
               null,
               wait,
               new byte[0]),
-          caller());
+          responseSink());
       long due = Math.min(wait * 1000, 4_500_000);
-      stand.pass(due + 20_000);
-      assertEquals(List.of(), answers, () -> "before " + wait);
-      stand.pass(60_000);
+      fixture.pass(due + 20_000);
+      assertEquals(List.of(), answers, () -> "before the deadline of a wait of " + wait + " ms");
+      fixture.pass(60_000);
       assertEquals(List.of("failed overdue"), answers);
     }
   }
 
-  /** Guards against a fault of the decisions that ends the process, or costs an answer. */
+  /** Guards against an exception of the controller that ends the process or loses an answer. */
   @Test
-  void outlivesAControllerThatThrows() {
-    decisions.broken = true;
-    ask(1, BrokerFixture.LOOK);
-    stand.pass(5 * SECOND);
+  void survivesControllerThatThrows() {
+    controller.isFailing = true;
+    submit(1, BrokerFixture.LOOK);
+    fixture.pass(5 * SECOND);
     assertEquals(List.of("failed overdue"), answers);
-    assertTrue(stand.counters.get("controller-faults") > 0);
-    assertTrue(stand.lines.stream().anyMatch(line -> line.startsWith("controller-fault")));
+    assertTrue(fixture.counters.get("controller-faults") > 0);
+    assertTrue(fixture.lines.stream().anyMatch(line -> line.startsWith("controller-fault")));
   }
 
-  /** Guards against an order that ran and is then refused, which promises that it did not. */
+  /** Guards against the rejection of an order that ran: a rejection states that nothing ran. */
   @Test
-  void neverRefusesWhatRanAndMustRunOnce() {
-    ask(1, BrokerFixture.ORDER);
-    ask(2, BrokerFixture.ORDER);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.broker.rejectRequest(BrokerFixture.id(1), false, 5_500);
-    stand.broker.rejectRequest(BrokerFixture.id(2), true, 5_500);
-    assertEquals(List.of("failed ran-before", "refused true 6"), answers);
+  void failsInsteadOfRejectingOrderThatRan() {
+    submit(1, BrokerFixture.ORDER);
+    submit(2, BrokerFixture.ORDER);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.broker.rejectRequest(BrokerFixture.id(1), false, 5_500);
+    fixture.broker.rejectRequest(BrokerFixture.id(2), true, 5_500);
+    assertEquals(List.of("failed ran-before", "rejected true 6"), answers);
   }
 
   @Test
-  void startsOnceAndAnswersOnce() {
-    ask(1, BrokerFixture.ORDER);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    stand.broker.failRequest(BrokerFixture.id(1));
-    stand.broker.runEnded(BrokerFixture.id(1), RunOutcome.SUCCEEDED, 5, new byte[1]);
-    assertEquals(List.of("served"), answers);
-    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
-    assertEquals(1, stand.counters.get("run-ended-unexpected"));
+  void startsAndAnswersRequestOnce() {
+    submit(1, BrokerFixture.ORDER);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    fixture.broker.failRequest(BrokerFixture.id(1));
+    fixture.broker.runEnded(BrokerFixture.id(1), RunOutcome.SUCCEEDED, 5, new byte[1]);
+    assertEquals(List.of("result"), answers);
+    assertEquals(1, fixture.spawns.get(BrokerFixture.id(1)));
+    assertEquals(1, fixture.counters.get("run-ended-unexpected"));
   }
 
   @Test
-  void pausesAndGoesOn() {
-    ask(1, BrokerFixture.ORDER);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.broker.stopRun(BrokerFixture.id(1));
-    stand.pass(5_000);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    assertEquals(List.of("served"), answers);
-    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
-  }
-
-  /** Guards against a request that the pool knows to be over and nobody answers. */
+  void resumesPausedRun() {
+    submit(1, BrokerFixture.ORDER);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.broker.stopRun(BrokerFixture.id(1));
+    fixture.pass(5_000);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    assertEquals(List.of("result"), answers);
+    assertEquals(1, fixture.spawns.get(BrokerFixture.id(1)));
+  }
+
+  /** Guards against a request that is never answered after the pool has reported it as stale. */
   @Test
-  void failsWhatThePoolDidNotBegin() {
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.NOT_STARTED);
+  void failsRequestThatPoolDidNotStart() {
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.NOT_STARTED);
     assertEquals(List.of("failed stale"), answers);
   }
 
   /**
-   * Guards against an order that waits for its due time though its start never left this process.
+   * Guards against an order that waits until its deadline though its start was never sent, because
+   * the pool was disconnected.
    */
   @Test
-  void startsOnceTheLinkIsBackWhatWasNeverHandedOver() {
-    stand.linked = false;
-    ask(1, BrokerFixture.ORDER);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.linked = true;
-    stand.broker.resynchronized();
-    stand.broker.resynchronized();
-    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    assertEquals(List.of("served"), answers);
+  void startsUnsentRunOnceAfterReconnect() {
+    fixture.linked = false;
+    submit(1, BrokerFixture.ORDER);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.linked = true;
+    fixture.broker.resynchronized();
+    fixture.broker.resynchronized();
+    assertEquals(1, fixture.spawns.get(BrokerFixture.id(1)));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    assertEquals(List.of("result"), answers);
   }
 
   /**
-   * Guards against a run whose end never comes: it would take a place on the cores and in the table
-   * for ever.
+   * Guards against a run whose end is never reported: it would occupy a core and an entry of the
+   * table of open requests without end.
    */
   @Test
-  void givesUpARunWhoseEndWasLost() {
-    ask(1, BrokerFixture.ORDER);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.running.clear();
-    stand.pass(14 * SECOND);
+  void givesUpRunWhoseEndWasLost() {
+    submit(1, BrokerFixture.ORDER);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.running.clear();
+    fixture.pass(14 * SECOND);
     assertEquals(List.of("failed overdue"), answers);
-    assertTrue(!decisions.told.contains("finished NOT_STARTED"));
-    stand.pass(SECOND);
-    assertTrue(decisions.told.contains("finished NOT_STARTED"));
-    assertEquals(1, stand.counters.get("lost-runs"));
-    assertTrue(stand.broker.counts().startsWith("open=0 "), stand.broker.counts());
+    assertTrue(!controller.events.contains("run ended NOT_STARTED"));
+    fixture.pass(SECOND);
+    assertTrue(controller.events.contains("run ended NOT_STARTED"));
+    assertEquals(1, fixture.counters.get("lost-runs"));
+    assertTrue(fixture.broker.counts().startsWith("open=0 "), fixture.broker.counts());
   }
 
   /**
-   * Guards against a notice to leave that comes before the pool is up: there are no decisions to
-   * tell yet.
+   * Guards against a shutdown request that fails or is lost before the pool is connected, when
+   * there is no controller yet.
    */
   @Test
-  void takesTheNoticeToLeaveBeforeThePoolIsUp() {
-    stand = new BrokerFixture(decisions);
-    stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-    ask(1, BrokerFixture.LOOK);
-    stand.pass(SECOND);
-    assertEquals(List.of("refused false 1000"), answers);
-    assertEquals(0, stand.counters.get("controller-faults"));
-    stand.bound().pass(SECOND);
-    assertEquals(List.of("started", "drain", "settled"), decisions.told);
+  void acceptsShutdownBeforePoolIsConnected() {
+    fixture = new BrokerFixture(controller);
+    fixture.broker.drain(fixture.now(), fixture.now() + 9 * SECOND, false);
+    submit(1, BrokerFixture.LOOK);
+    fixture.pass(SECOND);
+    assertEquals(List.of("rejected false 1000"), answers);
+    assertEquals(0, fixture.counters.get("controller-faults"));
+    fixture.bound().pass(SECOND);
+    assertEquals(List.of("started", "shutdown requested", "batch ended"), controller.events);
   }
 
   @Test
-  void runsNothingThatCameAfterTheGraceOfADrain() {
-    stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-    stand.pass(2 * SECOND + 5_000);
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
-    assertEquals(List.of("refused false 1000"), answers);
-    assertTrue(stand.spawns.isEmpty());
+  void rejectsRequestReadAfterGracePeriodOfShutdown() {
+    fixture.broker.drain(fixture.now(), fixture.now() + 9 * SECOND, false);
+    fixture.pass(2 * SECOND + 5_000);
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    assertEquals(List.of("rejected false 1000"), answers);
+    assertTrue(fixture.spawns.isEmpty());
   }
 
   /**
-   * Guards against a gateway's word for when a request came: its last byte may be written long
-   * after that.
+   * Guards against trust in the arrival time that a gateway states: the last byte of the request
+   * may be sent long after it.
    */
   @Test
-  void whatIsReadWholeAfterTheGraceIsNotRunWhateverItsGatewaySaysOfItsArrival() throws Exception {
-    stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-    long accepted = stand.wallClockMillis() + 1_900;
-    stand.pass(2 * SECOND + 300_000);
+  void rejectsRequestReadAfterGracePeriodDespiteEarlierArrivalTime() throws Exception {
+    fixture.broker.drain(fixture.now(), fixture.now() + 9 * SECOND, false);
+    long accepted = fixture.wallClockMillis() + 1_900;
+    fixture.pass(2 * SECOND + 300_000);
     RequestFields fields = new RequestFields();
     Gateway.fields(BrokerFixture.id(1), accepted).forEach(fields::set);
-    stand.broker.submit(fields.toRequest("/call/" + BrokerFixture.ORDER, new byte[0]), caller());
-    stand.broker.startRun(BrokerFixture.id(1));
-    assertEquals(List.of("refused false 1000"), answers);
-    assertTrue(stand.spawns.isEmpty());
+    fixture.broker.submit(
+        fields.toRequest("/call/" + BrokerFixture.ORDER, new byte[0]), responseSink());
+    fixture.broker.startRun(BrokerFixture.id(1));
+    assertEquals(List.of("rejected false 1000"), answers);
+    assertTrue(fixture.spawns.isEmpty());
   }
 
   /**
-   * Guards against an end of the process that leaves a caller without a word, late as the decisions
-   * may be.
+   * Guards against a process that ends without an answer to requests that the controller has not
+   * decided on.
    */
   @Test
-  void whatTheDecisionsStillOweAtTheEndIsFailed() {
-    ask(1, BrokerFixture.LOOK);
-    ask(2, BrokerFixture.ORDER);
-    stand.broker.startRun(BrokerFixture.id(2));
-    stand.broker.drain(stand.now(), stand.now() + SECOND, false);
-    stand.broker.failPending();
-    stand.broker.failPending();
+  void failsPendingRequestsAtEndOfProcess() {
+    submit(1, BrokerFixture.LOOK);
+    submit(2, BrokerFixture.ORDER);
+    fixture.broker.startRun(BrokerFixture.id(2));
+    fixture.broker.drain(fixture.now(), fixture.now() + SECOND, false);
+    fixture.broker.failPending();
+    fixture.broker.failPending();
     assertEquals(List.of("failed leaving", "failed leaving"), answers);
-    assertEquals(0, stand.broker.pendingCount());
+    assertEquals(0, fixture.broker.pendingCount());
   }
 
-  private static Settings with(RequestClass... classes) {
-    Settings one = BrokerFixture.settings(4.5, 2);
-    return SettingsVariants.parts(one, List.of(classes), one.tenants());
+  private static Settings settingsWith(RequestClass... classes) {
+    Settings settings = BrokerFixture.settings(4.5, 2);
+    return SettingsVariants.parts(settings, List.of(classes), settings.tenants());
   }
 
   /**
-   * Guards against open requests that are renumbered or lost as classes come and go, and against
-   * lost counts.
+   * Guards against open requests whose class index changes, and lost statistics, when classes are
+   * added and removed.
    */
   @Test
-  void newSettingsLeaveWhatIsOpenItsClassAndDeadline() {
+  void keepsClassAndDeadlineOfOpenRequestsWhenSettingsChange() {
     RequestClass order =
         new RequestClass(
             BrokerFixture.ORDER, SECOND, 9 * SECOND, 5, 0, Idempotency.NEVER, 0, false, 0);
@@ -345,196 +349,203 @@
         new RequestClass("save", SECOND, SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0);
     RequestClass tell =
         new RequestClass("tell", SECOND, SECOND, 1, 0, Idempotency.ALWAYS, 0, false, 0);
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.broker.applySettings(with(save, order)); // stock-check is dropped while one is open
-    ask(2, BrokerFixture.LOOK);
-    ask(3, "save");
-    stand.broker.startRun(BrokerFixture.id(3));
-    stand.finish(BrokerFixture.id(3), RunOutcome.SUCCEEDED);
-    stand.pass(5_000);
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    // removes stock-check while a request of it is open
+    fixture.broker.applySettings(settingsWith(save, order));
+    submit(2, BrokerFixture.LOOK);
+    submit(3, "save");
+    fixture.broker.startRun(BrokerFixture.id(3));
+    fixture.finish(BrokerFixture.id(3), RunOutcome.SUCCEEDED);
+    fixture.pass(5_000);
     assertTrue(
-        decisions.told.contains("retuned [stock-check, place-order, save]"),
-        decisions.told::toString);
-    stand.pass(4 * SECOND);
-    assertEquals(List.of("failed unknown-class", "served"), answers);
-    stand.pass(SECOND); // the deadline that it was read under
-    assertEquals(List.of("failed unknown-class", "served", "failed overdue"), answers);
-    stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
-    stand.broker.applySettings(
-        with(order, tell)); // nothing refers to the places of stock-check and save any longer
-    stand.pass(5_000);
+        controller.events.contains("settings changed [stock-check, place-order, save]"),
+        controller.events::toString);
+    fixture.pass(4 * SECOND);
+    assertEquals(List.of("failed unknown-class", "result"), answers);
+    fixture.pass(SECOND); // reaches the deadline of the former settings
+    assertEquals(List.of("failed unknown-class", "result", "failed overdue"), answers);
+    fixture.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
+    // no request refers to the indexes of stock-check and save any longer
+    fixture.broker.applySettings(settingsWith(order, tell));
+    fixture.pass(5_000);
     assertTrue(
-        decisions.told.contains("retuned [tell, place-order, save]"), decisions.told::toString);
-    ask(4, "tell");
+        controller.events.contains("settings changed [tell, place-order, save]"),
+        controller.events::toString);
+    submit(4, "tell");
     assertEquals(
         "{completed={stock-check=0, place-order=0, save=1, tell=0}, rejected={stock-check=0, "
             + "place-order=0, save=0, tell=0}, failed={stock-check=1, place-order=0, save=0, tell=0}, "
             + "upstream_requests={stock-check=1, place-order=0, save=1, tell=0}, pending=1}",
-        stand.broker.statistics().toString());
+        fixture.broker.statistics().toString());
   }
 
   /**
-   * Guards against advice to stay away where the settings have none passed on, at whatever point a
-   * request is refused.
+   * Guards against retry advice that is sent though the settings disable it, wherever a request is
+   * rejected.
    */
   @Test
-  void adviceToStayAwayLeavesOnlyWhereTheSettingsAllowIt() {
-    for (boolean may : new boolean[] {true, false}) {
-      stand = new BrokerFixture(decisions);
-      stand.broker.applySettings(SettingsVariants.advice(BrokerFixture.settings(4.5, 2), may));
-      ask(1, BrokerFixture.LOOK); // not ready
-      stand.bound();
-      stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
-      stand.pass(3 * SECOND);
-      ask(2, BrokerFixture.LOOK);
-      stand.broker.startRun(BrokerFixture.id(2)); // read over 2 s after the notice
-      String refused = "refused false " + (may ? 1000 : 0);
-      assertEquals(List.of(refused, refused), answers);
+  void sendsRetryAdviceOnlyIfSettingsAllowIt() {
+    for (boolean isAllowed : new boolean[] {true, false}) {
+      fixture = new BrokerFixture(controller);
+      fixture.broker.applySettings(
+          SettingsVariants.advice(BrokerFixture.settings(4.5, 2), isAllowed));
+      submit(1, BrokerFixture.LOOK); // not ready
+      fixture.bound();
+      fixture.broker.drain(fixture.now(), fixture.now() + 9 * SECOND, false);
+      fixture.pass(3 * SECOND);
+      submit(2, BrokerFixture.LOOK);
+      fixture.broker.startRun(BrokerFixture.id(2)); // read more than 2 s after the shutdown request
+      String rejection = "rejected false " + (isAllowed ? 1000 : 0);
+      assertEquals(List.of(rejection, rejection), answers);
       answers.clear();
     }
   }
 
   /**
-   * Guards against words that keep gateways away from the process that follows at the same address.
+   * Guards against answers and health checks that keep gateways away from the process that takes
+   * over at the same address.
    */
   @Test
-  void handingOverRunsWhatStillComesAndSaysNothingAgainstTheNextProcess() {
-    List<Boolean> good = new ArrayList<>();
-    stand.broker.publishFreeValue(0.25);
-    stand.broker.drain(stand.now(), stand.now() + 3 * SECOND, true);
-    stand.pass(SECOND);
-    assertTrue(!decisions.told.contains("drain"));
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    stand.pass(SECOND);
-    assertTrue(decisions.told.contains("drain")); // after half of its time
-    stand.broker.setHealth(true, false);
-    stand.broker.publishFreeValue(0.95);
-    stand.broker.healthCheck(false, good::add);
-    ask(2, BrokerFixture.LOOK);
-    stand.broker.rejectRequest(BrokerFixture.id(2), false, 5_500);
-    stand.pass(SECOND / 2);
-    ask(3, BrokerFixture.LOOK);
-    stand.broker.startRun(
-        BrokerFixture.id(3)); // over 2 s after the notice: whatever the controller says
-    assertEquals(List.of("served", "refused false 0", "refused false 0"), answers);
-    assertEquals(List.of(true), good);
-    assertEquals(OptionalDouble.of(0.25), stand.broker.freeValue());
+  void runsNewRequestsAndSendsNoRetryAdviceDuringHandover() {
+    List<Boolean> checkResults = new ArrayList<>();
+    fixture.broker.publishFreeValue(0.25);
+    fixture.broker.drain(fixture.now(), fixture.now() + 3 * SECOND, true);
+    fixture.pass(SECOND);
+    assertTrue(!controller.events.contains("shutdown requested"));
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    fixture.pass(SECOND);
+    // half of the time until the process stops is over
+    assertTrue(controller.events.contains("shutdown requested"));
+    fixture.broker.setHealth(true, false);
+    fixture.broker.publishFreeValue(0.95);
+    fixture.broker.healthCheck(false, checkResults::add);
+    submit(2, BrokerFixture.LOOK);
+    fixture.broker.rejectRequest(BrokerFixture.id(2), false, 5_500);
+    fixture.pass(SECOND / 2);
+    submit(3, BrokerFixture.LOOK);
+    // not run, whatever the controller decides: read more than 2 s after the shutdown request
+    fixture.broker.startRun(BrokerFixture.id(3));
+    assertEquals(List.of("result", "rejected false 0", "rejected false 0"), answers);
+    assertEquals(List.of(true), checkResults);
+    assertEquals(OptionalDouble.of(0.25), fixture.broker.freeValue());
   }
 
   /**
-   * Guards against a clock of the controller that stops with the link, and against gauges of before
-   * that are given again: a controller would take them for news.
+   * Guards against timers that stop while the pool is disconnected, and against old gauges that are
+   * delivered again: the controller would take them for new ones.
    */
   @Test
-  void timersFireWithGaugesAndWithoutALinkWithTheirAbsence() {
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.broker.scheduleTimer(stand.now() + 1_000, "tick");
-    stand.pass(10_000);
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    stand.linked = false;
-    stand.broker.scheduleTimer(stand.now() + 1_000, "late");
-    stand.pass(10_000);
-    assertTrue(decisions.told.contains("timer tick 1.0"), decisions.told::toString);
+  void firesTimersWithoutGaugesWhilePoolIsDisconnected() {
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.broker.scheduleTimer(fixture.now() + 1_000, "tick");
+    fixture.pass(10_000);
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    fixture.linked = false;
+    fixture.broker.scheduleTimer(fixture.now() + 1_000, "late");
+    fixture.pass(10_000);
+    assertTrue(controller.events.contains("timer tick 1.0"), controller.events::toString);
     assertTrue(
-        decisions.told.stream()
-            .anyMatch(one -> one.matches("timer late absent for [1-9][0-9]* ms")),
-        decisions.told::toString);
+        controller.events.stream()
+            .anyMatch(event -> event.matches("timer late absent for [1-9][0-9]* ms")),
+        controller.events::toString);
   }
 
   @Test
-  void aDeepCheckAsksThePoolUnlessChecksAreCheap() {
-    List<Boolean> good = new ArrayList<>();
-    stand.broker.setHealth(false, true);
-    stand.broker.healthCheck(true, good::add);
-    assertEquals(List.of(), good);
-    stand.pass(5_000);
-    assertEquals(List.of(true), good);
-    stand.linked = false;
-    stand.broker.healthCheck(true, good::add);
-    stand.broker.setHealth(true, false);
-    stand.broker.healthCheck(true, good::add);
-    assertEquals(List.of(true, false, false), good);
+  void asksPoolForDeepCheckUnlessChecksAreShallow() {
+    List<Boolean> checkResults = new ArrayList<>();
+    fixture.broker.setHealth(false, true);
+    fixture.broker.healthCheck(true, checkResults::add);
+    assertEquals(List.of(), checkResults);
+    fixture.pass(5_000);
+    assertEquals(List.of(true), checkResults);
+    fixture.linked = false;
+    fixture.broker.healthCheck(true, checkResults::add);
+    fixture.broker.setHealth(true, false);
+    fixture.broker.healthCheck(true, checkResults::add);
+    assertEquals(List.of(true, false, false), checkResults);
   }
 
   /**
-   * Guards against a drain that refuses, and against deep checks that say good of a server whose
-   * gateways are to go.
+   * Guards against requests that are rejected while the server is out of rotation, and against deep
+   * checks that succeed then.
    */
   @Test
-  void gatewaysAreSentAwayByBadChecksAloneAndCalledBack() {
-    List<Boolean> good = new ArrayList<>();
-    stand.broker.setHealth(false, true);
-    stand.broker.healthCheck(true, good::add); // under way at the call
-    boolean first = stand.broker.setOutOfRotation(true);
-    boolean repeated = first && stand.broker.setOutOfRotation(true);
-    assertTrue(first && repeated);
-    stand.pass(5_000);
-    stand.broker.healthCheck(true, good::add);
-    stand.broker.healthCheck(false, good::add);
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    assertEquals(List.of("served"), answers);
-    assertTrue(!decisions.told.contains("drain") && stand.broker.isServing());
-    boolean calledBack = stand.broker.setOutOfRotation(false);
-    boolean calledBackAgain = calledBack && stand.broker.setOutOfRotation(false);
-    assertTrue(calledBack && calledBackAgain);
-    stand.broker.healthCheck(false, good::add);
-    assertEquals(List.of(false, false, false, true), good);
-    stand.broker.setOutOfRotation(true);
-    stand.broker.drain(stand.now(), stand.now() + 9 * SECOND, false);
+  void failsOnlyHealthChecksWhileOutOfRotation() {
+    List<Boolean> checkResults = new ArrayList<>();
+    fixture.broker.setHealth(false, true);
+    // this check is in progress when the server is taken out of rotation
+    fixture.broker.healthCheck(true, checkResults::add);
+    boolean takenOut = fixture.broker.setOutOfRotation(true);
+    boolean repeated = takenOut && fixture.broker.setOutOfRotation(true);
+    assertTrue(takenOut && repeated);
+    fixture.pass(5_000);
+    fixture.broker.healthCheck(true, checkResults::add);
+    fixture.broker.healthCheck(false, checkResults::add);
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    assertEquals(List.of("result"), answers);
+    assertTrue(!controller.events.contains("shutdown requested") && fixture.broker.isServing());
+    boolean putBack = fixture.broker.setOutOfRotation(false);
+    boolean putBackAgain = putBack && fixture.broker.setOutOfRotation(false);
+    assertTrue(putBack && putBackAgain);
+    fixture.broker.healthCheck(false, checkResults::add);
+    assertEquals(List.of(false, false, false, true), checkResults);
+    fixture.broker.setOutOfRotation(true);
+    fixture.broker.drain(fixture.now(), fixture.now() + 9 * SECOND, false);
     assertTrue(
-        !stand.broker.setOutOfRotation(false)
-            && stand.broker.isOutOfRotation()
-            && !stand.broker.isServing());
+        !fixture.broker.setOutOfRotation(false)
+            && fixture.broker.isOutOfRotation()
+            && !fixture.broker.isServing());
   }
 
   /**
-   * Guards against a run that is counted twice as its hand-over was lost, and names that nobody
-   * knows.
+   * Guards against a run that is counted twice because its start was lost, and against counts of
+   * unknown classes.
    */
   @Test
-  void countsARunOnceItsFirstHandOverIsThere() {
-    stand.linked = false;
-    ask(1, BrokerFixture.LOOK);
-    stand.broker.startRun(BrokerFixture.id(1));
+  void countsRunWhenItsStartIsFirstSent() {
+    fixture.linked = false;
+    submit(1, BrokerFixture.LOOK);
+    fixture.broker.startRun(BrokerFixture.id(1));
     assertEquals(
         0L,
-        ((Map<?, ?>) stand.broker.statistics().get("upstream_requests")).get(BrokerFixture.LOOK));
-    stand.linked = true;
-    stand.broker.resynchronized();
-    stand.broker.resynchronized();
-    ask(2, "no-such-class");
+        ((Map<?, ?>) fixture.broker.statistics().get("upstream_requests")).get(BrokerFixture.LOOK));
+    fixture.linked = true;
+    fixture.broker.resynchronized();
+    fixture.broker.resynchronized();
+    submit(2, "no-such-class");
     assertEquals(
         "{completed={stock-check=0, place-order=0}, rejected={stock-check=0, place-order=0}, "
             + "failed={stock-check=0, place-order=0}, upstream_requests={stock-check=1, place-order=0}, pending=1}",
-        stand.broker.statistics().toString());
+        fixture.broker.statistics().toString());
   }
 
   @Test
-  void aTraceIdThatIsOpenIsNotTakenTwice() {
-    ask(1, BrokerFixture.ORDER);
-    ask(1, BrokerFixture.ORDER);
+  void failsRequestWithTraceIdOfOpenRequest() {
+    submit(1, BrokerFixture.ORDER);
+    submit(1, BrokerFixture.ORDER);
     assertEquals(List.of("failed repeated-trace-id"), answers);
   }
 
   @Test
-  void keepsToABoundOnOpenRequests() {
+  void rejectsRequestsBeyondBoundOnOpenRequests() {
     for (int i = 0; i < Broker.MAX_OPEN_REQUESTS; i++) {
-      ask(i, BrokerFixture.LOOK);
+      submit(i, BrokerFixture.LOOK);
     }
     assertEquals(List.of(), answers);
-    ask(Broker.MAX_OPEN_REQUESTS, BrokerFixture.LOOK);
-    assertEquals(List.of("refused false 1000"), answers);
+    submit(Broker.MAX_OPEN_REQUESTS, BrokerFixture.LOOK);
+    assertEquals(List.of("rejected false 1000"), answers);
   }
 
-  private void guarded(Controller by) {
-    stand = by == null ? new BrokerFixture() : new BrokerFixture(by);
-    stand.broker.applySettings(
+  /** Uses a class with idempotency keys, and the real controller if none is given. */
+  private void useKeyedClass(Controller controllerOrNull) {
+    fixture = controllerOrNull == null ? new BrokerFixture() : new BrokerFixture(controllerOrNull);
+    fixture.broker.applySettings(
         SettingsVariants.parts(
             BrokerFixture.settings(4.5, 2),
             List.of(
@@ -542,15 +553,15 @@
                     "save", SECOND, 4 * SECOND, 1, 0, Idempotency.WITH_KEY, 5 * SECOND, false, 0)),
             List.of(new Tenant("one", 1e6), new Tenant("two", 1e6))));
     answers.clear();
-    stand.bound();
+    fixture.bound();
   }
 
-  /** A try of a guarded request; some body stands for each number. */
-  private Exchange guarded(int number, String key, int body, String tenant) {
-    return stand.broker.submit(
+  /** Submits an attempt of a request with an idempotency key; the body is this one byte. */
+  private Exchange submitWithKey(int number, String key, int body, String tenant) {
+    return fixture.broker.submit(
         new InboundRequest(
             BrokerFixture.id(number),
-            stand.wallClockMillis(),
+            fixture.wallClockMillis(),
             tenant,
             "save",
             10,
@@ -559,157 +570,160 @@
             key,
             InboundRequest.NOT_STATED,
             new byte[] {(byte) body}),
-        caller());
+        responseSink());
   }
 
   /**
-   * Guards against a run beside that of another process at the same address, and against a refusal
-   * of what may have run there.
+   * Guards against a second run of a request that another process at the same address runs, and
+   * against the rejection of a request that may have run there.
    */
   @Test
-  void aGuardedRequestThatAnotherProcessHoldsIsNotRunHere() {
-    guarded(null);
+  void doesNotRunRequestWhoseKeyAnotherProcessHolds() {
+    useKeyedClass(null);
     for (RunClaims.Claim claim : RunClaims.Claim.values()) {
-      stand.broker.setRunClaims((key, span) -> claim);
-      guarded(claim.ordinal() + 1, claim.name(), 0, "one");
-      stand.pass(10_000);
+      fixture.broker.setRunClaims((key, span) -> claim);
+      submitWithKey(claim.ordinal() + 1, claim.name(), 0, "one");
+      fixture.pass(10_000);
     }
-    stand.finish(BrokerFixture.id(RunClaims.Claim.GRANTED.ordinal() + 1), RunOutcome.SUCCEEDED);
+    fixture.finish(BrokerFixture.id(RunClaims.Claim.GRANTED.ordinal() + 1), RunOutcome.SUCCEEDED);
     assertEquals(
-        List.of("failed ran-beside", "refused false 1000", "failed claim-unknown", "served"),
+        List.of("failed ran-beside", "rejected false 1000", "failed claim-unknown", "result"),
         answers);
-    assertEquals(1, stand.spawns.size());
+    assertEquals(1, fixture.spawns.size());
   }
 
-  private Exchange guarded(int number) {
-    Exchange one = guarded(number, "k", 0, "one");
-    stand.pass(10_000);
-    return one;
+  private Exchange submitWithKey(int number) {
+    Exchange exchange = submitWithKey(number, "k", 0, "one");
+    fixture.pass(10_000);
+    return exchange;
   }
 
   /**
-   * Guards against a second run of what another try of the same request has begun, whenever the
-   * repeat comes.
+   * Guards against a second run of a request of which another attempt has started a run, at any
+   * time of the repeat.
    */
   @Test
-  void aRepeatOfAGuardedRequestIsAnsweredFromTheRunThereWas() {
-    guarded(null);
-    guarded(1);
-    guarded(2); // as the first runs
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    guarded(3); // once it has ended
-    stand.pass(10_000);
-    assertEquals(List.of("served", "served", "served"), answers);
-    stand.pass(5 * SECOND - 300_000); // the window goes by the arrival of the try that was run
-    guarded(4);
-    assertEquals(Map.of(BrokerFixture.id(1), 1), stand.spawns);
+  void answersRepeatFromRunOfOriginal() {
+    useKeyedClass(null);
+    submitWithKey(1);
+    submitWithKey(2); // while the original runs
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    submitWithKey(3); // after the original has ended
+    fixture.pass(10_000);
+    assertEquals(List.of("result", "result", "result"), answers);
+    fixture.pass(5 * SECOND - 300_000); // the window starts at the arrival of the original
+    submitWithKey(4);
+    assertEquals(Map.of(BrokerFixture.id(1), 1), fixture.spawns);
     assertEquals(4, answers.size());
-    stand.pass(SECOND);
-    guarded(5);
-    assertEquals(Map.of(BrokerFixture.id(1), 1, BrokerFixture.id(5), 1), stand.spawns);
-    stand.finish(BrokerFixture.id(5), RunOutcome.FAILED);
-    guarded(6);
+    fixture.pass(SECOND);
+    submitWithKey(5);
+    assertEquals(Map.of(BrokerFixture.id(1), 1, BrokerFixture.id(5), 1), fixture.spawns);
+    fixture.finish(BrokerFixture.id(5), RunOutcome.FAILED);
+    submitWithKey(6);
     assertEquals(List.of("failed crashed", "failed replayed-failure"), answers.subList(4, 6));
-    stand.pass(20 * SECOND);
-    assertTrue(stand.broker.counts().startsWith("open=0 pending=0 "), stand.broker.counts());
+    fixture.pass(20 * SECOND);
+    assertTrue(fixture.broker.counts().startsWith("open=0 pending=0 "), fixture.broker.counts());
   }
 
   /**
-   * Guards against a result that goes to a request of another tenant, or of another body, and a key
-   * that blocks for nothing.
+   * Guards against a result that is sent for a request of another tenant or with another body, and
+   * against a key that stays reserved for a request that never ran.
    */
   @Test
-  void aKeyStandsForOneRequestOfOneTenantAndOnlyWhileItMayHaveRun() {
-    guarded(null);
-    guarded(1);
-    guarded(2, "k", 1, "one");
-    guarded(3, "k", 1, "two");
-    stand.pass(10_000);
+  void limitsKeyToTenantAndBodyOfRequestThatMayHaveRun() {
+    useKeyedClass(null);
+    submitWithKey(1);
+    submitWithKey(2, "k", 1, "one");
+    submitWithKey(3, "k", 1, "two");
+    fixture.pass(10_000);
     assertEquals(List.of("failed key-of-another"), answers);
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    stand.broker.cancelled(
-        guarded(4, "other", 0, "one")); // gone in the round that it was read in: it never ran
-    guarded(5, "other", 0, "one");
-    stand.pass(10_000);
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    // cancelled in the batch in which it was read, so that it never ran
+    fixture.broker.cancelled(submitWithKey(4, "other", 0, "one"));
+    submitWithKey(5, "other", 0, "one");
+    fixture.pass(10_000);
     assertEquals(
         Set.of(BrokerFixture.id(1), BrokerFixture.id(3), BrokerFixture.id(5)),
-        stand.spawns.keySet());
+        fixture.spawns.keySet());
   }
 
-  /** Guards against a caller that leaves as its run goes on: the repeat gets what that made. */
+  /** Guards against a lost result if the caller of the original cancels it while it runs. */
   @Test
-  void aRepeatAfterItsCallerLeftGetsTheResult() {
-    guarded(decisions);
-    Exchange first = guarded(1);
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.broker.cancelled(first);
-    guarded(2);
-    stand.broker.replayResult(BrokerFixture.id(2));
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    assertEquals(List.of("served"), answers);
-    assertEquals(Map.of(BrokerFixture.id(1), 1), stand.spawns);
+  void answersRepeatWithResultOfCancelledOriginal() {
+    useKeyedClass(controller);
+    Exchange first = submitWithKey(1);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.broker.cancelled(first);
+    submitWithKey(2);
+    fixture.broker.replayResult(BrokerFixture.id(2));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    assertEquals(List.of("result"), answers);
+    assertEquals(Map.of(BrokerFixture.id(1), 1), fixture.spawns);
   }
 
   /**
-   * Guards against decisions that start a repeat all the same, and against a table without an end.
+   * Guards against a controller that starts a repeat, and against an unbounded table of idempotency
+   * keys.
    */
   @Test
-  void noDecisionRunsARepeatAndWhatFindsNoRoomIsRefused() {
-    guarded(decisions);
-    guarded(1);
-    stand.broker.startRun(BrokerFixture.id(1));
-    guarded(2);
-    stand.broker.startRun(BrokerFixture.id(2));
+  void neverRunsRepeatAndRejectsKeysBeyondBound() {
+    useKeyedClass(controller);
+    submitWithKey(1);
+    fixture.broker.startRun(BrokerFixture.id(1));
+    submitWithKey(2);
+    fixture.broker.startRun(BrokerFixture.id(2));
     assertEquals(List.of("failed ran-before"), answers);
-    stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     for (int i = 3; i < 2_000; i++) {
-      guarded(i, "k" + i, 0, "one");
-      stand.broker.startRun(BrokerFixture.id(i));
+      submitWithKey(i, "k" + i, 0, "one");
+      fixture.broker.startRun(BrokerFixture.id(i));
     }
-    assertTrue(answers.contains("refused false 1000"), answers::toString);
-    assertTrue(stand.spawns.values().stream().allMatch(times -> times == 1));
-    stand.spawns.keySet().forEach(id -> stand.broker.runEnded(id, RunOutcome.FAILED, 0, null));
-    stand.pass(40 * SECOND);
+    assertTrue(answers.contains("rejected false 1000"), answers::toString);
+    assertTrue(fixture.spawns.values().stream().allMatch(times -> times == 1));
+    fixture.spawns.keySet().forEach(id -> fixture.broker.runEnded(id, RunOutcome.FAILED, 0, null));
+    fixture.pass(40 * SECOND);
     answers.clear();
-    guarded(2_000);
-    stand.broker.startRun(BrokerFixture.id(2_000));
-    assertEquals(List.of(), answers, "there is room again");
+    submitWithKey(2_000);
+    fixture.broker.startRun(BrokerFixture.id(2_000));
+    assertEquals(List.of(), answers, "the expired keys have left room");
   }
 
   /**
-   * Guards against repeats that nothing marks as such: a try that may have run is neither run again
-   * nor refused.
+   * Guards against a second run of an attempt without a key: as its repeats cannot be recognised,
+   * an attempt that may have run is neither run again nor rejected.
    */
   @Test
-  void aGuardedClassRunsAtMostOnceATry() {
-    stand.broker.applySettings(
-        with(
+  void runsAttemptWithoutKeyAtMostOnce() {
+    fixture.broker.applySettings(
+        settingsWith(
             new RequestClass(
                 "save", SECOND, 9 * SECOND, 1, 0, Idempotency.WITH_KEY, 5 * SECOND, false, 0)));
-    ask(1, "save");
-    stand.broker.startRun(BrokerFixture.id(1));
-    stand.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
-    stand.broker.rejectRequest(BrokerFixture.id(1), false, 5_500);
+    submit(1, "save");
+    fixture.broker.startRun(BrokerFixture.id(1));
+    fixture.finish(BrokerFixture.id(1), RunOutcome.STOPPED);
+    fixture.broker.rejectRequest(BrokerFixture.id(1), false, 5_500);
     assertEquals(List.of("failed ran-before"), answers);
-    assertEquals(1, stand.spawns.get(BrokerFixture.id(1)));
+    assertEquals(1, fixture.spawns.get(BrokerFixture.id(1)));
   }
 
   /**
-   * Guards against refusals that nobody can trace, and against a log that grows with an overload.
+   * Guards against rejections and failures without a trace in the log, and against a log that grows
+   * with an overload.
    */
   @Test
-  void reasonsAreWrittenWithTheRequestUpToABoundASecond() {
-    int over = 10;
-    for (int i = 0; i < RateLimitedEventLog.MAX_LINES_PER_SECOND + over; i++) {
-      ask(i, "no-such-class");
+  void logsReasonsWithRequestIdAtBoundedRate() {
+    int suppressed = 10;
+    for (int i = 0; i < RateLimitedEventLog.MAX_LINES_PER_SECOND + suppressed; i++) {
+      submit(i, "no-such-class");
     }
-    stand.pass(SECOND);
-    ask(1000, "no-such-class");
-    List<String> written = stand.lines.stream().filter(line -> line.startsWith("failed ")).toList();
+    fixture.pass(SECOND);
+    submit(1000, "no-such-class");
+    List<String> written =
+        fixture.lines.stream().filter(line -> line.startsWith("failed ")).toList();
     assertEquals(RateLimitedEventLog.MAX_LINES_PER_SECOND + 1, written.size());
     assertEquals(
         "failed id=" + BrokerFixture.id(0) + " class=no-such-class reason=unknown-class",
         written.get(0));
-    assertTrue(stand.lines.contains("events-suppressed lines=" + over));
+    assertTrue(fixture.lines.contains("events-suppressed lines=" + suppressed));
   }
 }
--- a/src/test/java/mothwing/broker/EventBatcherTest.java
+++ b/src/test/java/mothwing/broker/EventBatcherTest.java
@@ -32,10 +32,11 @@
   }
 
   /**
-   * Guards against batches closer than the interval, and a fault that costs the events behind it.
+   * Guards against batches closer than the interval, and against an exception of the controller
+   * that loses the events after it.
    */
   @Test
-  void batchesAreAnIntervalApartAndAFaultCostsOneEvent() {
+  void spacesBatchesByIntervalAndLosesOneEventPerException() {
     batcher.setController(controller());
     batcher.enqueue((to, at) -> to.requestCancelled(at, "1"));
     batcher.enqueue((to, at) -> to.callAwaited(at, "2"));
--- a/src/test/java/mothwing/broker/ExchangeTest.java
+++ b/src/test/java/mothwing/broker/ExchangeTest.java
@@ -14,10 +14,10 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** The states of a request, and what is known of its run in the pool. */
+/** Tests the states of a request, and the record of its run in the pool. */
 class ExchangeTest {
   /** For each state, the states after the events in their order in {@link Exchange.Event}. */
-  private static final Map<Exchange.State, List<Exchange.State>> TABLE =
+  private static final Map<Exchange.State, List<Exchange.State>> TRANSITIONS =
       new EnumMap<>(
           Map.of(
               READ, List.of(HELD, RUNNING, RUNNING, PAUSED, HELD, ANSWERED, CANCELLED),
@@ -42,8 +42,8 @@
           }
 
           @Override
-          public void sendRejection(boolean last, long holdOffMs) {
-            answers.add("rejection " + last + " " + holdOffMs);
+          public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
+            answers.add("rejection " + finalAnswer + " " + retryAfterMillis);
           }
 
           @Override
@@ -57,7 +57,7 @@
         request, caller, new Exchange.Times(0, 0, 1), new Exchange.Handling(false, 0, -1, 0));
   }
 
-  private static void play(Exchange exchange, Exchange.Event event) {
+  private static void apply(Exchange exchange, Exchange.Event event) {
     switch (event) {
       case REPORTED -> exchange.reported();
       case RUN_STARTED -> exchange.runStarted(0, true);
@@ -72,37 +72,38 @@
   private static void bringTo(Exchange exchange, Exchange.State state) {
     switch (state) {
       case READ -> {}
-      case HELD -> play(exchange, Exchange.Event.REPORTED);
-      case RUNNING -> play(exchange, Exchange.Event.RUN_STARTED);
-      case PAUSED -> play(exchange, Exchange.Event.RUN_PAUSED);
-      case ANSWERED -> play(exchange, Exchange.Event.ANSWERED);
-      case CANCELLED -> play(exchange, Exchange.Event.CANCELLED);
+      case HELD -> apply(exchange, Exchange.Event.REPORTED);
+      case RUNNING -> apply(exchange, Exchange.Event.RUN_STARTED);
+      case PAUSED -> apply(exchange, Exchange.Event.RUN_PAUSED);
+      case ANSWERED -> apply(exchange, Exchange.Event.ANSWERED);
+      case CANCELLED -> apply(exchange, Exchange.Event.CANCELLED);
     }
   }
 
   /**
-   * Guards against a second answer, an answer after a cancellation, and a state out of the table.
+   * Guards against a second answer, an answer after a cancellation, and a transition that is not in
+   * the table.
    */
   @Test
-  void everyEventInEveryStateLeadsWhereTheTableSays() {
+  void followsTransitionTableForEveryEventInEveryState() {
     for (Exchange.State state : Exchange.State.values()) {
       for (Exchange.Event event : Exchange.Event.values()) {
         Exchange exchange = exchange();
         bringTo(exchange, state);
         assertEquals(state, exchange.state());
         answers.clear();
-        play(exchange, event);
-        String where = state + " " + event;
-        assertEquals(TABLE.get(state).get(event.ordinal()), exchange.state(), where);
+        apply(exchange, event);
+        String context = state + " " + event;
+        assertEquals(TRANSITIONS.get(state).get(event.ordinal()), exchange.state(), context);
         boolean isFinal = state == ANSWERED || state == CANCELLED;
         boolean answered = event == Exchange.Event.ANSWERED && !isFinal;
-        assertEquals(answered ? List.of("result") : List.of(), answers, where);
+        assertEquals(answered ? List.of("result") : List.of(), answers, context);
       }
     }
   }
 
   @Test
-  void theFirstAnswerIsTheOnlyOne() {
+  void sendsOnlyFirstAnswer() {
     Exchange rejected = exchange();
     assertEquals(List.of(true, false), List.of(rejected.reject(true, 5), rejected.cancel()));
     Exchange failed = exchange();
@@ -112,9 +113,9 @@
     assertEquals(List.of("rejection true 5", "failure crashed"), answers);
   }
 
-  /** Guards against a run that is forgotten as its request ends, while the pool still has it. */
+  /** Guards against a run that is dropped when its request ends, while the pool still has it. */
   @Test
-  void aRunOutlivesItsAnswerUntilThePoolReportsItsEnd() {
+  void keepsRunAfterAnswerUntilPoolReportsItsEnd() {
     Exchange exchange = exchange();
     exchange.runStarted(0, true);
     exchange.cancel();
@@ -125,7 +126,7 @@
   }
 
   @Test
-  void aStartCountsAsSentOnceAConnectionHasCarriedIt() {
+  void reportsFirstStartThatIsWrittenToConnection() {
     Exchange exchange = exchange();
     assertEquals(
         List.of(false, true, false),
--- a/src/test/java/mothwing/broker/HealthChecksTest.java
+++ b/src/test/java/mothwing/broker/HealthChecksTest.java
@@ -16,7 +16,7 @@
   private final HealthChecks checks =
       new HealthChecks(new SilentPool(), scheduler, new ShutdownState(), new Counters());
 
-  /** A pool that takes the work of checks and does none. */
+  /** A pool that accepts health checks and never ends them. */
   private final class SilentPool implements WorkerPool {
     @Override
     public boolean isReady() {
@@ -43,9 +43,9 @@
     }
   }
 
-  /** Guards against checks that pile up behind a pool that hangs, and callers without an answer. */
+  /** Guards against checks that accumulate while the pool hangs, and callers without an answer. */
   @Test
-  void deepChecksAreBoundedInNumberAndTime() {
+  void boundsDeepChecksInNumberAndTime() {
     checks.start();
     for (int i = 0; i < HealthChecks.MAX_CHECKS + 1; i++) {
       checks.check(true, answers::add);
@@ -62,11 +62,11 @@
     assertEquals(HealthChecks.MAX_CHECKS + 1, answers.size());
     assertEquals(HealthChecks.MAX_CHECKS, Collections.frequency(answers, false));
     checks.ended(started.get(1), true);
-    assertEquals(HealthChecks.MAX_CHECKS + 1, answers.size(), "each is answered once");
+    assertEquals(HealthChecks.MAX_CHECKS + 1, answers.size(), "each check is answered once");
   }
 
   @Test
-  void allChecksFailUntilTheControllerHasStarted() {
+  void failsAllChecksUntilControllerHasStarted() {
     checks.check(false, answers::add);
     checks.start();
     checks.check(false, answers::add);
--- a/src/test/java/mothwing/broker/ManualScheduler.java
+++ b/src/test/java/mothwing/broker/ManualScheduler.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A clock that a test moves; work that is due in between is done in order. */
+/** A clock that a test advances; work that becomes due runs in order of its time. */
 final class ManualScheduler implements Scheduler {
   private final TreeMap<Long, Runnable> due = new TreeMap<>();
   private long now;
@@ -30,12 +30,12 @@
             });
   }
 
-  void advanceTo(long until) {
-    while (!due.isEmpty() && due.firstKey() <= until) {
+  void advanceTo(long target) {
+    while (!due.isEmpty() && due.firstKey() <= target) {
       Map.Entry<Long, Runnable> next = due.pollFirstEntry();
       now = next.getKey();
       next.getValue().run();
     }
-    now = until;
+    now = target;
   }
 }
