--- a/src/main/java/mothwing/pool/NoticeSequence.java
+++ b/src/main/java/mothwing/pool/NoticeSequence.java
@@ -1,19 +1,19 @@
 package mothwing.pool;
 
 /**
- * The sequence numbers of the notices: filters duplicates and detects gaps. Behind a gap the client
- * reconnects once, as the pool replays all notices after the last one read; if the same gap appears
- * again, the notices in it are lost.
+ * Checks the sequence numbers of notices: filters duplicates and detects gaps. At a gap the client
+ * reconnects once, because the pool then replays all notices after the last one read. If the same
+ * gap appears again, the missing notices are lost.
  */
 final class NoticeSequence {
-  /** What becomes of a numbered notice. */
+  /** How a numbered notice is to be handled. */
   enum Decision {
     PROCESS,
     SKIP,
     RECONNECT
   }
 
-  /** A number further ahead is a fault of the pool, which retains far fewer notices. */
+  /** A larger gap is a fault of the pool, which retains far fewer notices. */
   private static final long MAX_GAP = 1 << 20;
 
   private static final long NO_GAP = -1;
@@ -32,7 +32,7 @@
   }
 
   /**
-   * Takes the number of a notice that was read.
+   * Checks the number of a notice that was read.
    *
    * @param sequence its number, above 0
    */
--- a/src/main/java/mothwing/pool/PoolEvents.java
+++ b/src/main/java/mothwing/pool/PoolEvents.java
@@ -3,7 +3,7 @@
 import mothwing.broker.Counters;
 import mothwing.broker.EventLog;
 
-/** The log lines and counters of the worker pool's client. */
+/** Writes the log lines and counters of the worker pool's client. */
 final class PoolEvents {
   private static final long MICROS_PER_MILLI = 1000;
 
@@ -46,17 +46,17 @@
     counters.add("pool-notices-out-of-range");
   }
 
-  void noticesLost(long number) {
-    counters.add("pool-notices-lost", number);
+  void noticesLost(long count) {
+    counters.add("pool-notices-lost", count);
   }
 
   void noticeRead(PoolNotice.Kind kind) {
     counters.add("pool-notice-" + kind.counter());
   }
 
-  void noticeMalformed(String why) {
+  void noticeMalformed(String detail) {
     counters.add("pool-notices-malformed");
-    log.write("pool-notice-malformed what=\"" + why + "\"");
+    log.write("pool-notice-malformed what=\"" + detail + "\"");
   }
 
   void commandRefused(String command, String requestId) {
--- a/src/main/java/mothwing/pool/PoolNotice.java
+++ b/src/main/java/mothwing/pool/PoolNotice.java
@@ -4,9 +4,11 @@
 import mothwing.control.RunOutcome;
 import mothwing.net.ProtocolException;
 
-/** A notice of the worker pool, decoded. */
+/** A decoded notice of the worker pool. */
 sealed interface PoolNotice {
-  /** What a notice is about, known before its fields are decoded, with its word in counters. */
+  /**
+   * The kind of a notice, known before its fields are decoded, with its suffix in counter names.
+   */
   enum Kind {
     CONNECTED("connected"),
     RUN_ENDED("run-ended"),
@@ -29,34 +31,34 @@
   }
 
   /**
-   * The pool has accepted the connection; the missed notices follow.
+   * Reports that the pool has accepted the connection; the missed notices follow.
    *
-   * @param freshlyStarted whether its workers had not warmed up when it started
+   * @param freshlyStarted whether its workers were not warmed up when it started
    * @param uptimeMicros microseconds since that start
    */
   record Connected(boolean freshlyStarted, long uptimeMicros) implements PoolNotice {}
 
   /**
-   * A run has ended.
+   * Reports that a run has ended.
    *
    * @param requestId the request
    * @param outcome how it ended
-   * @param wallMicros microseconds that it took
+   * @param wallMicros its duration in microseconds
    * @param result the result, or null unless it succeeded
    */
   record RunEnded(String requestId, RunOutcome outcome, long wallMicros, byte[] result)
       implements PoolNotice {}
 
   /**
-   * A run has ended, and the notice of it cannot be decoded: its result is lost.
+   * Reports that a run has ended in a notice that cannot be decoded: the result is lost.
    *
    * @param requestId the request
-   * @param cause what is wrong with the notice
+   * @param cause the error in decoding the notice
    */
   record UnreadableRunEnd(String requestId, Exception cause) implements PoolNotice {}
 
   /**
-   * A run is suspended until its dependency call has a result.
+   * Reports that a run is suspended until its dependency call has a result.
    *
    * @param requestId the request
    * @param content the content of the call
@@ -64,7 +66,7 @@
   record RunAwaitsCall(String requestId, byte[] content) implements PoolNotice {}
 
   /**
-   * The gauges that were requested with a broker's echo.
+   * Reports the gauges that the broker requested with this echo.
    *
    * @param echo the echo of the command
    * @param values the gauges
@@ -72,26 +74,26 @@
   record Gauges(String echo, double[] values) implements PoolNotice {}
 
   /**
-   * A health check has ended.
+   * Reports that a health check has ended.
    *
    * @param echo the echo of the command
-   * @param succeeded whether its work was done
+   * @param succeeded whether the pool did the work
    */
   record HealthCheckEnded(String echo, boolean succeeded) implements PoolNotice {}
 
   /**
-   * The pool did not carry out a command.
+   * Reports that the pool did not carry out a command.
    *
    * @param command the command's name on the wire, for the log
    * @param isStart whether the command was to start a run
-   * @param requestId the request, where the notice names it
+   * @param requestId the request, if the notice names it
    */
   record CommandRefused(String command, boolean isStart, Optional<String> requestId)
       implements PoolNotice {
     /**
      * The request whose run was not started.
      *
-     * @throws ProtocolException where the notice does not name it
+     * @throws ProtocolException if the notice does not name it
      */
     String startedRequest() throws ProtocolException {
       return requestId.orElseThrow(PoolProtocol::missingRequest);
--- a/src/main/java/mothwing/pool/PoolProtocol.java
+++ b/src/main/java/mothwing/pool/PoolProtocol.java
@@ -13,11 +13,11 @@
 import mothwing.settings.JsonFields;
 
 /**
- * The codec of the worker pool's wire: JSON objects, one a line. Encodes commands and decodes
- * notices; the wire's words occur in this class alone.
+ * The codec of the worker pool's protocol: one JSON object per line. Encodes commands and decodes
+ * notices. No other class depends on the names in the protocol.
  */
 final class PoolProtocol {
-  /** The echo of the gauge request that shows, once answered, that all missed notices were read. */
+  /** The echo of the gauge request whose answer proves that all missed notices were read. */
   static final String RESYNC_ECHO = "bind";
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -68,9 +68,9 @@
 
   private PoolProtocol() {}
 
-  // commands
+  // Commands
 
-  /** Accepts a connection on which the notices after this sequence number are replayed. */
+  /** Opens the session on a connection; the notices after this sequence number are replayed. */
   static String connect(long lastSequence) {
     return "{\""
         + ACTION
@@ -143,12 +143,12 @@
     return "{\"" + ACTION + "\":\"" + action + "\",\"" + field + "\":\"" + value + "\"}";
   }
 
-  // notices
+  // Notices
 
   /**
-   * Reads the JSON of a notice.
+   * Parses the JSON of a notice.
    *
-   * @throws IOException where it is not one JSON object
+   * @throws IOException if the line is not one JSON object
    */
   static JsonFields parse(String line) throws IOException {
     try (JsonReader reader = new JsonReader(new StringReader(line))) {
@@ -157,25 +157,25 @@
   }
 
   /**
-   * What a notice is about.
+   * The kind of a notice.
    *
-   * @throws IOException where it does not say so
+   * @throws IOException if the notice does not state its action
    */
   static PoolNotice.Kind kind(JsonFields notice) throws IOException {
     return KINDS.getOrDefault(notice.text(ACTION), PoolNotice.Kind.OTHER);
   }
 
-  /** The sequence number of a notice, 0 where it has none and is not replayed. */
+  /** The sequence number of a notice, or 0 if it has none and is not replayed. */
   static long sequence(JsonFields notice) throws IOException {
     return notice.integer(SEQUENCE, 0);
   }
 
   /**
-   * Decodes the fields of a notice. An unreadable end of a run is a notice of its own, as the run
-   * is over nevertheless.
+   * Decodes the fields of a notice. An unreadable end of a run is decoded as {@link
+   * PoolNotice.UnreadableRunEnd}, because the run is over nevertheless.
    *
-   * @throws IOException where a field is missing or of a wrong type
-   * @throws ProtocolException where a value is not one of the protocol's
+   * @throws IOException if a field is missing or of a wrong type
+   * @throws ProtocolException if a value is not valid in the protocol
    */
   static PoolNotice decode(PoolNotice.Kind kind, JsonFields notice)
       throws IOException, ProtocolException {
@@ -200,7 +200,7 @@
       String code = notice.text(CODE);
       RunOutcome outcome = OUTCOMES.get(code);
       if (outcome == null) {
-        throw new ProtocolException(CloseReason.MALFORMED, "finished as " + code);
+        throw new ProtocolException(CloseReason.MALFORMED, "unknown outcome of a run: " + code);
       }
       byte[] result = outcome == RunOutcome.SUCCEEDED ? content(notice) : null;
       return new PoolNotice.RunEnded(requestId, outcome, wallMicros(notice), result);
--- a/src/main/java/mothwing/pool/ReconnectBackoff.java
+++ b/src/main/java/mothwing/pool/ReconnectBackoff.java
@@ -1,14 +1,16 @@
 package mothwing.pool;
 
-/** The delay before the next attempt to connect, in microseconds. */
+/** Computes the delay before the next attempt to connect, in microseconds. */
 final class ReconnectBackoff {
   private static final long MAX_DELAY_MICROS = 500_000;
   private static final long MIN_DELAY_MICROS = 5_000;
 
-  /** A connection that was open for so long is no part of a series of short ones. */
+  /** A connection that was open for at least this time does not count as short-lived. */
   private static final long STABLE_MICROS = 2_000_000;
 
-  /** Bounds the share of time without a connection, in a series of short ones, to one ninth. */
+  /**
+   * Bounds the share of time without a connection to one ninth if all connections are short-lived.
+   */
   private static final int OPEN_TO_DELAY_RATIO = 8;
 
   private long delayMicros;
@@ -17,21 +19,21 @@
     return delayMicros;
   }
 
-  /** The next attempt is made at once. */
+  /** Resets the delay, so that the next attempt is made at once. */
   void reset() {
     delayMicros = 0;
   }
 
-  /** An attempt is scheduled: the delay before the one after it grows. */
+  /** Increases the delay, after an attempt was scheduled. */
   void increase() {
     delayMicros = Math.min(MAX_DELAY_MICROS, Math.max(MIN_DELAY_MICROS, 2 * delayMicros));
   }
 
   /**
-   * A connection that was usable has ended: the delay is 0 after a stable one, and grows with a
-   * series of short ones.
+   * Updates the delay after the end of a usable connection: it is 0 after a stable connection, and
+   * grows with successive short-lived ones.
    *
-   * @param openMicros for how long it was open
+   * @param openMicros the time for which the connection was open
    */
   void connectionEnded(long openMicros) {
     delayMicros =
--- a/src/main/java/mothwing/pool/WorkerPoolClient.java
+++ b/src/main/java/mothwing/pool/WorkerPoolClient.java
@@ -12,21 +12,22 @@
 import mothwing.net.Connector;
 
 /**
- * The worker pool over one connection at a time. A connection that breaks is replaced by another,
- * on which the pool replays the notices after the last one read; so is the connection to a former
- * address. The former connection is read until the pool has accepted its replacement, so that its
- * last notices are not lost.
+ * The client of the worker pool, which uses one connection at a time. A connection that breaks, or
+ * leads to a former address, is replaced by a new one, on which the pool replays the notices after
+ * the last one read. The former connection is read until the pool has accepted the new one, so that
+ * its last notices are not lost.
  */
 public final class WorkerPoolClient implements WorkerPool {
   /**
-   * Interval of the checks for a silent connection; a check that is late by as much was stalled.
+   * The interval of the checks for a silent connection. A check that is late by a whole interval is
+   * taken for a stall of this process and proves no silence.
    */
   private static final long SILENCE_CHECK_MICROS = 250_000;
 
-  /** Silence of an accepted pool, with an answer pending, after which another connection opens. */
+  /** The silence, while an answer is pending, after which another connection is opened. */
   static final long MAX_SILENCE_MICROS = 2_000_000;
 
-  /** The same before the pool has accepted any connection, as it may start after this process. */
+  /** The same before the first resynchronization, as the pool may start after this process. */
   static final long MAX_INITIAL_SILENCE_MICROS = 4_000_000;
 
   private static final long MAX_SILENCE_BACKOFF_MICROS = 8 * MAX_SILENCE_MICROS;
@@ -41,19 +42,22 @@
   private Broker broker;
   private WorkerPoolConnection connection;
   private WorkerPoolConnection former;
-  private int attempt; // numbers the attempts to connect; all but the latest are obsolete
+
+  /** The number of the latest attempt to connect; all earlier attempts are obsolete. */
+  private int attempt;
+
   private boolean connecting;
   private boolean stopped;
   private long maxSilenceMicros = MAX_INITIAL_SILENCE_MICROS;
   private long silenceCheckedAt;
 
   /**
-   * Makes a client that is not connected yet.
+   * Creates a client that is not connected yet.
    *
    * @param connector opens connections to the pool's address
-   * @param scheduler the clock and its timers
-   * @param counters counts events
-   * @param log takes lines of the log
+   * @param scheduler the clock and timers
+   * @param counters the counters of events
+   * @param log receives the log lines
    */
   public WorkerPoolClient(
       Connector connector, Scheduler scheduler, Counters counters, EventLog log) {
@@ -68,18 +72,19 @@
   /**
    * Opens the first connection.
    *
-   * @param notified takes the pool's notices
+   * @param owner the broker that receives the pool's notices
    */
-  public void attach(Broker notified) {
-    broker = notified;
+  public void attach(Broker owner) {
+    broker = owner;
     connect();
     checkSilence();
   }
 
   /**
-   * Opens another connection beside one that is silent, as it may be half open. The silent one is
-   * closed only once the pool has accepted the other: a slow pool loses nothing. The permitted
-   * silence doubles each time, so that a pool that has not started yet is tried ever more seldom.
+   * Opens another connection if the current one is silent and may be half open. The silent one is
+   * closed only when the pool has accepted the other, so that a slow pool loses nothing. The
+   * permitted silence doubles each time, up to a bound, so that attempts to reach a pool that has
+   * not started yet become less frequent.
    */
   private void checkSilence() {
     if (stopped) {
@@ -120,9 +125,9 @@
     }
     connecting = true;
     int current = ++attempt;
-    Supplier<Connection> maker =
+    Supplier<Connection> connectionFactory =
         () -> new WorkerPoolConnection(this, current, broker, log, counters);
-    connector.connect(maker, () -> retry(current));
+    connector.connect(connectionFactory, () -> retry(current));
   }
 
   /** Connects again after the backoff, unless a later attempt has been made by then. */
@@ -143,9 +148,9 @@
   }
 
   /**
-   * A connection is open and replaces the one before it.
+   * Handles a connection that has opened: it replaces the current one.
    *
-   * @return false if a later attempt has been made, and the connection is to be closed
+   * @return false if a later attempt has been made, so that the connection is to be closed
    */
   boolean opened(WorkerPoolConnection opened, int openedAttempt) {
     if (openedAttempt != attempt) {
@@ -168,7 +173,7 @@
     }
   }
 
-  /** Opens no further connection. */
+  /** Stops the client from opening further connections. */
   public void stop() {
     stopped = true;
   }
@@ -178,7 +183,7 @@
     return sequence.lastRead();
   }
 
-  /** Whether the notice of this number is to be processed; a gap closes its connection. */
+  /** Whether the notice of this number is to be processed; a gap may close its connection. */
   boolean accept(WorkerPoolConnection source, long number) {
     NoticeSequence.Decision decision = sequence.accept(number);
     if (decision == NoticeSequence.Decision.RECONNECT) {
@@ -187,12 +192,12 @@
     return decision == NoticeSequence.Decision.PROCESS;
   }
 
-  /** The pool has accepted a connection. */
+  /** Handles the pool's acceptance of the current connection: the former one is closed. */
   void connectionAccepted() {
     closeFormer();
   }
 
-  /** All missed notices have been read on a new connection. */
+  /** Records that all missed notices have been read on a new connection. */
   void resynchronized() {
     maxSilenceMicros = MAX_SILENCE_MICROS;
   }
@@ -201,7 +206,7 @@
     return scheduler.now();
   }
 
-  /** A connection has ended; if it was the one in use, another is opened after the backoff. */
+  /** Handles the end of a connection; if it was in use, another is opened after the backoff. */
   void ended(WorkerPoolConnection ended) {
     if (connection != ended) {
       return;
--- a/src/main/java/mothwing/pool/WorkerPoolConnection.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -20,7 +20,7 @@
   /** Bounds one line; a result of 4 KiB in base64 takes far less. */
   static final int MAX_LINE_BYTES = 64 << 10;
 
-  /** Bounds the bytes of an unterminated line that are skipped before the connection is closed. */
+  /** Bounds the bytes of an overlong line that are skipped before the connection is closed. */
   static final int MAX_SKIPPED_BYTES = 1 << 20;
 
   private final WorkerPoolClient client;
@@ -43,24 +43,24 @@
     openedAt = client.now();
   }
 
-  /** When it was opened, in microseconds of the broker's clock. */
+  /** When the connection was opened, in microseconds of the monotonic clock. */
   long openedAt() {
     return openedAt;
   }
 
-  /** Whether all notices that were missed before it was opened have been read. */
+  /** Whether all notices that were missed before the connection opened have been read. */
   boolean isResynchronized() {
     return resynchronized;
   }
 
-  /** Queries once more whether all missed notices have been read, unless that is known. */
+  /** Repeats the query for whether all missed notices have been read, unless they have been. */
   void retryResynchronization() {
     if (isReady() && !resynchronized) {
       requestGauges(PoolProtocol.RESYNC_ECHO);
     }
   }
 
-  /** Microseconds for which nothing has arrived though an answer is pending, 0 if none is. */
+  /** Microseconds without any input while an answer is pending, or 0 if none is pending. */
   long silentMicros(long now) {
     return awaitsAnswerSince == NEVER ? 0 : now - awaitsAnswerSince;
   }
@@ -81,8 +81,8 @@
   }
 
   /**
-   * A malformed line is skipped and the connection stays open: after a reconnect the pool would
-   * replay the same line, without end.
+   * Decodes one line. A malformed line is skipped and the connection stays open, because the pool
+   * would replay the same line after each reconnect.
    */
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
@@ -105,9 +105,9 @@
   }
 
   private void skip(ByteBuf in, int length) throws ProtocolException {
-    int part = length < 0 ? in.readableBytes() : length + 1;
-    in.skipBytes(part);
-    skippedBytes += part;
+    int bytes = length < 0 ? in.readableBytes() : length + 1;
+    in.skipBytes(bytes);
+    skippedBytes += bytes;
     if (skippedBytes > MAX_SKIPPED_BYTES) {
       throw new ProtocolException(
           CloseReason.OVERSIZED, "over " + MAX_SKIPPED_BYTES + " bytes without an end");
@@ -128,7 +128,7 @@
       accepted = true;
       client.connectionAccepted();
     } else if (kind == PoolNotice.Kind.GAUGES && !resynchronized) {
-      // any gauges will do: the pool sends all missed notices before them
+      // gauges with any echo prove it: the pool sends all missed notices before them
       resynchronized = true;
       client.resynchronized();
       broker.resynchronized();
