--- a/src/main/java/mothwing/dependency/DependencyConnection.java
+++ b/src/main/java/mothwing/dependency/DependencyConnection.java
@@ -14,14 +14,19 @@
 import mothwing.net.Connection;
 import mothwing.net.ProtocolException;
 
-/** One connection to the dependency: pending calls by request id, answered in any order. */
+/**
+ * One connection to the dependency. Calls are identified by request id, and answered in any order.
+ */
 final class DependencyConnection extends Connection {
-  /** Bounds the abandoned calls without an answer; at the bound no further call is made here. */
+  /** Bounds the abandoned calls that have no answer; at the bound no further call is made here. */
   static final int MAX_ABANDONED_CALLS = 1024;
 
   private final DependencyConnectionManager manager;
   private final int attempt;
-  private final Map<String, Long> pendingSince = new LinkedHashMap<>(); // by request id, by age
+
+  /** The start times of the pending calls by request id, the oldest first. */
+  private final Map<String, Long> pendingSince = new LinkedHashMap<>();
+
   private final Set<String> abandoned = new LinkedHashSet<>();
   private boolean retired;
   private long awaitsAnswerSince = NEVER;
@@ -44,9 +49,9 @@
 
   @Override
   protected void onClosed() {
-    List<String> cutOff = new ArrayList<>(pendingSince.keySet());
+    List<String> pendingCalls = new ArrayList<>(pendingSince.keySet());
     pendingSince.clear();
-    manager.ended(this, cutOff);
+    manager.ended(this, pendingCalls);
   }
 
   @Override
@@ -55,17 +60,17 @@
   }
 
   /**
-   * Whether no call of this request can be made here, as an answer to an earlier call of it may
-   * still arrive, or as this connection takes no calls at all.
+   * Whether no call of this request can be made here, because an answer to an earlier call of it
+   * may still arrive or the connection accepts no calls at all.
    */
   boolean isUnusableFor(String requestId) {
     return isClosed() || abandoned.contains(requestId) || abandoned.size() >= MAX_ABANDONED_CALLS;
   }
 
-  void call(String requestId, long limitMillis, byte[] content) {
+  void call(String requestId, long timeoutMillis, byte[] content) {
     pendingSince.put(requestId, manager.now());
     awaitsAnswerSince = Math.min(awaitsAnswerSince, manager.now());
-    String line = DependencyProtocol.callLine(requestId, limitMillis, content.length);
+    String line = DependencyProtocol.callLine(requestId, timeoutMillis, content.length);
     ByteBuf out = allocate(DependencyProtocol.lineBytes(line) + content.length);
     DependencyProtocol.writeLine(line, out);
     DependencyProtocol.writeBlock(content, out);
@@ -85,15 +90,15 @@
     closeIfRetiredAndIdle();
   }
 
-  /** Takes no further call, and closes once no call is pending. */
+  /** Retires the connection: it closes when no call is pending. */
   void retire() {
     retired = true;
     closeIfRetiredAndIdle();
   }
 
   /**
-   * Microseconds for which nothing has been answered though a call, pending or abandoned, has no
-   * answer; 0 if there is none.
+   * Microseconds without any answer while a pending or abandoned call is unanswered, or 0 if there
+   * is no such call.
    */
   long silentMicros(long now) {
     return awaitsAnswerSince == NEVER ? 0 : now - awaitsAnswerSince;
--- a/src/main/java/mothwing/dependency/DependencyConnectionManager.java
+++ b/src/main/java/mothwing/dependency/DependencyConnectionManager.java
@@ -16,41 +16,49 @@
 import mothwing.net.Connector;
 
 /**
- * Makes the calls of all runs over one connection, which is opened for the first call and again for
- * the next call after it ended. The connection is retired when a request calls again while an
- * answer to an earlier call of it may still arrive, and when it has been silent for too long with a
- * call unanswered, as that may block all calls behind it. A retired connection takes no further
- * call and is closed when its last pending call ends.
+ * Makes the calls of all runs over one connection, which is opened for the first call, and opened
+ * again for the next call after it has ended. The connection is retired when a request makes
+ * another call while an answer to an earlier one may still arrive, and when it has been silent for
+ * too long with a call unanswered, which may block all later calls. A retired connection accepts no
+ * further call and is closed when its last pending call ends.
  */
 public final class DependencyConnectionManager implements DependencyClient {
-  /** Bounds the retired connections; at the bound the newest takes calls even when silent. */
+  /** Bounds the retired connections; at the bound, a silent connection is not retired. */
   static final int MAX_RETIRED_CONNECTIONS = 8;
 
-  private static final double LATENCY_SMOOTHING_RATIO = 0.1; // weight of one answer in the average
+  /** The weight of one answer in the average latency. */
+  private static final double LATENCY_SMOOTHING_RATIO = 0.1;
+
   private static final double SILENCE_TO_LATENCY_RATIO = 4;
   private static final long MIN_SILENCE_MICROS = 100_000;
 
-  private record QueuedCall(long limitMillis, byte[] content) {}
+  private record QueuedCall(long timeoutMillis, byte[] content) {}
 
   private final Scheduler scheduler;
   private final Counters counters;
   private final EventLog log;
-  private final Map<String, QueuedCall> queued = new LinkedHashMap<>(); // until a connection opens
+
+  /** The calls by request id that wait for a connection to open. */
+  private final Map<String, QueuedCall> queued = new LinkedHashMap<>();
+
   private final List<DependencyConnection> retired = new ArrayList<>();
   private Connector connector;
   private Broker broker;
   private DependencyConnection connection;
   private boolean connecting;
-  private int attempt; // numbers the attempts to connect; all but the latest are obsolete
+
+  /** The number of the latest attempt to connect; all earlier attempts are obsolete. */
+  private int attempt;
+
   private double averageLatencyMicros = MIN_SILENCE_MICROS;
 
   /**
-   * Makes a client that is not connected.
+   * Creates a client that is not connected.
    *
    * @param connector opens connections to the dependency's address
    * @param scheduler the clock
-   * @param counters counts events
-   * @param log takes lines of the log
+   * @param counters the counters of events
+   * @param log receives the log lines
    */
   public DependencyConnectionManager(
       Connector connector, Scheduler scheduler, Counters counters, EventLog log) {
@@ -61,13 +69,13 @@
   }
 
   /**
-   * Makes calls for this broker.
+   * Registers as the dependency client of a broker.
    *
-   * @param notified is notified of the ends of calls
+   * @param owner the broker whose calls are made, and to which their ends are reported
    */
-  public void attach(Broker notified) {
-    broker = notified;
-    notified.setDependencyClient(this);
+  public void attach(Broker owner) {
+    broker = owner;
+    owner.setDependencyClient(this);
   }
 
   /**
@@ -84,17 +92,17 @@
   }
 
   @Override
-  public boolean startCall(String id, long limitMs, byte[] content) {
+  public boolean startCall(String id, long timeoutMillis, byte[] content) {
     boolean silent = isSilent();
     if (silent || (connection != null && connection.isUnusableFor(id))) {
       counters.add(silent ? "dependency-connections-silent" : "dependency-connections-replaced");
       retireConnection();
     }
     if (connection != null) {
-      connection.call(id, limitMs, content);
+      connection.call(id, timeoutMillis, content);
       return true;
     }
-    queued.put(id, new QueuedCall(limitMs, content));
+    queued.put(id, new QueuedCall(timeoutMillis, content));
     if (!connecting) {
       connect();
     }
@@ -137,8 +145,9 @@
   private void connect() {
     connecting = true;
     int current = ++attempt;
-    Supplier<Connection> maker = () -> new DependencyConnection(this, current, log, counters);
-    connector.connect(maker, () -> connectFailed(current));
+    Supplier<Connection> connectionFactory =
+        () -> new DependencyConnection(this, current, log, counters);
+    connector.connect(connectionFactory, () -> connectFailed(current));
   }
 
   private void connectFailed(int failedAttempt) {
@@ -151,7 +160,7 @@
     unreached.forEach(id -> broker.callEnded(id, RunOutcome.UNREACHABLE, null));
   }
 
-  /** A connection is open; it is closed again if a later attempt has been made. */
+  /** Handles a connection that has opened; it is closed if a later attempt has been made. */
   void opened(DependencyConnection opened, int openedAttempt) {
     if (openedAttempt != attempt) {
       opened.close(CloseReason.MOVED, "");
@@ -159,17 +168,17 @@
     }
     connecting = false;
     connection = opened;
-    queued.forEach((id, call) -> opened.call(id, call.limitMillis(), call.content()));
+    queued.forEach((id, call) -> opened.call(id, call.timeoutMillis(), call.content()));
     queued.clear();
   }
 
-  /** A pending call has been answered. */
+  /** Handles the answer to a pending call. */
   void callEnded(DependencyProtocol.Answer answer, long latencyMicros) {
     averageLatencyMicros += (latencyMicros - averageLatencyMicros) * LATENCY_SMOOTHING_RATIO;
     broker.callEnded(answer.requestId(), answer.outcome(), answer.result());
   }
 
-  /** A connection has ended with these calls pending. */
+  /** Handles the end of a connection on which these calls were pending. */
   void ended(DependencyConnection ended, List<String> pendingCalls) {
     if (connection == ended) {
       connection = null;
--- a/src/main/java/mothwing/dependency/DependencyProtocol.java
+++ b/src/main/java/mothwing/dependency/DependencyProtocol.java
@@ -9,11 +9,11 @@
 import mothwing.net.ProtocolException;
 
 /**
- * The codec of the dependency's wire: lines, some with a block of bytes behind them. Encodes calls
- * and decodes answers; the wire's words occur in this class alone.
+ * The codec of the dependency's protocol, which consists of lines, some of them followed by a block
+ * of bytes. Encodes calls and decodes answers. No other class depends on the names in the protocol.
  */
 final class DependencyProtocol {
-  /** Bounds a result; the pool must be able to take it in one line. */
+  /** Bounds a result, which has to fit into one line of the pool's protocol. */
   static final int MAX_RESULT_BYTES = 32 << 10;
 
   /** Bounds the line of an answer. */
@@ -43,14 +43,14 @@
 
   private DependencyProtocol() {}
 
-  /** The most bytes that a line takes, with the end of a block behind it. */
+  /** An upper bound on the bytes of a line and the end of the block after it. */
   static int lineBytes(String line) {
     return line.length() + 2 * LINE_END.length();
   }
 
-  /** The line of a call, whose content follows as a block. */
-  static String callLine(String requestId, long limitMillis, int contentBytes) {
-    return CALL_COMMAND + " " + requestId + " " + limitMillis + " " + contentBytes;
+  /** The line that makes a call; the content follows as a block. */
+  static String callLine(String requestId, long timeoutMillis, int contentBytes) {
+    return CALL_COMMAND + " " + requestId + " " + timeoutMillis + " " + contentBytes;
   }
 
   /** The line that abandons a call. */
@@ -64,7 +64,7 @@
     out.writeCharSequence(LINE_END, StandardCharsets.US_ASCII);
   }
 
-  /** Writes a block of bytes behind its line. */
+  /** Writes the block of bytes that follows a line. */
   static void writeBlock(byte[] block, ByteBuf out) {
     out.writeBytes(block);
     out.writeCharSequence(LINE_END, StandardCharsets.US_ASCII);
@@ -73,9 +73,9 @@
   /**
    * Reads the next answer.
    *
-   * @param in what has arrived; left as it is until an answer is complete
-   * @return the answer, or none while it is incomplete
-   * @throws ProtocolException where it is malformed or exceeds a bound
+   * @param in the received bytes; unchanged unless an answer is complete
+   * @return the answer, or empty if it is incomplete
+   * @throws ProtocolException if the answer is malformed or exceeds a bound
    */
   static Optional<Answer> readAnswer(ByteBuf in) throws ProtocolException {
     int length = in.bytesBefore((byte) '\n');
@@ -83,49 +83,49 @@
       return Optional.empty();
     } else if (length < 0 || length > MAX_LINE_BYTES) {
       throw new ProtocolException(
-          CloseReason.OVERSIZED, "a line of over " + MAX_LINE_BYTES + " bytes");
+          CloseReason.OVERSIZED, "answer line longer than " + MAX_LINE_BYTES + " bytes");
     }
     String line = in.toString(in.readerIndex(), length, StandardCharsets.US_ASCII).stripTrailing();
-    String[] words = line.split(" ");
-    if (words.length < 2) {
-      throw malformed("an answer without an outcome");
+    String[] fields = line.split(" ");
+    if (fields.length < 2) {
+      throw malformed("answer has no outcome");
     }
-    RunOutcome outcome = OUTCOMES.get(words[1]);
+    RunOutcome outcome = OUTCOMES.get(fields[1]);
     int lineBytes = length + 1;
     if (outcome != RunOutcome.SUCCEEDED) {
       in.skipBytes(lineBytes);
       if (outcome == null) {
-        throw malformed("a call ended as " + words[1]);
+        throw malformed("unknown outcome of a call: " + fields[1]);
       }
-      return Optional.of(new Answer(words[0], outcome, null));
+      return Optional.of(new Answer(fields[0], outcome, null));
     }
-    int resultBytes = resultBytes(words);
+    int resultBytes = resultBytes(fields);
     if (in.readableBytes() < lineBytes + resultBytes + LINE_END.length()) {
       return Optional.empty();
     }
     in.skipBytes(lineBytes);
-    return Optional.of(new Answer(words[0], outcome, readBlock(in, resultBytes)));
+    return Optional.of(new Answer(fields[0], outcome, readBlock(in, resultBytes)));
   }
 
   private static byte[] readBlock(ByteBuf in, int bytes) throws ProtocolException {
     byte[] block = new byte[bytes];
     in.readBytes(block);
     if (in.readByte() != '\r' || in.readByte() != '\n') {
-      throw malformed("a result that does not end where it should");
+      throw malformed("result block is not followed by CRLF");
     }
     return block;
   }
 
-  private static int resultBytes(String[] words) throws ProtocolException {
+  private static int resultBytes(String[] fields) throws ProtocolException {
     try {
-      int bytes = Integer.parseInt(words.length == 3 ? words[2] : "");
+      int bytes = Integer.parseInt(fields.length == 3 ? fields[2] : "");
       if (bytes >= 0 && bytes <= MAX_RESULT_BYTES) {
         return bytes;
       }
     } catch (NumberFormatException notANumber) {
-      // reported below, as a number out of range is
+      // reported below, like a number out of range
     }
-    throw malformed("a result's length is missing or out of range");
+    throw malformed("result length is missing or out of range");
   }
 
   private static ProtocolException malformed(String detail) {
--- a/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -27,74 +27,79 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /**
- * Calls over links that break, with answers late and out of order, against a model of the
- * dependency.
+ * Tests calls against a model of the dependency, with connections that break, and answers that are
+ * late and out of order.
  */
 class DependencyConnectionManagerTest {
   private static final int RUNS = 6;
 
-  private BrokerFixture stand;
+  private BrokerFixture fixture;
   private DependencyConnectionManager manager;
-  private List<Tier> links;
+  private List<Peer> connections;
   private boolean refusing;
-  private Map<String, String> asked; // what each run stands at a call for
-  private Map<String, Integer> ended; // how the calls of each were told to be over
-  private int nonces;
+
+  /** The content of the call that each run awaits. */
+  private Map<String, String> awaitedCalls;
+
+  /** The number of ended calls of each run that were reported to the controller. */
+  private Map<String, Integer> endedCalls;
+
+  private int callsAwaited;
 
   /**
-   * The far side of one link: it reads when it is told to, and answers what it has read, in any
-   * order.
+   * The dependency's side of one connection. It reads only when {@link #read} is called, and
+   * answers the calls that it has read in any order.
    */
-  private final class Tier {
+  private final class Peer {
     final EmbeddedChannel channel;
-    final Map<String, String> posted = new LinkedHashMap<>();
-    String rest = "";
+    final Map<String, String> unansweredCalls = new LinkedHashMap<>();
+    String unread = "";
 
-    Tier(Connection connection) {
-      channel = stand.open(connection);
+    Peer(Connection connection) {
+      channel = fixture.open(connection);
     }
 
     void read() {
       channel.runPendingTasks();
       ByteBuf out;
       while ((out = channel.readOutbound()) != null) {
-        rest += out.toString(StandardCharsets.ISO_8859_1);
+        unread += out.toString(StandardCharsets.ISO_8859_1);
         out.release();
       }
       int end;
-      while ((end = rest.indexOf("\r\n")) >= 0) {
-        String[] words = rest.substring(0, end).split(" ");
-        rest = rest.substring(end + 2);
-        if (words[0].equals("post")) {
-          int length = Integer.parseInt(words[3]);
-          assertTrue(Long.parseLong(words[2]) > 0, "a limit above 0");
+      while ((end = unread.indexOf("\r\n")) >= 0) {
+        String[] fields = unread.substring(0, end).split(" ");
+        unread = unread.substring(end + 2);
+        if (fields[0].equals("post")) {
+          int length = Integer.parseInt(fields[3]);
+          assertTrue(Long.parseLong(fields[2]) > 0, "the timeout is above 0");
           assertEquals(
               null,
-              posted.put(words[1], rest.substring(0, length)),
-              "a call over the link whose answers go by the name of another");
-          assertEquals("\r\n", rest.substring(length, length + 2));
-          rest = rest.substring(length + 2);
+              unansweredCalls.put(fields[1], unread.substring(0, length)),
+              "a request has two unanswered calls on one connection");
+          assertEquals("\r\n", unread.substring(length, length + 2));
+          unread = unread.substring(length + 2);
         } else {
-          assertEquals("abandon", words[0]);
-          posted.remove(words[1]);
+          assertEquals("abandon", fields[0]);
+          unansweredCalls.remove(fields[1]);
         }
       }
     }
 
-    void answer(int draw) {
-      if (posted.isEmpty() || !channel.isOpen()) {
+    void answer(int choice) {
+      if (unansweredCalls.isEmpty() || !channel.isOpen()) {
         return;
       }
-      String id = List.copyOf(posted.keySet()).get(draw % posted.size());
-      String content = posted.remove(id);
+      String id = List.copyOf(unansweredCalls.keySet()).get(choice % unansweredCalls.size());
+      String content = unansweredCalls.remove(id);
       String line =
-          switch (draw % 7) {
+          switch (choice % 7) {
             case 0 -> id + " queue_full\r\n";
             case 1 -> id + " error\r\n";
             case 2 -> id + " moot\r\n";
             default -> id + " posted " + (content.length() + 2) + "\r\na:" + content + "\r\n";
           };
-      int cut = draw % line.length();
+      int cut = choice % line.length();
       for (String part : List.of(line.substring(0, cut), line.substring(cut))) {
         if (channel.isOpen()) {
           channel.writeInbound(Unpooled.copiedBuffer(part, StandardCharsets.ISO_8859_1));
@@ -104,240 +109,244 @@
   }
 
   @BeforeTry
-  void anew() {
-    links = new ArrayList<>();
+  void setUp() {
+    connections = new ArrayList<>();
     refusing = false;
-    asked = new LinkedHashMap<>();
-    ended = new LinkedHashMap<>();
-    nonces = 0;
-    stand = new BrokerFixture(new Noted());
-    manager = new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add);
-    manager.attach(stand.bound().broker);
+    awaitedCalls = new LinkedHashMap<>();
+    endedCalls = new LinkedHashMap<>();
+    callsAwaited = 0;
+    fixture = new BrokerFixture(new EndCounter());
+    manager =
+        new DependencyConnectionManager(
+            this::connect, fixture, fixture.counters, fixture.lines::add);
+    manager.attach(fixture.bound().broker);
   }
 
-  private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    stand.schedule(stand.now() + 300, refusing ? failed : () -> links.add(new Tier(maker.get())));
+  private void connect(Supplier<? extends Connection> connectionFactory, Runnable failed) {
+    fixture.schedule(
+        fixture.now() + 300,
+        refusing ? failed : () -> connections.add(new Peer(connectionFactory.get())));
   }
 
-  /** Decisions by hand: it counts the ends of calls. */
-  private final class Noted extends NoDecisionController {
+  /** A controller that counts the ends of calls and takes no decision. */
+  private final class EndCounter extends NoDecisionController {
     @Override
     public void callEnded(long now, String id, RunOutcome outcome, long took) {
-      ended.merge(id, 1, Integer::sum);
+      endedCalls.merge(id, 1, Integer::sum);
     }
   }
 
-  /** A caller whose answer is of no matter here. */
-  private static final class Unread implements ResponseSink {
+  /** Ignores the answer to a request. */
+  private static final class IgnoringSink implements ResponseSink {
     @Override
     public void sendResult(byte[] result) {
-      // not looked at
+      // not needed here
     }
 
     @Override
-    public void sendRejection(boolean last, long holdOffMs) {
-      // not looked at
+    public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
+      // not needed here
     }
 
     @Override
     public void sendFailure(String code) {
-      // not looked at
+      // not needed here
     }
   }
 
-  private void begin(String id) {
-    stand.ask(id, BrokerFixture.LOOK, new byte[3], new Unread());
-    stand.broker.startRun(id);
+  private void startRun(String id) {
+    fixture.ask(id, BrokerFixture.LOOK, new byte[3], new IgnoringSink());
+    fixture.broker.startRun(id);
   }
 
-  private void blocked(String id) {
-    String content = "q" + ++nonces;
-    asked.put(id, content);
-    stand.broker.runAwaitsCall(id, content.getBytes(StandardCharsets.ISO_8859_1));
+  private void awaitCall(String id) {
+    String content = "q" + ++callsAwaited;
+    awaitedCalls.put(id, content);
+    fixture.broker.runAwaitsCall(id, content.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** What was supplied last is the answer to what is asked now. */
-  private void supplied(String id, int before) {
-    List<byte[]> all = stand.supplied.getOrDefault(id, List.of());
-    if (all.size() > before) {
-      assertEquals(before + 1, all.size(), id + " goes on once for each call");
+  /** Checks that a run that was resumed got the result of the call that it awaits. */
+  private void assertResultOfAwaitedCall(String id, int suppliedBefore) {
+    List<byte[]> results = fixture.supplied.getOrDefault(id, List.of());
+    if (results.size() > suppliedBefore) {
+      assertEquals(suppliedBefore + 1, results.size(), id + " is resumed once for each call");
       assertEquals(
-          "a:" + asked.remove(id), new String(all.get(before), StandardCharsets.ISO_8859_1));
+          "a:" + awaitedCalls.remove(id),
+          new String(results.get(suppliedBefore), StandardCharsets.ISO_8859_1));
     }
   }
 
-  private int supplies(String id) {
-    return stand.supplied.getOrDefault(id, List.of()).size();
+  private int suppliedResults(String id) {
+    return fixture.supplied.getOrDefault(id, List.of()).size();
   }
 
   /**
-   * Guards against a run that goes on with the answer to an earlier call of its own, and against a
-   * call whose end is told twice or never.
+   * Guards against a run that is resumed with the answer to an earlier call of its own, and against
+   * a call whose end is reported twice or never.
    */
   @Property(seed = "1764576021")
-  void keepsToTheModel(
+  void resumesRunsWithOwnResultsAndReportsEachEndOnce(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99_999) Integer> steps) {
     for (int i = 0; i < RUNS; i++) {
-      begin(BrokerFixture.id(i));
+      startRun(BrokerFixture.id(i));
     }
-    Map<String, Integer> made = new LinkedHashMap<>();
+    Map<String, Integer> callsStarted = new LinkedHashMap<>();
     for (int step : steps) {
       String id = BrokerFixture.id(step / 10 % RUNS);
       switch (step % 10) {
-        case 0, 1 -> blocked(id); // also where a call of it is out: the run was begun again
+        case 0, 1 -> awaitCall(id); // also while a call of it is pending: the run was started again
         case 2, 3, 4 -> {
-          long calls = stand.counters.get("calls");
-          stand.broker.startCall(id, stand.now() + 1_000L * (1 + step % 200));
-          made.merge(id, (int) (stand.counters.get("calls") - calls), Integer::sum);
+          long calls = fixture.counters.get("calls");
+          fixture.broker.startCall(id, fixture.now() + 1_000L * (1 + step % 200));
+          callsStarted.merge(id, (int) (fixture.counters.get("calls") - calls), Integer::sum);
         }
         case 5, 6, 7 ->
-            links.forEach(
-                one -> {
-                  Map<String, Integer> told = new LinkedHashMap<>();
+            connections.forEach(
+                connection -> {
+                  Map<String, Integer> suppliedBefore = new LinkedHashMap<>();
                   for (int i = 0; i < RUNS; i++) {
-                    told.put(BrokerFixture.id(i), supplies(BrokerFixture.id(i)));
+                    suppliedBefore.put(BrokerFixture.id(i), suppliedResults(BrokerFixture.id(i)));
                   }
-                  one.answer(step / 10);
-                  told.forEach(this::supplied);
+                  connection.answer(step / 10);
+                  suppliedBefore.forEach(this::assertResultOfAwaitedCall);
                 });
         case 8 -> {
-          if (step % 3 == 0 && !links.isEmpty()) {
-            links.get(links.size() - 1).channel.close();
+          if (step % 3 == 0 && !connections.isEmpty()) {
+            connections.get(connections.size() - 1).channel.close();
           }
           refusing = step % 4 == 0;
         }
-        default -> manager.changeAddress(this::dial);
+        default -> manager.changeAddress(this::connect);
       }
-      stand.pass(step % 3_000);
+      fixture.pass(step % 3_000);
       if (step % 3 > 0) {
-        links.forEach(
-            one -> {
-              if (one.channel.isOpen()) {
-                one.read();
+        connections.forEach(
+            connection -> {
+              if (connection.channel.isOpen()) {
+                connection.read();
               }
             });
       }
     }
     refusing = false;
-    stand.pass(400_000);
+    fixture.pass(400_000);
     for (int i = 0; i < RUNS; i++) {
       String id = BrokerFixture.id(i);
-      int over = ended.getOrDefault(id, 0);
-      assertTrue(over <= made.getOrDefault(id, 0), "no end without a call");
+      int ends = endedCalls.getOrDefault(id, 0);
+      assertTrue(ends <= callsStarted.getOrDefault(id, 0), "no end is reported without a call");
     }
     assertEquals(
-        stand.counters.get("calls"),
-        ended.values().stream().mapToInt(Integer::intValue).sum()
-            + stand.counters.get("call-abandoned"),
-        "each call is over, or was abandoned");
-    assertEquals(0, stand.counters.get("faults"));
+        fixture.counters.get("calls"),
+        endedCalls.values().stream().mapToInt(Integer::intValue).sum()
+            + fixture.counters.get("call-abandoned"),
+        "each call has ended or was abandoned");
+    assertEquals(0, fixture.counters.get("faults"));
   }
 
   /**
-   * Guards against a late answer, on its way as its call was given up, that is taken for the answer
-   * to the next call.
+   * Guards against a late answer, sent before the dependency reads that its call is abandoned, that
+   * is taken for the answer to the next call of the same request.
    */
   @Example
-  void aRequestThatCallsAgainIsNotGivenTheLateAnswerToItsFormerCall() {
+  void ignoresLateAnswerToAbandonedCallOfSameRequest() {
     String id = BrokerFixture.id(1);
-    begin(id);
-    blocked(id);
-    stand.broker.startCall(id, stand.now() + 50_000);
-    stand.pass(1_000);
-    links.get(0).read();
-    blocked(id); // begun again
-    stand.broker.startCall(id, stand.now() + 50_000);
-    links.get(0).answer(6); // before it reads that the first is abandoned
-    stand.pass(1_000);
-    assertEquals(Map.of(), stand.supplied);
-    assertEquals(1, stand.counters.get("dependency-answered-late") + links.size() - 1);
-    links.get(1).read();
-    links.get(1).answer(6);
-    supplied(id, 0);
-    assertEquals(1, supplies(id));
-    assertFalse(links.get(0).channel.isOpen(), "the old link is closed as nothing is out on it");
+    startRun(id);
+    awaitCall(id);
+    fixture.broker.startCall(id, fixture.now() + 50_000);
+    fixture.pass(1_000);
+    connections.get(0).read();
+    awaitCall(id); // the run was started again
+    fixture.broker.startCall(id, fixture.now() + 50_000);
+    connections.get(0).answer(6); // before the dependency reads that the first call is abandoned
+    fixture.pass(1_000);
+    assertEquals(Map.of(), fixture.supplied);
+    assertEquals(1, fixture.counters.get("dependency-answered-late") + connections.size() - 1);
+    connections.get(1).read();
+    connections.get(1).answer(6);
+    assertResultOfAwaitedCall(id, 0);
+    assertEquals(1, suppliedResults(id));
+    assertFalse(
+        connections.get(0).channel.isOpen(),
+        "the retired connection is closed, as no call is pending on it");
   }
 
-  /**
-   * Guards against a call that is never answered, and that holds up all that are asked behind it
-   * for good.
-   */
+  /** Guards against a call that is never answered and blocks all later calls on its connection. */
   @Example
-  void aLinkThatIsSilentBehindACallIsLeft() {
+  void replacesConnectionThatIsSilentWithUnansweredCall() {
     for (int i = 0; i < 4; i++) {
-      begin(BrokerFixture.id(i));
-      blocked(BrokerFixture.id(i));
+      startRun(BrokerFixture.id(i));
+      awaitCall(BrokerFixture.id(i));
     }
-    stand.broker.startCall(BrokerFixture.id(0), stand.now() + 3_000_000);
-    stand.pass(1_000);
-    links.get(0).read(); // and never answers
-    stand.broker.startCall(BrokerFixture.id(1), stand.now() + 3_000_000);
-    stand.pass(600_000);
-    assertEquals(1, links.size());
-    stand.broker.startCall(BrokerFixture.id(2), stand.now() + 3_000_000);
-    stand.pass(1_000);
-    assertEquals(2, links.size());
-    links.get(1).read();
-    links.get(1).answer(6);
-    assertEquals(1, supplies(BrokerFixture.id(2)));
-    stand.broker.startCall(BrokerFixture.id(3), stand.now() + 3_000_000);
-    stand.pass(1_000);
-    assertEquals(2, links.size(), "the new one answers");
-    assertTrue(links.get(0).channel.isOpen(), "two calls are out on the old one");
-    stand.pass(3_000_000);
-    assertFalse(links.get(0).channel.isOpen());
+    fixture.broker.startCall(BrokerFixture.id(0), fixture.now() + 3_000_000);
+    fixture.pass(1_000);
+    connections.get(0).read(); // and does not answer
+    fixture.broker.startCall(BrokerFixture.id(1), fixture.now() + 3_000_000);
+    fixture.pass(600_000);
+    assertEquals(1, connections.size());
+    fixture.broker.startCall(BrokerFixture.id(2), fixture.now() + 3_000_000);
+    fixture.pass(1_000);
+    assertEquals(2, connections.size());
+    connections.get(1).read();
+    connections.get(1).answer(6);
+    assertEquals(1, suppliedResults(BrokerFixture.id(2)));
+    fixture.broker.startCall(BrokerFixture.id(3), fixture.now() + 3_000_000);
+    fixture.pass(1_000);
+    assertEquals(2, connections.size(), "the new connection is not silent");
+    assertTrue(connections.get(0).channel.isOpen(), "two calls are pending on the old connection");
+    fixture.pass(3_000_000);
+    assertFalse(connections.get(0).channel.isOpen());
   }
 
   /**
-   * Guards against a run that waits for its due time for a tier that says nothing, or that is
-   * nowhere.
+   * Guards against a run that waits until its deadline for a dependency that does not answer or is
+   * not configured.
    */
   @Example
-  void aCallThatNobodyAnswersIsOverByItsLimit() {
-    begin(BrokerFixture.id(1));
-    blocked(BrokerFixture.id(1));
-    stand.broker.startCall(BrokerFixture.id(1), stand.now() + 50_000);
-    stand.pass(60_000);
-    assertEquals(Map.of(), ended);
-    stand.pass(60_000);
-    assertEquals(Map.of(BrokerFixture.id(1), 1), ended);
-    assertEquals(1, stand.counters.get("call-timed_out"));
-    stand.broker.setDependencyClient(DependencyClient.UNAVAILABLE);
-    stand.broker.startCall(BrokerFixture.id(1), stand.now() + 50_000);
-    stand.pass(5_000);
-    assertEquals(1, stand.counters.get("call-unreachable"));
+  void endsUnansweredCallAtItsTimeout() {
+    startRun(BrokerFixture.id(1));
+    awaitCall(BrokerFixture.id(1));
+    fixture.broker.startCall(BrokerFixture.id(1), fixture.now() + 50_000);
+    fixture.pass(60_000);
+    assertEquals(Map.of(), endedCalls);
+    fixture.pass(60_000);
+    assertEquals(Map.of(BrokerFixture.id(1), 1), endedCalls);
+    assertEquals(1, fixture.counters.get("call-timed_out"));
+    fixture.broker.setDependencyClient(DependencyClient.UNAVAILABLE);
+    fixture.broker.startCall(BrokerFixture.id(1), fixture.now() + 50_000);
+    fixture.pass(5_000);
+    assertEquals(1, fixture.counters.get("call-unreachable"));
   }
 
   /**
-   * Guards against a result sent twice over a pool link that broke, and against one that was never
-   * sent.
+   * Guards against a result that is sent to the pool twice or never when the pool's connection
+   * breaks.
    */
   @Example
-  void aResultGoesToThePoolOnceAcrossABrokenLink() {
+  void sendsResultToPoolOnceAcrossBrokenConnection() {
     for (int i : List.of(1, 2)) {
-      begin(BrokerFixture.id(i));
-      blocked(BrokerFixture.id(i));
-      stand.broker.startCall(BrokerFixture.id(i), stand.now() + 500_000);
+      startRun(BrokerFixture.id(i));
+      awaitCall(BrokerFixture.id(i));
+      fixture.broker.startCall(BrokerFixture.id(i), fixture.now() + 500_000);
     }
-    stand.pass(1_000);
-    links.get(0).read();
-    links.get(0).answer(4); // on a link that breaks with it
-    stand.linked = false;
-    stand.broker.poolDisconnected();
-    links.get(0).answer(4); // on none
-    assertEquals(1, stand.supplied.size());
-    stand.linked = true;
-    stand.broker.resynchronized();
-    stand.broker.resynchronized();
-    assertEquals(2, stand.supplied.size());
-    stand.supplied.values().forEach(all -> assertEquals(1, all.size()));
-    assertEquals(2, stand.broker.pendingCount());
+    fixture.pass(1_000);
+    connections.get(0).read();
+    connections.get(0).answer(4); // its result is written to a pool connection that breaks
+    fixture.linked = false;
+    fixture.broker.poolDisconnected();
+    connections.get(0).answer(4); // while the pool is disconnected
+    assertEquals(1, fixture.supplied.size());
+    fixture.linked = true;
+    fixture.broker.resynchronized();
+    fixture.broker.resynchronized();
+    assertEquals(2, fixture.supplied.size());
+    fixture.supplied.values().forEach(results -> assertEquals(1, results.size()));
+    assertEquals(2, fixture.broker.pendingCount());
   }
 
   @Example
-  void whatIsNoAnswerClosesTheLinkAndCutsItsCalls() {
-    begin(BrokerFixture.id(1));
-    for (String bad :
+  void closesConnectionOnMalformedAnswerAndFailsItsCalls() {
+    startRun(BrokerFixture.id(1));
+    for (String malformed :
         List.of(
             "x\r\n",
             "0000000000000001 posted\r\n",
@@ -345,15 +354,15 @@
             "0000000000000001 posted 2\r\nabcd",
             "0000000000000001 well\r\n",
             "y".repeat(DependencyProtocol.MAX_LINE_BYTES + 1))) {
-      blocked(BrokerFixture.id(1));
-      stand.broker.startCall(BrokerFixture.id(1), stand.now() + 500_000);
-      stand.pass(1_000);
-      Tier last = links.get(links.size() - 1);
-      last.channel.writeInbound(Unpooled.copiedBuffer(bad, StandardCharsets.ISO_8859_1));
+      awaitCall(BrokerFixture.id(1));
+      fixture.broker.startCall(BrokerFixture.id(1), fixture.now() + 500_000);
+      fixture.pass(1_000);
+      Peer last = connections.get(connections.size() - 1);
+      last.channel.writeInbound(Unpooled.copiedBuffer(malformed, StandardCharsets.ISO_8859_1));
       last.channel.runPendingTasks();
-      assertFalse(last.channel.isOpen(), bad);
+      assertFalse(last.channel.isOpen(), malformed);
     }
-    assertEquals(6, stand.counters.get("call-connection_lost"));
-    assertEquals(Map.of(), stand.supplied);
+    assertEquals(6, fixture.counters.get("call-connection_lost"));
+    assertEquals(Map.of(), fixture.supplied);
   }
 }
--- a/src/test/java/mothwing/dependency/DependencyProtocolTest.java
+++ b/src/test/java/mothwing/dependency/DependencyProtocolTest.java
@@ -17,12 +17,12 @@
     return Unpooled.copiedBuffer(text, StandardCharsets.US_ASCII);
   }
 
-  private static RunOutcome outcome(String word) throws ProtocolException {
-    return DependencyProtocol.readAnswer(bytes("a " + word + "\r\n")).orElseThrow().outcome();
+  private static RunOutcome outcome(String code) throws ProtocolException {
+    return DependencyProtocol.readAnswer(bytes("a " + code + "\r\n")).orElseThrow().outcome();
   }
 
   @Test
-  void mapsEachWordOfAnAnswer() throws ProtocolException {
+  void mapsEachOutcomeCodeOfAnswer() throws ProtocolException {
     assertEquals(RunOutcome.REJECTED, outcome("queue_full"));
     assertEquals(RunOutcome.FAILED, outcome("error"));
     assertEquals(RunOutcome.TIMED_OUT, outcome("expired"));
@@ -35,13 +35,13 @@
   void leavesAnIncompleteAnswerUnread() throws ProtocolException {
     String answer = "a posted 2\r\nxy\r\n";
     for (int length = 0; length < answer.length(); length++) {
-      ByteBuf part = bytes(answer.substring(0, length));
-      assertEquals(Optional.empty(), DependencyProtocol.readAnswer(part));
-      assertEquals(length, part.readableBytes());
+      ByteBuf prefix = bytes(answer.substring(0, length));
+      assertEquals(Optional.empty(), DependencyProtocol.readAnswer(prefix));
+      assertEquals(length, prefix.readableBytes());
     }
-    ByteBuf whole = bytes(answer + "b");
+    ByteBuf complete = bytes(answer + "b");
     assertArrayEquals(
-        new byte[] {'x', 'y'}, DependencyProtocol.readAnswer(whole).orElseThrow().result());
-    assertEquals(1, whole.readableBytes());
+        new byte[] {'x', 'y'}, DependencyProtocol.readAnswer(complete).orElseThrow().result());
+    assertEquals(1, complete.readableBytes());
   }
 }
