--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -34,8 +34,9 @@
     BitSet classesUsed = new BitSet();
     BitSet tenantsUsed = new BitSet();
     for (Exchange exchange : open) {
-      classesUsed.set(exchange.classIndex()); // an open request always has a known class
-      tenantsUsed.set(exchange.tenantIndex() + 1); // bit 0 stands for no tenant
+      // an open request always has a known class, but possibly no tenant, which is bit 0
+      classesUsed.set(exchange.classIndex());
+      tenantsUsed.set(exchange.tenantIndex() + 1);
     }
     classes.update(next.classes(), classesUsed::get);
     tenants.update(next.tenants(), index -> tenantsUsed.get(index + 1));
--- a/src/main/java/mothwing/broker/BrokerContext.java
+++ b/src/main/java/mothwing/broker/BrokerContext.java
@@ -10,7 +10,7 @@
  * @param events queues the events for the controller
  * @param counters the counters of events
  * @param log receives the log lines
- * @param reasons logs events of single requests at a bounded rate
+ * @param requestLog logs events of single requests at a bounded rate
  */
 record BrokerContext(
     OpenRequests open,
@@ -20,4 +20,4 @@
     EventBatcher events,
     Counters counters,
     EventLog log,
-    RateLimitedEventLog reasons) {}
+    RateLimitedEventLog requestLog) {}
--- a/src/main/java/mothwing/broker/BrokerParts.java
+++ b/src/main/java/mothwing/broker/BrokerParts.java
@@ -27,12 +27,12 @@
     ActiveSettings active = new ActiveSettings(settings);
     EventBatcher events =
         new EventBatcher(scheduler, () -> active.settings().batchInterval(), counters, log);
-    RateLimitedEventLog reasons = new RateLimitedEventLog(log, scheduler);
-    context = new BrokerContext(open, active, pool, scheduler, events, counters, log, reasons);
+    RateLimitedEventLog requestLog = new RateLimitedEventLog(log, scheduler);
+    context = new BrokerContext(open, active, pool, scheduler, events, counters, log, requestLog);
     shutdown = new ShutdownSequence(context, shutdownState);
     freeValue = new PublishedFreeValue(settings.signals().freeValue());
     calls = new DependencyCalls(open, pool, this::sentPolls, events, scheduler, counters);
-    answers = new RequestAnswers(counters, reasons, statistics, calls);
+    answers = new RequestAnswers(counters, requestLog, statistics, calls);
     intake = new RequestIntake(context, keys, answers, statistics);
     admission = new RunAdmission(context, keys, shutdownState, answers);
     replays = new Replays(open, keys, answers, events, counters);
--- a/src/main/java/mothwing/broker/CounterNames.java
+++ b/src/main/java/mothwing/broker/CounterNames.java
@@ -35,7 +35,7 @@
   /** Starts that were sent again after a reconnect to the pool. */
   static final String RUNS_RETRIED = "runs-retried";
 
-  /** Runs that a stop was sent for; repeated stops are not counted. */
+  /** Stops of runs sent to the pool, not counting repetitions. */
   static final String RUNS_STOPPED = "runs-stopped";
 
   /** Prefix, followed by the outcome of a run. */
--- a/src/main/java/mothwing/broker/Counters.java
+++ b/src/main/java/mothwing/broker/Counters.java
@@ -4,10 +4,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/**
- * Named event counters. Names are never derived from input, apart from codes of a fixed set, so
- * that their number is bounded.
- */
+/** Named event counters. The program defines all names, so their number is bounded. */
 public final class Counters {
   private final Map<String, Long> counts = new HashMap<>();
 
--- a/src/main/java/mothwing/broker/RequestAnswers.java
+++ b/src/main/java/mothwing/broker/RequestAnswers.java
@@ -6,17 +6,17 @@
  */
 final class RequestAnswers {
   private final Counters counters;
-  private final RateLimitedEventLog reasons;
+  private final RateLimitedEventLog requestLog;
   private final RequestStatistics statistics;
   private final DependencyCalls calls;
 
   RequestAnswers(
       Counters counters,
-      RateLimitedEventLog reasons,
+      RateLimitedEventLog requestLog,
       RequestStatistics statistics,
       DependencyCalls calls) {
     this.counters = counters;
-    this.reasons = reasons;
+    this.requestLog = requestLog;
     this.statistics = statistics;
     this.calls = calls;
   }
@@ -39,7 +39,7 @@
   void reject(Exchange exchange, RejectionReason reason, boolean dontRetry, long retryAfterMillis) {
     if (exchange.reject(dontRetry, retryAfterMillis)) {
       counters.add(CounterNames.REJECTED_PREFIX + reason.code());
-      reasons.write(EventNames.REJECTED, exchange, reason.code());
+      requestLog.write(EventNames.REJECTED, exchange, reason.code());
       count(exchange, RequestStatistics.End.REJECTED);
     }
   }
@@ -49,13 +49,14 @@
     if (exchange.fail(reason)) {
       calls.abandon(exchange);
       counters.add(CounterNames.FAILED_PREFIX + reason.code());
-      reasons.write(EventNames.FAILED, exchange, reason.code());
+      requestLog.write(EventNames.FAILED, exchange, reason.code());
       count(exchange, RequestStatistics.End.FAILED);
     }
   }
 
   private void count(Exchange exchange, RequestStatistics.End end) {
-    if (exchange.classIndex() >= 0) { // unknown class names would fill the statistics
+    // counts by unknown class names would fill the statistics
+    if (exchange.classIndex() >= 0) {
       statistics.recordEnd(exchange.request().className(), end);
     }
   }
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -148,7 +148,7 @@
   @Override
   public void retryStart(Exchange exchange) {
     context.counters().add(CounterNames.RUNS_RETRIED);
-    context.reasons().write(EventNames.RUN_RETRIED, exchange, "reconnected");
+    context.requestLog().write(EventNames.RUN_RETRIED, exchange, "reconnected");
     dispatch(exchange);
   }
 
