--- a/src/main/java/mothwing/net/AcceptingChannel.java
+++ b/src/main/java/mothwing/net/AcceptingChannel.java
@@ -9,20 +9,23 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A listening socket that survives failed accepts and closes without losing its backlog. */
+/**
+ * A listening socket that tolerates transient accept failures, and accepts its whole backlog before
+ * it closes.
+ */
 final class AcceptingChannel extends NioServerSocketChannel {
-  /** Accepts in a row that may fail, or find nobody, before that is taken for the truth. */
+  /** Consecutive accepts that may fail or find no connection before the result counts as final. */
   private static final int MAX_FAILED_ACCEPTS = 10;
 
   private final Consumer<String> counter;
   private final Runnable evictor;
-  private int failedInARow;
+  private int consecutiveFailures;
 
   /**
-   * Makes a socket that is not bound yet.
+   * Creates an unbound socket.
    *
-   * @param counter counts what happens, by name
-   * @param evictor called where no descriptor is left, to close one connection
+   * @param counter increments the counter of the given name
+   * @param evictor closes one connection; called when no file descriptor is left
    */
   AcceptingChannel(Consumer<String> counter, Runnable evictor) {
     this.counter = counter;
@@ -30,65 +33,70 @@
   }
 
   /**
-   * Accepts one connection. Where no descriptor is left, which may happen below the limit of
-   * connections, one is evicted, and the waiting client is accepted a second later: Netty pauses
-   * accepting for so long after a failure. Any other transient failure costs one turn of the loop.
+   * Accepts one connection. If no file descriptor is left, which may happen below the connection
+   * limit, one connection is evicted, and the waiting client is accepted one second later, since
+   * Netty pauses accepting for that long after a failure. After any other transient failure the
+   * next turn of the event loop tries again.
    */
   @Override
   protected int doReadMessages(List<Object> accepted) throws Exception {
     try {
       SocketChannel socket = javaChannel().accept();
-      failedInARow = 0;
-      return socket == null || !isAdded(socket, accepted) ? 0 : 1;
+      consecutiveFailures = 0;
+      return socket == null || !addAccepted(socket, accepted) ? 0 : 1;
     } catch (IOException failure) {
       counter.accept("accept-failed");
       if (isOutOfDescriptors(failure)) {
         evictor.run();
         throw failure;
       }
-      if (++failedInARow > MAX_FAILED_ACCEPTS) {
+      if (++consecutiveFailures > MAX_FAILED_ACCEPTS) {
         throw failure;
       }
       return 0;
     }
   }
 
-  private boolean isAdded(SocketChannel socket, List<Object> accepted) throws IOException {
+  private boolean addAccepted(SocketChannel socket, List<Object> accepted) throws IOException {
     try {
       return accepted.add(new RetryingSocketChannel(this, socket));
-    } catch (RuntimeException reset) { // by the client, meanwhile
+    } catch (RuntimeException reset) { // the client has already reset the connection
       socket.close();
       return false;
     }
   }
 
   /**
-   * Accepts the whole backlog and closes at once. The Java runtime delays the close of a channel
-   * that a selector holds, and who connects meanwhile would be reset; so the channel is
-   * deregistered first, and the next select releases it.
+   * Accepts the whole backlog and then closes without delay. The Java runtime delays the close of a
+   * channel that is registered with a selector, and clients that connect in the meantime would be
+   * reset; so the channel is deregistered first, and the next select releases it.
    *
-   * @param then called once it is closed
+   * @param onClosed called once the socket is closed
    */
-  void closeAfterBacklog(Runnable then) {
+  void closeAfterBacklog(Runnable onClosed) {
     deregister()
         .addListener(
             deregistered ->
-                eventLoop().schedule(() -> drainAndClose(then), 1, TimeUnit.MILLISECONDS));
+                eventLoop().schedule(() -> drainAndClose(onClosed), 1, TimeUnit.MILLISECONDS));
   }
 
-  private void drainAndClose(Runnable then) {
+  private void drainAndClose(Runnable onClosed) {
     List<SocketChannel> backlog = new ArrayList<>();
-    try (ServerSocketChannel socket = javaChannel()) { // closed before the backlog is handled
+    try (ServerSocketChannel socket = javaChannel()) { // closes before the backlog is handled
       acceptBacklog(socket, backlog);
     } catch (IOException failure) {
-      counter.accept("backlog-dropped"); // no descriptor is left: the close resets the rest
+      // No file descriptor is left: the close resets the remaining clients.
+      counter.accept("backlog-dropped");
     }
     backlog.forEach(socket -> pipeline().fireChannelRead(new RetryingSocketChannel(this, socket)));
     close();
-    then.run();
+    onClosed.run();
   }
 
-  /** An accept may be interrupted, or fail for a moment, with others still waiting behind it. */
+  /**
+   * Accepts until the backlog is empty. An accept may be interrupted or fail transiently while
+   * further connections wait, so only {@link #MAX_FAILED_ACCEPTS} in a row end the loop.
+   */
   private static void acceptBacklog(ServerSocketChannel socket, List<SocketChannel> backlog)
       throws IOException {
     for (int failed = 0; failed < MAX_FAILED_ACCEPTS; ) {
@@ -107,7 +115,10 @@
     }
   }
 
-  /** Whether a system call failed because this process or the machine has no descriptor left. */
+  /**
+   * Returns whether a system call failed because this process or the machine is out of file
+   * descriptors.
+   */
   private static boolean isOutOfDescriptors(IOException failure) {
     return failure.getMessage() != null && failure.getMessage().contains("Too many open files");
   }
--- a/src/main/java/mothwing/net/CloseLinger.java
+++ b/src/main/java/mothwing/net/CloseLinger.java
@@ -7,10 +7,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The last part of an orderly close: this side is shut, and what the other side still sends is read
- * and discarded until it closes too. A close over unread bytes would reset the connection, and an
- * answer on its way could be lost with it. Bounded in time and in bytes, so that a peer that never
- * closes, or never stops sending, holds no descriptor for long.
+ * The last phase of an orderly close: the output is shut down, and input is read and discarded
+ * until the peer closes too. A close with unread input would reset the connection, and an answer in
+ * flight could be lost with it. Bounded in time and in bytes, so that a peer that never closes or
+ * never stops sending cannot hold a file descriptor for long.
  */
 final class CloseLinger {
   private static final int LINGER_MILLIS = 250;
@@ -19,20 +19,20 @@
   private boolean active;
   private int discardedBytes;
 
-  /** Whether this side is shut, and only the other side's close is awaited. */
+  /** Returns whether the output is shut down and only the peer's close is awaited. */
   boolean isActive() {
     return active;
   }
 
   /**
-   * Shuts this side once all that was written has left, and closes the connection once the other
-   * side has closed too or the time is over. Where this side cannot be shut, the connection is
-   * closed at once.
+   * Shuts down the output once everything written has been flushed, and closes the connection when
+   * the peer has closed too or the time is over. If the output cannot be shut down, the connection
+   * is closed at once.
    *
-   * @param context the connection
-   * @param onShut called once this side is shut
+   * @param context the context of the connection
+   * @param onShutDown called once the output is shut down
    */
-  void shutOutput(ChannelHandlerContext context, Runnable onShut) {
+  void shutDownOutput(ChannelHandlerContext context, Runnable onShutDown) {
     context.channel().config().setAutoRead(false);
     context
         .writeAndFlush(Unpooled.EMPTY_BUFFER)
@@ -41,28 +41,30 @@
               if (flushed.isSuccess()
                   && context.channel() instanceof DuplexChannel duplex
                   && duplex.isActive()) {
-                duplex.shutdownOutput().addListener(shut -> awaitPeer(shut, context, onShut));
+                duplex
+                    .shutdownOutput()
+                    .addListener(shutdown -> awaitPeer(shutdown, context, onShutDown));
               } else {
                 context.close();
               }
             });
   }
 
-  private void awaitPeer(Future<?> shut, ChannelHandlerContext context, Runnable onShut) {
-    if (!shut.isSuccess() || !context.channel().isActive()) {
+  private void awaitPeer(Future<?> shutdown, ChannelHandlerContext context, Runnable onShutDown) {
+    if (!shutdown.isSuccess() || !context.channel().isActive()) {
       context.close();
       return;
     }
     active = true;
-    onShut.run();
+    onShutDown.run();
     if (context.channel().isOpen()) {
       context.channel().config().setAutoRead(true);
       context.executor().schedule(() -> context.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Counts bytes that were discarded, and closes the connection over the bound. */
-  void discarded(int bytes, ChannelHandlerContext context) {
+  /** Counts discarded bytes, and closes the connection if they exceed the bound. */
+  void countDiscarded(int bytes, ChannelHandlerContext context) {
     discardedBytes += bytes;
     if (discardedBytes > MAX_DISCARDED_BYTES) {
       context.close();
--- a/src/main/java/mothwing/net/CloseReason.java
+++ b/src/main/java/mothwing/net/CloseReason.java
@@ -2,45 +2,48 @@
 
 import java.util.Locale;
 
-/** Why a connection ended: the code in its line of the log. */
+/** The reason for the end of a connection, written as a code in its log line and in counters. */
 public enum CloseReason {
-  /** The other side closed it. */
+  /** The peer closed it. */
   PEER_CLOSED,
-  /** The other side reset it, or the network broke it. */
+  /** The peer reset it, or the network failed. */
   PEER_RESET,
-  /** It was idle for longer than connections may be now. */
+  /** It was idle for longer than the idle limit in force. */
   IDLE,
-  /** This process shuts down gracefully. */
+  /** This process is shutting down gracefully. */
   DRAIN,
-  /** The input breaks the protocol. */
+  /** The input violates the protocol. */
   MALFORMED,
   /** The input is larger than the protocol or this program allows. */
   OVERSIZED,
-  /** More requests were opened on it than may be open at once. */
+  /** More requests were opened on it than may be open at the same time. */
   TOO_MANY_OPEN,
-  /** The protocol or the other side asks for a close after the answer. */
+  /** The protocol or the peer requires a close after the answer. */
   ASKED,
-  /** The peer is reached at another address now, or by a newer connection. */
+  /** The peer has a new address, or a newer connection to it replaces this one. */
   MOVED,
-  /** A response did not come in time. */
+  /** A response did not arrive in time. */
   NO_ANSWER,
   /** A message was lost; a new connection resynchronizes. */
   MISSED,
-  /** The rest of a request did not come in time: a read timeout. */
+  /** Read timeout: the rest of a request did not arrive in time. */
   HALF_SENT,
-  /** No complete request came in time after it was opened: an unidentified client. */
+  /**
+   * No complete request arrived in time after the connection was opened: the client is
+   * unidentified.
+   */
   SILENT,
-  /** The other side did not read in time what was sent: a write timeout. */
+  /** Write timeout: the peer did not read in time what was sent to it. */
   NOT_READ,
-  /** It was closed at the connection limit for a new one, without an open request. */
+  /** It had no open request and was closed at the connection limit to admit a new connection. */
   EVICTED,
-  /** A defect of this program; the log line before it has the details. */
+  /** A defect of this program; the preceding log line has the details. */
   FAULT;
 
   /**
-   * The code for the log and for counters.
+   * Returns the code used in the log and in counters.
    *
-   * @return lower-case words joined by dashes
+   * @return the constant's name in lower case, with dashes for underscores
    */
   public String code() {
     return name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/src/main/java/mothwing/net/CoalescingWriter.java
+++ b/src/main/java/mothwing/net/CoalescingWriter.java
@@ -3,16 +3,16 @@
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 
-/** Writes to one connection, flushing once for all that is written in one turn of the loop. */
+/** Writes to one connection and flushes once for all writes of one turn of the event loop. */
 final class CoalescingWriter {
   private boolean flushScheduled;
   private long bytesWritten;
 
   /**
-   * Writes bytes.
+   * Writes bytes and schedules a flush unless one is scheduled.
    *
-   * @param context where to
-   * @param bytes what to write; released by this call or after it
+   * @param context the context of the connection
+   * @param bytes the bytes; this class releases them
    */
   void write(ChannelHandlerContext context, ByteBuf bytes) {
     bytesWritten += bytes.readableBytes();
@@ -29,7 +29,7 @@
     }
   }
 
-  /** How many bytes were written in all. */
+  /** Returns the number of bytes written so far. */
   long bytesWritten() {
     return bytesWritten;
   }
--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -10,12 +10,12 @@
 import mothwing.broker.Scheduler;
 
 /**
- * One connection, accepted or opened by this process: accumulates bytes until a decoder can take a
- * complete message, bounds what is buffered, applies back-pressure by not reading while the other
- * side does not read, and writes one log line when it ends. On its event loop's thread only.
+ * One connection, accepted or opened by this process. It accumulates bytes until a complete message
+ * can be decoded, bounds the buffered bytes, applies back-pressure by not reading while the peer
+ * does not read, and writes one log line when it ends. Used on its event loop's thread only.
  */
 public abstract class Connection extends ChannelInboundHandlerAdapter {
-  /** A time that never comes. */
+  /** A time that is never reached. */
   protected static final long NEVER = Long.MAX_VALUE;
 
   private final int maxBufferedBytes;
@@ -38,12 +38,12 @@
   private boolean awaitingBudget;
 
   /**
-   * Makes the state of a connection.
+   * Creates the state of a connection.
    *
    * @param side its name in the log and in counters
-   * @param maxBufferedBytes most bytes that may be buffered of an incomplete message
-   * @param log takes its log line
-   * @param counters counts what happens
+   * @param maxBufferedBytes most bytes of an incomplete message that are buffered
+   * @param log the event log
+   * @param counters the counters to increment
    */
   protected Connection(String side, int maxBufferedBytes, EventLog log, Counters counters) {
     this.maxBufferedBytes = maxBufferedBytes;
@@ -54,19 +54,19 @@
   protected void onOpened() {}
 
   /**
-   * Takes one complete message off the bytes received so far.
+   * Decodes and consumes one complete message.
    *
-   * @param in the bytes
-   * @return false where no complete message is there, in which case nothing was taken
-   * @throws ProtocolException where the bytes break the protocol
+   * @param in the bytes received so far
+   * @return false if no message is complete, in which case nothing was consumed
+   * @throws ProtocolException if the bytes violate the protocol
    */
   protected abstract boolean decode(ByteBuf in) throws ProtocolException;
 
-  /** Called once, when the connection has ended. */
+  /** Called once when the connection has ended or can send nothing more. */
   protected abstract void onClosed();
 
   /**
-   * Whether no request is open on it.
+   * Returns whether no request is open on the connection.
    *
    * @return true if it may be closed
    */
@@ -75,35 +75,35 @@
   }
 
   /**
-   * Since when a request on it is incomplete. The oldest one counts, and a further byte of it
-   * changes nothing, so that a request sent byte by byte times out too.
+   * Returns when the oldest incomplete request began. Further bytes of that request do not change
+   * the time, so that a request sent byte by byte times out too.
    *
-   * @return a time of {@link #now}, or {@link #NEVER} where there is none
+   * @return a time of {@link #now}, or {@link #NEVER} if no request is incomplete
    */
   protected long incompleteRequestSince() {
     return NEVER;
   }
 
   /**
-   * Whether no request is open on it, no part of a message has come, and the other side reads what
-   * is sent: then it may be closed. A peer that does not read is not read from, so that a request
-   * may lie in its socket.
+   * Returns whether the connection may be closed: no request is open, no part of a message has been
+   * received, and the peer reads what is sent to it. A peer that does not read is not read from, so
+   * its socket may hold an unread request.
    */
   final boolean isQuiet() {
     return isIdle() && timeouts.isSettled() && !awaitingBudget;
   }
 
-  /** Whether bytes received on it wait for the read budget of this process. */
+  /** Returns whether received bytes wait for the read budget of this process. */
   final boolean isAwaitingBudget() {
     return awaitingBudget;
   }
 
-  /** Makes it share a read budget with other connections. */
+  /** Sets the read budget, which is shared with other connections. */
   final void limitReads(ReadBudget budget) {
     readBudget = budget;
   }
 
-  /** The read budget has come round to it. */
+  /** Resumes decoding and reading when the read budget allows it. */
   final void resumeReading() {
     awaitingBudget = false;
     if (isClosed()) {
@@ -116,61 +116,61 @@
   }
 
   /**
-   * Gives it a clock, which starts its timeouts.
+   * Sets the clock and starts the timeouts.
    *
    * @param scheduler the clock
-   * @param listener called when bytes came or left, or its state changed
+   * @param listener called when bytes were received or sent, or the connection's state changed
    */
-  final void superviseWith(Scheduler scheduler, Runnable listener) {
+  final void startTimeouts(Scheduler scheduler, Runnable listener) {
     clock = scheduler;
     timeouts.opened(scheduler.now());
     activityListener = listener;
   }
 
   /**
-   * The clock.
+   * Returns the current time.
    *
-   * @return microseconds, or 0 where the connection is not supervised
+   * @return monotonic microseconds, or 0 if the timeouts have not been started
    */
   protected final long now() {
     return clock == null ? 0 : clock.now();
   }
 
-  /** Marks the other side as one that speaks the protocol: a complete request was read. */
+  /** Marks the peer as identified: it speaks the protocol, since a complete request was read. */
   protected final void markIdentified() {
     timeouts.identified();
   }
 
-  /** Whether no complete request was ever read on it. */
+  /** Returns whether no complete request has been read yet. */
   final boolean isUnidentified() {
     return !timeouts.isIdentified();
   }
 
-  /** Why it has timed out, or null where it has not. */
+  /** Returns why the connection has timed out, or null if it has not. */
   final CloseReason timeoutReason(long now, long timeout) {
     return now <= timeoutAt(timeout)
         ? null
         : timeouts.reason(now, timeout, incompleteRequestSince());
   }
 
-  /** When it times out as things are, or {@link #NEVER} where nothing is awaited of its peer. */
+  /** Returns when the connection times out, or {@link #NEVER} if the peer is not awaited. */
   final long timeoutAt(long timeout) {
     return timeouts.expiresAt(timeout, !closing && !awaitingBudget, incompleteRequestSince());
   }
 
   /**
-   * Counts under this connection's side.
+   * Increments a counter of this connection's side.
    *
-   * @param name what is counted
+   * @param name the counter's name, without the side
    */
   protected final void count(String name) {
     events.count(name);
   }
 
   /**
-   * A buffer for bytes to be sent.
+   * Allocates a buffer for bytes to be sent.
    *
-   * @param size an estimate of their number
+   * @param size an estimate of the number of bytes
    * @return an empty buffer
    */
   protected final ByteBuf allocate(int size) {
@@ -178,9 +178,9 @@
   }
 
   /**
-   * Sends bytes.
+   * Sends bytes, or discards them if this side has closed the connection.
    *
-   * @param bytes what to send; released by this call or after it
+   * @param bytes the bytes; this class releases them
    */
   protected final void send(ByteBuf bytes) {
     if (closing) {
@@ -192,42 +192,42 @@
   }
 
   /**
-   * Closes the connection once all that was sent has left: this side is shut first, and what still
-   * comes is discarded for a bounded time.
+   * Closes the connection once everything sent has been flushed: the output is shut down first, and
+   * further input is discarded for a bounded time.
    *
-   * @param why the reason
-   * @param what more on it, or an empty text
+   * @param closeReason the reason
+   * @param closeDetail details of the reason, or an empty string
    */
-  public final void close(CloseReason why, String what) {
+  public final void close(CloseReason closeReason, String closeDetail) {
     if (isClosed()) {
       return;
     }
     closing = true;
-    reason = why;
-    detail = what;
+    reason = closeReason;
+    detail = closeDetail;
     timeouts.writeBlocked(now());
     activityListener.run();
-    linger.shutOutput(context, this::onOutputShut);
+    linger.shutDownOutput(context, this::onOutputShutDown);
   }
 
-  private void onOutputShut() {
+  private void onOutputShutDown() {
     handleEnd();
     activityListener.run();
   }
 
-  /** Whether this side is shut, and only the other side's close is awaited. */
+  /** Returns whether the output is shut down and only the peer's close is awaited. */
   final boolean isLingering() {
     return linger.isActive();
   }
 
-  /** Closes it without waiting for the other side. */
+  /** Closes the connection without waiting for the peer's close. */
   final void endLinger() {
     context.close();
   }
 
   /**
-   * Reads what lies in the socket, so that a connection is not closed over a request that has
-   * arrived. Not to be called from within a read of this connection.
+   * Reads the socket at once, so that the connection is not closed while a request lies unread in
+   * it. Must not be called from within a read of this connection.
    */
   void readNow() {
     if (!isClosed()
@@ -238,9 +238,9 @@
   }
 
   /**
-   * Whether it was closed from this side, or has ended.
+   * Returns whether this side has closed the connection, or it has ended.
    *
-   * @return true if nothing can be sent
+   * @return true if nothing more can be sent
    */
   protected final boolean isClosed() {
     return closing || inactive;
@@ -260,10 +260,10 @@
     bytesRead += size;
     if (linger.isActive()) {
       received.release();
-      linger.discarded(size, ctx);
+      linger.countDiscarded(size, ctx);
       return;
     }
-    buffered = buffered == null ? received : joined(ctx, buffered, received);
+    buffered = buffered == null ? received : concatenate(ctx, buffered, received);
     timeouts.bytesReceived(now());
     if (!awaitingBudget) {
       decodeBuffered();
@@ -273,11 +273,11 @@
   private void decodeBuffered() {
     try {
       decodeMessages();
-    } catch (ProtocolException bad) {
+    } catch (ProtocolException violation) {
       count("malformed");
-      close(bad.reason(), bad.getMessage());
-    } catch (RuntimeException broken) {
-      fault(broken);
+      close(violation.reason(), violation.getMessage());
+    } catch (RuntimeException defect) {
+      fault(defect);
     }
     if (buffered != null && (!buffered.isReadable() || isClosed())) {
       releaseBuffered();
@@ -304,16 +304,16 @@
     }
     if (!isClosed() && !awaitingBudget && buffered.readableBytes() > maxBufferedBytes) {
       throw new ProtocolException(
-          CloseReason.OVERSIZED, "over " + maxBufferedBytes + " bytes without an end");
+          CloseReason.OVERSIZED, "incomplete message exceeds " + maxBufferedBytes + " bytes");
     }
   }
 
-  private static ByteBuf joined(ChannelHandlerContext ctx, ByteBuf before, ByteBuf received) {
-    ByteBuf both = ctx.alloc().buffer(before.readableBytes() + received.readableBytes());
-    both.writeBytes(before).writeBytes(received);
-    before.release();
-    received.release();
-    return both;
+  private static ByteBuf concatenate(ChannelHandlerContext ctx, ByteBuf first, ByteBuf second) {
+    ByteBuf combined = ctx.alloc().buffer(first.readableBytes() + second.readableBytes());
+    combined.writeBytes(first).writeBytes(second);
+    first.release();
+    second.release();
+    return combined;
   }
 
   private void releaseBuffered() {
@@ -321,7 +321,7 @@
     buffered = null;
   }
 
-  /** Back-pressure: nothing is read from a peer that does not read what was sent to it. */
+  /** Applies back-pressure: nothing is read from a peer that does not read what was sent to it. */
   @Override
   public final void channelWritabilityChanged(ChannelHandlerContext ctx) {
     boolean writable = ctx.channel().isWritable();
@@ -336,11 +336,11 @@
     }
   }
 
-  /** Closes it without waiting for what was sent to leave. */
-  final void closeNow(CloseReason why) {
+  /** Closes the connection without flushing what was sent. */
+  final void closeNow(CloseReason closeReason) {
     if (!closing) {
       closing = true;
-      reason = why;
+      reason = closeReason;
     }
     context.close();
   }
@@ -361,7 +361,7 @@
     }
   }
 
-  /** Ends what was open on it, once this side can send nothing more. */
+  /** Ends the open requests once this side can send nothing more. */
   private void handleEnd() {
     if (endHandled) {
       return;
@@ -369,8 +369,8 @@
     endHandled = true;
     try {
       onClosed();
-    } catch (RuntimeException broken) {
-      events.fault(broken);
+    } catch (RuntimeException defect) {
+      events.fault(defect);
     }
   }
 
@@ -384,10 +384,10 @@
       releaseBuffered();
     }
     handleEnd();
-    events.ended(reason, traffic(ctx), detail);
+    events.closed(reason, trafficFields(ctx), detail);
   }
 
-  private String traffic(ChannelHandlerContext ctx) {
+  private String trafficFields(ChannelHandlerContext ctx) {
     return "peer="
         + ctx.channel().remoteAddress()
         + " in="
--- a/src/main/java/mothwing/net/ConnectionEvents.java
+++ b/src/main/java/mothwing/net/ConnectionEvents.java
@@ -3,18 +3,18 @@
 import mothwing.broker.Counters;
 import mothwing.broker.EventLog;
 
-/** Writes the log lines and counters of one connection. */
+/** Writes the log lines of one connection and increments its counters. */
 final class ConnectionEvents {
   private final String side;
   private final EventLog log;
   private final Counters counters;
 
   /**
-   * Makes the events of one connection.
+   * Creates the events of one connection.
    *
-   * @param side what it is called in the log and in counters
-   * @param log takes its lines
-   * @param counters counts what happens
+   * @param side the connection's name in the log and in counters
+   * @param log the event log
+   * @param counters the counters to increment
    */
   ConnectionEvents(String side, EventLog log, Counters counters) {
     this.side = side;
@@ -22,29 +22,36 @@
     this.counters = counters;
   }
 
-  /** Counts under the connection's side. */
+  /** Increments a counter of the connection's side. */
   void count(String name) {
     counters.add(side + "-" + name);
   }
 
-  /** Reports a defect of this program. */
+  /** Logs and counts a defect of this program. */
   void fault(Throwable cause) {
     counters.add("faults");
     StackTraceElement[] stack = cause.getStackTrace();
-    String at = stack.length > 0 ? " at=" + stack[0] : "";
-    log.write("fault side=" + side + " what=\"" + cause + "\"" + at);
+    String locationField = stack.length > 0 ? " at=" + stack[0] : "";
+    log.write("fault side=" + side + " what=\"" + cause + "\"" + locationField);
   }
 
   /**
-   * Reports the end of the connection.
+   * Logs and counts the end of the connection.
    *
    * @param reason why it ended
-   * @param traffic peer, bytes and messages, as they are written in the line
-   * @param detail more on the reason, or an empty text
+   * @param trafficFields the fields of the log line for the peer, bytes and messages
+   * @param detail details of the reason, or an empty string
    */
-  void ended(CloseReason reason, String traffic, String detail) {
+  void closed(CloseReason reason, String trafficFields, String detail) {
     count("ended-" + reason.code());
-    String more = detail.isEmpty() ? "" : " detail=\"" + detail + "\"";
-    log.write("connection-closed side=" + side + " reason=" + reason.code() + " " + traffic + more);
+    String detailField = detail.isEmpty() ? "" : " detail=\"" + detail + "\"";
+    log.write(
+        "connection-closed side="
+            + side
+            + " reason="
+            + reason.code()
+            + " "
+            + trafficFields
+            + detailField);
   }
 }
--- a/src/main/java/mothwing/net/ConnectionTable.java
+++ b/src/main/java/mothwing/net/ConnectionTable.java
@@ -9,40 +9,44 @@
 import mothwing.broker.Scheduler;
 
 /**
- * The connections of one listener and how long each may stay: idle ones up to the idle limit, those
- * that send nothing, stop in the middle of a request or do not read up to the peer timeout. The
- * deadlines are kept in a timing wheel, armed for the earliest time at which a connection could
- * expire, so that activity which moves a deadline on costs nothing.
+ * The connections of one listener. Closes idle ones after the idle limit, and those that send
+ * nothing, stop in the middle of a request or do not read after the peer timeout. A timing wheel
+ * holds the deadlines, each armed for the earliest time at which the connection could expire, so
+ * that activity which postpones a deadline costs nothing.
  */
 final class ConnectionTable {
   private static final int WHEEL_SLOTS = 512;
   private static final long WHEEL_TICK_MICROS = 20_000;
 
-  /** After a longer gap between two passes the sockets may hold requests that were not read yet. */
+  /** A longer gap between two passes is a stall, after which sockets may hold unread requests. */
   private static final long STALL_MICROS = 150_000;
 
-  /** For so long the first request of a new connection may be on its way. */
+  /** The first request of a new connection may be in flight for this long. */
   private static final long FIRST_REQUEST_GRACE_MICROS = 250_000;
 
-  /** Candidates checked for one eviction: each check reads a socket. */
+  /** Most candidates checked per eviction, since each check reads a socket. */
   private static final int MAX_EVICTION_CHECKS = 16;
 
-  /** Most connections that are shut on this side and await the close of the other side. */
+  /** Most connections whose output is shut down and that await the peer's close. */
   static final int MAX_LINGERING = 16;
 
   private final long peerTimeout;
   private final Scheduler scheduler;
   private final TimingWheel wheel;
   private final Map<Connection, TrackedConnection> tracked = new LinkedHashMap<>();
-  private final Map<Connection, TrackedConnection> unidentified =
-      new LinkedHashMap<>(); // least recently active first
-  private final Set<Connection> lingering = new LinkedHashSet<>(); // longest first
+
+  /** Connections without a complete request so far, least recently active first. */
+  private final Map<Connection, TrackedConnection> unidentified = new LinkedHashMap<>();
+
+  /** Connections that await the peer's close, longest first. */
+  private final Set<Connection> lingering = new LinkedHashSet<>();
+
   private long idleLimit;
   private CloseReason idleReason = CloseReason.IDLE;
   private long lastPassAt;
   private boolean stalled;
 
-  /** The deadlines of one connection. */
+  /** A connection and its deadlines. */
   private final class TrackedConnection extends TimingWheel.Entry {
     private final Connection connection;
     private long idleSince;
@@ -53,7 +57,9 @@
       idleSince = now;
     }
 
-    /** Bytes came or left, or the connection's state changed. */
+    /**
+     * Updates the deadlines after bytes were received or sent, or the connection's state changed.
+     */
     void onActivity() {
       if (connection.isLingering()) {
         markLingering(connection);
@@ -61,7 +67,7 @@
       }
       long now = scheduler.now();
       idleSince = connection.isQuiet() ? now : Connection.NEVER;
-      if (mayCloseAfterAnswer(now)) {
+      if (shouldCloseAfterAnswer(now)) {
         closeScheduled = true;
         scheduler.schedule(
             now,
@@ -76,8 +82,11 @@
       arm(now);
     }
 
-    /** In a shutdown: a peer that sends one request after the other is never idle. */
-    private boolean mayCloseAfterAnswer(long now) {
+    /**
+     * Returns whether the connection is to be closed right after its answer. In a shutdown this is
+     * necessary because a peer that sends one request after another is never idle.
+     */
+    private boolean shouldCloseAfterAnswer(long now) {
       return idleReason == CloseReason.DRAIN
           && connection.isQuiet()
           && !connection.isUnidentified()
@@ -94,7 +103,7 @@
       }
     }
 
-    /** A request that lies in the socket is read first, and the connection stays for it. */
+    /** Closes the connection, unless its socket holds a request, which is read first. */
     private void closeIfQuiet() {
       if (tracked.containsKey(connection) && connection.isQuiet()) {
         connection.readNow();
@@ -130,7 +139,7 @@
   }
 
   /**
-   * Makes an empty table.
+   * Creates an empty table.
    *
    * @param peerTimeout microseconds after which a peer that sends nothing, stops in the middle of a
    *     request or does not read is disconnected
@@ -148,16 +157,16 @@
     return now - lastPassAt > STALL_MICROS;
   }
 
-  /** Takes a new connection. */
+  /** Adds a new connection and starts its timeouts. */
   void add(Connection connection) {
     TrackedConnection entry = new TrackedConnection(connection, scheduler.now());
     tracked.put(connection, entry);
     unidentified.put(connection, entry);
-    connection.superviseWith(scheduler, entry::onActivity);
+    connection.startTimeouts(scheduler, entry::onActivity);
     entry.arm(scheduler.now());
   }
 
-  /** Forgets a connection that has ended. */
+  /** Removes a connection that has ended. */
   void remove(Connection connection) {
     TrackedConnection entry = tracked.remove(connection);
     if (entry != null) {
@@ -167,7 +176,10 @@
     }
   }
 
-  /** A lingering connection no longer counts as open; over their bound the oldest ends now. */
+  /**
+   * Stops counting a lingering connection as open. Above {@link #MAX_LINGERING} the oldest
+   * lingering connection is closed at once.
+   */
   private void markLingering(Connection connection) {
     if (tracked.containsKey(connection)
         && lingering.add(connection)
@@ -176,22 +188,22 @@
     }
   }
 
-  /** How many are open, without those that linger. */
+  /** Returns the number of open connections, without lingering ones. */
   int size() {
     return tracked.size() - lingering.size();
   }
 
-  /** How many hold a file descriptor. */
-  int descriptors() {
+  /** Returns the number of connections that hold a file descriptor. */
+  int descriptorCount() {
     return tracked.size();
   }
 
   /**
-   * Closes the connection whose loss does least harm: the least recently active one that never sent
-   * a complete request, else the one that has been idle for longest. A slow writer so outlives one
-   * that has stopped. A connection that awaits its read budget is never closed: its request has
-   * come, and this process is behind. Where every candidate turns out to have sent something, none
-   * is closed.
+   * Closes the connection whose loss does the least harm: the least recently active one that never
+   * sent a complete request, else the one that has been idle for longest. A client that writes
+   * slowly thus outlives one that has stopped. A connection that awaits the read budget is never
+   * closed, since its request has arrived and this process is behind. If every candidate turns out
+   * to have sent something, none is closed.
    */
   void evict() {
     for (int i = 0; i < MAX_EVICTION_CHECKS; i++) {
@@ -226,12 +238,13 @@
 
   /**
    * Closes the connections that have expired, except in the first pass after a stall of the
-   * process: a connection that seems idle may have a request in its socket. A change of limit or
-   * reason checks every connection once, otherwise only those that are due are checked.
+   * process, when a connection that seems idle may have an unread request in its socket. A change
+   * of limit or reason checks every connection once; otherwise only those that are due are checked.
    *
-   * @param limit microseconds for which a connection may be idle; 0 closes all without a request
-   * @param reason why idle connections are closed; in a shutdown they are closed right after their
-   *     last answer
+   * @param limit microseconds for which a connection may be idle; 0 closes all without an open
+   *     request
+   * @param reason why idle connections are closed; with {@link CloseReason#DRAIN} they are closed
+   *     right after their last answer
    */
   void closeExpired(long limit, CloseReason reason) {
     long now = scheduler.now();
--- a/src/main/java/mothwing/net/ConnectionTimeouts.java
+++ b/src/main/java/mothwing/net/ConnectionTimeouts.java
@@ -1,9 +1,9 @@
 package mothwing.net;
 
 /**
- * What the other side of one connection keeps this process waiting for, and since when: the first
- * request, the rest of a message that has begun, or the reading of what was sent to it. Times are
- * microseconds of one monotonic clock.
+ * Tracks what one connection awaits from its peer, and since when: the first request, the rest of
+ * an incomplete message, or the reading of what was sent to it. Times are microseconds of one
+ * monotonic clock.
  */
 final class ConnectionTimeouts {
   private long openedAt;
@@ -11,58 +11,58 @@
   private long writeBlockedSince = Connection.NEVER;
   private boolean identified;
 
-  /** Starts the clock of the connection. */
+  /** Records when the connection was opened. */
   void opened(long now) {
     openedAt = now;
   }
 
-  /** Bytes came: they continue a message, or begin one. */
+  /** Records received bytes, which continue a message or begin one. */
   void bytesReceived(long now) {
     messageStartedAt = Math.min(messageStartedAt, now);
   }
 
-  /** A message was decoded; what is left over begins the next one. */
+  /** Records that a message was decoded; the remaining bytes begin the next one. */
   void messageDecoded(long now) {
     messageStartedAt = now;
   }
 
-  /** No byte of an incomplete message is left. */
+  /** Records that no byte of an incomplete message is buffered. */
   void bufferEmptied() {
     messageStartedAt = Connection.NEVER;
   }
 
-  /** The other side does not read what is sent to it; the first time counts. */
+  /** Records that the peer does not read what is sent to it; the earliest time counts. */
   void writeBlocked(long now) {
     writeBlockedSince = Math.min(writeBlockedSince, now);
   }
 
-  /** The other side has read enough for more to be sent. */
+  /** Records that the peer has read enough for more to be sent. */
   void writeResumed() {
     writeBlockedSince = Connection.NEVER;
   }
 
-  /** The other side has sent a complete request. */
+  /** Records that the peer has sent a complete request. */
   void identified() {
     identified = true;
   }
 
-  /** Whether the other side has sent a complete request yet. */
+  /** Returns whether the peer has sent a complete request. */
   boolean isIdentified() {
     return identified;
   }
 
-  /** Whether neither an incomplete message nor an unread answer is outstanding. */
+  /** Returns whether neither an incomplete message nor an unread answer is outstanding. */
   boolean isSettled() {
     return messageStartedAt == Connection.NEVER && writeBlockedSince == Connection.NEVER;
   }
 
   /**
-   * When the connection times out as things are.
+   * Returns when the connection times out in its current state.
    *
-   * @param timeout how long the other side may keep this process waiting
-   * @param expectsInput whether input is awaited from the other side, and not held up here
+   * @param timeout how long the peer may take
+   * @param expectsInput whether input is awaited from the peer and not held up by this process
    * @param requestStartedAt when the oldest incomplete request began, or {@link Connection#NEVER}
-   * @return a time, or {@link Connection#NEVER} where nothing is awaited
+   * @return a time, or {@link Connection#NEVER} if nothing is awaited
    */
   long expiresAt(long timeout, boolean expectsInput, long requestStartedAt) {
     long since = writeBlockedSince;
@@ -74,10 +74,10 @@
   }
 
   /**
-   * Why a connection that has timed out is closed.
+   * Returns why a connection that has timed out is to be closed.
    *
-   * @param now the time
-   * @param timeout how long the other side may keep this process waiting
+   * @param now the current time
+   * @param timeout how long the peer may take
    * @param requestStartedAt when the oldest incomplete request began, or {@link Connection#NEVER}
    * @return the reason
    */
--- a/src/main/java/mothwing/net/Connector.java
+++ b/src/main/java/mothwing/net/Connector.java
@@ -8,8 +8,8 @@
   /**
    * Opens a connection.
    *
-   * @param maker makes its state once it is open
-   * @param failed called where it cannot be opened
+   * @param factory creates the state of the connection once it is open
+   * @param onFailure called if the connection cannot be opened
    */
-  void connect(Supplier<? extends Connection> maker, Runnable failed);
+  void connect(Supplier<? extends Connection> factory, Runnable onFailure);
 }
--- a/src/main/java/mothwing/net/FrontRequest.java
+++ b/src/main/java/mothwing/net/FrontRequest.java
@@ -8,9 +8,9 @@
 import mothwing.broker.ResponseSink;
 
 /**
- * A request of a front from its first byte to its answer: what every front does alike with a
- * complete request. Answers are a status, header fields and content; the front writes them in its
- * own protocol.
+ * A request of a front, from its first byte to its answer. Handles a complete request in the same
+ * way for all fronts. An answer consists of a status, header fields and content, which each front
+ * writes in its own protocol.
  */
 public abstract class FrontRequest implements ResponseSink {
   private static final String HEALTH_CHECK_PATH = "/ping";
@@ -26,37 +26,38 @@
   private Exchange exchange;
 
   /**
-   * Makes the state of a request.
+   * Creates the state of a request.
    *
-   * @param broker takes it
+   * @param broker the broker that handles the request
    */
   protected FrontRequest(Broker broker) {
     this.broker = broker;
   }
 
   /**
-   * Writes the answer. Only the first one may leave.
+   * Writes the answer. Only the first answer may be sent.
    *
-   * @param status its status
-   * @param headers its header fields
-   * @param content its content
+   * @param status the status
+   * @param headers the header fields
+   * @param content the content
    */
   protected abstract void write(int status, List<Header> headers, byte[] content);
 
   /**
-   * Counts a request that could not be understood.
+   * Counts an invalid request.
    *
    * @param code the reason
    */
   protected abstract void countInvalid(String code);
 
   /**
-   * Hands a complete request to the broker, or answers it here.
+   * Submits a complete request to the broker. Health checks, queries for counters and requests shed
+   * by an overloaded process are answered here.
    *
-   * @param path the path it was sent to
-   * @param query its query string
-   * @param fields its fields
-   * @param body its body
+   * @param path the path of the request
+   * @param query the query string
+   * @param fields the request fields
+   * @param body the body
    */
   protected final void handle(String path, String query, RequestFields fields, byte[] body) {
     if (path.equals(HEALTH_CHECK_PATH)) {
@@ -82,7 +83,7 @@
   }
 
   /**
-   * Answers a request that could not be understood.
+   * Answers an invalid request.
    *
    * @param code the reason
    */
@@ -94,7 +95,7 @@
         code.getBytes(StandardCharsets.ISO_8859_1));
   }
 
-  /** Cancels the request: its caller has disconnected or aborted it. */
+  /** Cancels the request after its caller has disconnected or aborted it. */
   public final void cancel() {
     if (exchange != null) {
       broker.cancelled(exchange);
--- a/src/main/java/mothwing/net/Header.java
+++ b/src/main/java/mothwing/net/Header.java
@@ -1,7 +1,7 @@
 package mothwing.net;
 
 /**
- * One header field of an answer.
+ * A header field of an answer.
  *
  * @param name its name on the wire
  * @param value its value
--- a/src/main/java/mothwing/net/Headers.java
+++ b/src/main/java/mothwing/net/Headers.java
@@ -4,15 +4,15 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The header fields and status lines of answers, the same for every front. */
+/** The header fields and reason phrases of answers, the same for every front. */
 public final class Headers {
-  /** The wire name of the time for which a gateway is to stay away, in milliseconds. */
+  /** Name on the wire of the delay in milliseconds after which a gateway may retry. */
   private static final String RETRY_AFTER_MILLIS = "Hold-Off-Ms";
 
-  /** The wire name of the mark that no other server should be tried. */
+  /** Name on the wire of the flag that no other server should be tried. */
   private static final String DO_NOT_RETRY = "No-Other-Server";
 
-  /** The wire name of the free value, by which gateways balance load. */
+  /** Name on the wire of the free value, by which gateways balance load. */
   private static final String FREE_VALUE = "Feedback";
 
   private static final String CONTENT_TYPE = "Content-Type";
@@ -23,10 +23,10 @@
   private Headers() {}
 
   /**
-   * The header fields of a rejection.
+   * Returns the header fields of a rejection.
    *
    * @param last whether no other server should be tried
-   * @param retryAfterMillis how long to stay away, or 0 for no advice
+   * @param retryAfterMillis milliseconds after which the gateway may retry, or 0 for no advice
    * @return the fields
    */
   public static List<Header> rejection(boolean last, long retryAfterMillis) {
@@ -41,9 +41,9 @@
   }
 
   /**
-   * The free value.
+   * Returns the header field with the free value.
    *
-   * @param value a number of 0 or more
+   * @param value the free value, 0 or more
    * @return the field
    */
   public static Header freeValue(double value) {
@@ -52,9 +52,9 @@
   }
 
   /**
-   * The header fields that describe the content of an answer.
+   * Returns the header fields that describe the content of an answer.
    *
-   * @param bytes its length
+   * @param bytes the length of the content
    * @return the fields
    */
   static List<Header> content(int bytes) {
@@ -63,10 +63,10 @@
   }
 
   /**
-   * The reason phrase of a status.
+   * Returns the reason phrase of a status.
    *
-   * @param status its number
-   * @return its words
+   * @param status the status code
+   * @return the reason phrase
    */
   public static String reasonPhrase(int status) {
     return switch (status) {
@@ -79,10 +79,10 @@
   }
 
   /**
-   * Whether a health check's query asks for a run on the worker pool.
+   * Returns whether the query of a health check requests a run on the worker pool.
    *
    * @param query the query string
-   * @return true where {@code probe} is 1
+   * @return true if {@code probe} is 1
    */
   public static boolean isActiveHealthCheck(String query) {
     return List.of(query.split("&")).contains(ACTIVE_HEALTH_CHECK);
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -26,11 +26,11 @@
 
 /**
  * Accepts the connections of one front up to a limit, and closes those that are idle or time out.
- * At the limit a new connection evicts one without an open request: one that never sent a complete
- * request before one of an identified gateway.
+ * At the limit a new connection evicts one without an open request: clients that never sent a
+ * complete request are evicted before identified gateways.
  */
 public final class Listener {
-  /** Between attempts to bind where the system lacks resources for a moment. */
+  /** Delay between attempts to bind when the system is short of resources. */
   private static final int BIND_RETRY_MILLIS = 50;
 
   private static final int MAX_BIND_ATTEMPTS = 60;
@@ -54,15 +54,15 @@
   private ReadBudget readBudget;
 
   /**
-   * Makes a listener that does not listen yet.
+   * Creates a listener that does not listen yet.
    *
    * @param side its name in counters
-   * @param factory makes the state of a new connection
-   * @param maxConnections most connections at once
+   * @param factory creates the state of a new connection
+   * @param maxConnections most open connections
    * @param peerTimeout microseconds after which a peer that sends nothing, stops in the middle of a
    *     request or does not read is disconnected
    * @param scheduler the clock and timers
-   * @param counters counts what happens
+   * @param counters the counters to increment
    */
   public Listener(
       String side,
@@ -79,28 +79,30 @@
     this.counters = counters;
   }
 
-  /** Shares the address with another process of the same user, which must share it too. */
+  /**
+   * Allows another process of the same user to listen at the address, if it shares the address too.
+   */
   public void shareAddress() {
     shared = true;
   }
 
   /**
-   * Bounds how long its connections read in one turn of the loop.
+   * Sets the budget that bounds how long the connections read in one turn of the event loop.
    *
-   * @param budget the budget, shared by all listeners of a loop
+   * @param budget the budget, shared by all listeners of an event loop
    */
   public void limitReads(ReadBudget budget) {
     readBudget = budget;
   }
 
   /**
-   * Begins to listen.
+   * Starts to listen.
    *
-   * @param loop the thread of it all
-   * @param allocator gives buffers
-   * @param address where to listen
-   * @return done once it listens, or cannot: at once where the address is in use, after some
-   *     seconds of retries where the system lacks resources
+   * @param loop the event loop of the listener and its connections
+   * @param allocator the buffer allocator
+   * @param address the address to bind
+   * @return completes once the address is bound, and fails if it cannot be: at once if the address
+   *     is in use, after some seconds of retries if the system is short of resources
    */
   public Future<Void> listen(
       EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
@@ -131,7 +133,8 @@
       quota = new SharedPortQuota(maxConnections, scheduler.now());
       bootstrap
           .option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true)
-          .option(ChannelOption.AUTO_READ, false); // until the first poll shows who else listens
+          // accepts nothing until the first poll shows whether another process listens
+          .option(ChannelOption.AUTO_READ, false);
     }
     Promise<Void> result = loop.newPromise();
     bind(loop, bootstrap, address, result, MAX_BIND_ATTEMPTS);
@@ -170,9 +173,9 @@
   }
 
   /**
-   * Where the address is shared: polls whether another process listens there, if that may matter
-   * now, and evicts connections down to the quota of this one. To be called every few milliseconds,
-   * on the event loop.
+   * Evicts connections down to the quota of this process, and polls whether another process listens
+   * at the address if that may affect the quota. Does nothing unless the address is shared. Must be
+   * called every few milliseconds, on the event loop.
    */
   public void pollSharedPort() {
     if (quota == null || !channel.isOpen() || channel.localAddress() == null) {
@@ -189,26 +192,27 @@
     }
   }
 
-  /** Reads the socket table on another thread, as it may be long. */
+  /** Reads the socket table on another thread, since it may be long. */
   private void startPoll(long startedAt, int ownConnections) {
     InetSocketAddress address = channel.localAddress();
     EventLoop loop = channel.eventLoop();
     GlobalEventExecutor.INSTANCE.execute(
         () -> {
           Optional<SocketTable> sockets = readSocketTable(address);
-          loop.execute(() -> polled(startedAt, Math.min(ownConnections, table.size()), sockets));
+          loop.execute(
+              () -> pollFinished(startedAt, Math.min(ownConnections, table.size()), sockets));
         });
   }
 
   private static Optional<SocketTable> readSocketTable(InetSocketAddress address) {
     try {
-      return Optional.of(SocketTable.at(address, SocketTable.LISTS));
-    } catch (IOException | UncheckedIOException notReadable) { // as on other systems than Linux
+      return Optional.of(SocketTable.read(address, SocketTable.TABLES));
+    } catch (IOException | UncheckedIOException unreadable) { // the tables exist only on Linux
       return Optional.empty();
     }
   }
 
-  private void polled(long startedAt, int ownConnections, Optional<SocketTable> sockets) {
+  private void pollFinished(long startedAt, int ownConnections, Optional<SocketTable> sockets) {
     pollInProgress = false;
     if (sockets.isEmpty()) {
       counters.add(side + "-socket-table-unreadable");
@@ -238,27 +242,27 @@
   }
 
   /**
-   * Where it listens.
+   * Returns the bound address.
    *
-   * @return the address, with the port that was given
+   * @return the address, with the assigned port
    */
   public InetSocketAddress address() {
     return channel.localAddress();
   }
 
   /**
-   * How many connections hold a file descriptor: those that are open, and those that await the
-   * close of the other side.
+   * Returns the number of connections that hold a file descriptor: those that are open, and those
+   * that await the peer's close.
    *
-   * @return their number
+   * @return the number of connections
    */
   public int connectionCount() {
-    return table.descriptors();
+    return table.descriptorCount();
   }
 
   /**
-   * Closes connections that are idle for too long, and those whose peer has timed out. To be called
-   * every few milliseconds.
+   * Closes connections that have been idle for too long, and those whose peer has timed out. Must
+   * be called every few milliseconds.
    *
    * @param idleLimit microseconds; 0 closes all without an open request
    * @param reason why idle connections are closed
@@ -270,9 +274,9 @@
   /**
    * Stops listening after accepting the connections in the backlog. On the event loop only.
    *
-   * @param then called once it has stopped
+   * @param onStopped called once the listener has stopped
    */
-  public void stop(Runnable then) {
-    channel.closeAfterBacklog(then);
+  public void stop(Runnable onStopped) {
+    channel.closeAfterBacklog(onStopped);
   }
 }
--- a/src/main/java/mothwing/net/ProtocolException.java
+++ b/src/main/java/mothwing/net/ProtocolException.java
@@ -1,16 +1,18 @@
 package mothwing.net;
 
-/** Input breaks the protocol of its connection, which is closed with the reason. */
+/**
+ * Thrown if input violates the protocol of its connection, which is then closed with the reason.
+ */
 public final class ProtocolException extends Exception {
   private static final long serialVersionUID = 1L;
 
   private final CloseReason reason;
 
   /**
-   * Makes the error.
+   * Creates the exception.
    *
-   * @param reason the code for the log
-   * @param message what is wrong
+   * @param reason the reason for closing the connection
+   * @param message the violation
    */
   public ProtocolException(CloseReason reason, String message) {
     super(message, null, false, false);
@@ -18,9 +20,9 @@
   }
 
   /**
-   * The code for the log.
+   * Returns the reason for closing the connection.
    *
-   * @return the reason
+   * @return the reason, whose code is logged
    */
   public CloseReason reason() {
     return reason;
--- a/src/main/java/mothwing/net/ReadBudget.java
+++ b/src/main/java/mothwing/net/ReadBudget.java
@@ -5,33 +5,39 @@
 
 /**
  * Bounds how long client requests are read in one turn of the event loop, and sheds a share of them
- * undecided while this process itself is behind. A loop that is short of processor time finds
- * hundreds of requests in its sockets at each turn; if all were read first, ends of runs would go
- * unnoticed and cores would stand idle. So when the turn is over the connections that still have
- * input wait in arrival order and read nothing further, while events of the pool and timers are
- * served. Where some connection always waits, reading and deciding alone exceed the capacity: then
- * a growing share of requests is rejected at the least cost. On its loop's thread only.
+ * without an admission decision while this process itself is behind. An event loop that is short of
+ * processor time finds hundreds of requests in its sockets at each turn; if all were read first,
+ * ends of runs would go unnoticed and cores would be idle. Therefore, when the budget of a turn is
+ * used up, connections with remaining input wait in arrival order and read nothing further while
+ * events of the pool and timers are served. If some connection always waits, reading requests and
+ * deciding on them alone exceed the capacity: then a growing share of requests is rejected at the
+ * least cost. Used on its event loop's thread only.
  */
 public final class ReadBudget {
-  /** For so long requests are read in one turn: some tens of requests. */
+  /** Time for reading requests in one turn, enough for some tens of requests. */
   static final long TURN_MICROS = 4_000;
 
-  /** Requests are shed once some connection has always waited for so long: a burst is shorter. */
+  /**
+   * Requests are shed once connections have waited without interruption for this long: a burst is
+   * shorter.
+   */
   static final long GRACE_MICROS = 150_000;
 
-  /** Between two turns all other events that are due are served. */
+  /** Gap between two turns, in which all other due events are served. */
   private static final long TURN_GAP_MICROS = 500;
 
-  /** Time constant of the rise of the shed ratio: short, as queues grow meanwhile. */
+  /** Time constant of the rise of the shed ratio: short, because queues grow in the meantime. */
   private static final double SHED_RISE_MICROS = 250_000;
 
   /** Time constant of the fall of the shed ratio. */
   private static final double SHED_FALL_MICROS = 1_000_000;
 
-  /** Bounds one step of the rise: a gap in which the process stalled says nothing of its load. */
+  /**
+   * Longest interval of one rise: a gap in which the process stalled is no evidence of its load.
+   */
   private static final long MAX_RISE_STEP_MICROS = 100_000;
 
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final ArrayDeque<Connection> waiting = new ArrayDeque<>();
   private long turnEndsAt = Long.MIN_VALUE;
   private boolean turnStarted;
@@ -42,24 +48,27 @@
   private double shedCredit;
 
   /**
-   * Makes a budget for which no connection waits.
+   * Creates a budget for which no connection waits.
    *
-   * @param timers the clocks
+   * @param scheduler the clock and timers
    */
-  public ReadBudget(Scheduler timers) {
-    this.timers = timers;
-    updatedAt = timers.now();
+  public ReadBudget(Scheduler scheduler) {
+    this.scheduler = scheduler;
+    updatedAt = scheduler.now();
   }
 
-  /** Whether a connection may decode a further message now; else it is to {@link #enqueue}. */
+  /**
+   * Returns whether a connection may decode another message now; otherwise it must {@link
+   * #enqueue}.
+   */
   boolean hasBudget() {
     if (!turnStarted) { // the first message of this turn
       turnStarted = true;
-      turnEndsAt = timers.now() + TURN_MICROS;
-      timers.schedule(timers.now() + TURN_GAP_MICROS, this::runTurn);
+      turnEndsAt = scheduler.now() + TURN_MICROS;
+      scheduler.schedule(scheduler.now() + TURN_GAP_MICROS, this::runTurn);
       return true;
     }
-    return (resumingQueue || waiting.isEmpty()) && timers.now() < turnEndsAt;
+    return (resumingQueue || waiting.isEmpty()) && scheduler.now() < turnEndsAt;
   }
 
   /** Queues a connection that has input to decode. It reads nothing further until it is resumed. */
@@ -68,10 +77,10 @@
   }
 
   /**
-   * Whether the request that is being read now is to be shed undecided. Every call counts as one
-   * request.
+   * Returns whether the request that is being read is to be shed without an admission decision.
+   * Each call counts as one request.
    *
-   * @return true for the share that exceeds the capacity of this process
+   * @return true for the share of requests that exceeds the capacity of this process
    */
   public boolean isOverloaded() {
     shedCredit += shedRatio;
@@ -85,11 +94,11 @@
   private void runTurn() {
     turnStarted = false;
     resumingQueue = true;
-    for (int left = waiting.size(); left > 0 && hasBudget(); left--) {
+    for (int remaining = waiting.size(); remaining > 0 && hasBudget(); remaining--) {
       waiting.remove().resumeReading();
     }
     resumingQueue = false;
-    updateShedRatio(timers.now());
+    updateShedRatio(scheduler.now());
   }
 
   private void updateShedRatio(long now) {
@@ -98,9 +107,9 @@
       shedRatio *= Math.exp((updatedAt - now) / SHED_FALL_MICROS);
     } else {
       behindSince = Math.min(behindSince, now);
-      double span =
+      double interval =
           now - behindSince > GRACE_MICROS ? Math.min(MAX_RISE_STEP_MICROS, now - updatedAt) : 0;
-      shedRatio = 1 - (1 - shedRatio) * Math.exp(-span / SHED_RISE_MICROS);
+      shedRatio = 1 - (1 - shedRatio) * Math.exp(-interval / SHED_RISE_MICROS);
     }
     updatedAt = now;
   }
--- a/src/main/java/mothwing/net/RequestFields.java
+++ b/src/main/java/mothwing/net/RequestFields.java
@@ -5,41 +5,43 @@
 import mothwing.broker.InboundRequest;
 
 /**
- * The one place that knows the names of request fields on the wire: collects the fields of one
- * request as a front reads them, checks them, and makes an {@link InboundRequest}. Names are
- * compared without case; unknown ones are ignored.
+ * Collects the fields of one request as a front reads them, validates them, and creates an {@link
+ * InboundRequest}. Only this class knows the names of request fields on the wire. Names are
+ * case-insensitive; unknown fields are ignored.
  */
 public final class RequestFields {
-  /** The wire name of the request's id, new with every attempt. */
+  /** Name on the wire of the request's id, which is new with every attempt. */
   public static final String ID = "trace-id";
 
-  /** The wire name of the time at which the request reached the gateway, in Unix milliseconds. */
+  /**
+   * Name on the wire of the time at which the request reached the gateway, in Unix milliseconds.
+   */
   public static final String ACCEPTED_AT_MILLIS = "accepted-at-ms";
 
-  /** The wire name of the number of the client; checked, and not used further. */
+  /** Name on the wire of the client's number, which is validated and otherwise unused. */
   public static final String CLIENT_NUMBER = "client-no";
 
-  /** The wire name of the tenant. */
+  /** Name on the wire of the tenant. */
   public static final String TENANT = "project";
 
-  /** The wire name of the memory that the request reserves, in KiB. */
+  /** Name on the wire of the memory that the request reserves, in KiB. */
   public static final String MEMORY_KB = "reserve-kb";
 
-  /** The wire name of the rank within the class, from 0 to under 1. */
+  /** Name on the wire of the rank within the class, from 0 inclusive to 1 exclusive. */
   public static final String RANK = "standing";
 
-  /** The wire name of the key under which a read may be cached. */
+  /** Name on the wire of the key under which a read may be cached. */
   public static final String CACHE_KEY = "lookup-key";
 
-  /** The wire name of the idempotency key. */
+  /** Name on the wire of the idempotency key. */
   public static final String IDEMPOTENCY_KEY = "replay-key";
 
-  /** The wire name of the longest wait of the caller, in milliseconds. */
+  /** Name on the wire of the caller's longest wait, in milliseconds. */
   public static final String MAX_WAIT_MILLIS = "max-wait-ms";
 
   private static final Pattern ID_FORMAT = Pattern.compile("[0-9a-fA-F]{16}");
   private static final Pattern INTEGER_FORMAT = Pattern.compile("[0-9]{1,15}");
-  // Narrower than what Java parses, which would also take 12f, 0x1p3 and NaN.
+  // Stricter than Double.parseDouble, which also accepts 12f, 0x1p3 and NaN.
   private static final Pattern DECIMAL_FORMAT =
       Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,20})?([eE][-+]?[0-9]{1,2})?");
   private static final double MEMORY_LIMIT_KB = 2000;
@@ -55,10 +57,10 @@
   private String maxWait;
 
   /**
-   * Takes one field; the last one of a name holds.
+   * Sets a field; the last value of a name applies.
    *
-   * @param name its name on the wire, in any case
-   * @param value its text
+   * @param name the field's name on the wire, in any case
+   * @param value the field's text
    */
   public void set(String name, String value) {
     switch (name.toLowerCase(Locale.ROOT)) {
@@ -76,20 +78,20 @@
   }
 
   /**
-   * Makes the request of the fields taken so far.
+   * Creates the request from the fields set so far.
    *
-   * @param path the path it was sent to, {@code /call/CLASS}
-   * @param body its body
+   * @param path the path of the request, {@code /call/CLASS}
+   * @param body the body
    * @return the request
-   * @throws InvalidRequestException where a field is missing or invalid
+   * @throws InvalidRequestException if a field is missing or invalid
    */
   public InboundRequest toRequest(String path, byte[] body) throws InvalidRequestException {
     require(path.startsWith(InboundRequest.PATH_PREFIX), "path");
     require(ID_FORMAT.matcher(id).matches(), ID);
     require(INTEGER_FORMAT.matcher(acceptedAt).matches(), ACCEPTED_AT_MILLIS);
     require(INTEGER_FORMAT.matcher(clientNumber).matches(), CLIENT_NUMBER);
-    double memoryKb = decimal(memory, MEMORY_KB);
-    double rankValue = decimal(rank, RANK);
+    double memoryKb = parseDecimal(memory, MEMORY_KB);
+    double rankValue = parseDecimal(rank, RANK);
     require(memoryKb > 0 && memoryKb < MEMORY_LIMIT_KB, MEMORY_KB);
     require(rankValue < 1, RANK);
     require(idempotencyKey == null || isKeyLengthValid(), IDEMPOTENCY_KEY);
@@ -111,7 +113,7 @@
     return !idempotencyKey.isEmpty() && idempotencyKey.length() <= InboundRequest.MAX_KEY_CHARS;
   }
 
-  private static double decimal(String text, String field) throws InvalidRequestException {
+  private static double parseDecimal(String text, String field) throws InvalidRequestException {
     require(DECIMAL_FORMAT.matcher(text).matches(), field);
     return Double.parseDouble(text);
   }
--- a/src/main/java/mothwing/net/RetryingSocketChannel.java
+++ b/src/main/java/mothwing/net/RetryingSocketChannel.java
@@ -7,52 +7,52 @@
 
 /**
  * A stream socket that retries interrupted reads. The Java runtime reports EINTR of a non-blocking
- * read as a count under -1, which Netty takes for the end of the stream: it would close the
- * connection with everything open on it.
+ * read as a count below -1, which Netty treats as the end of the stream: it would close the
+ * connection with all requests open on it.
  */
 public final class RetryingSocketChannel extends NioSocketChannel {
-  /** The runtime's count for the end of a stream; lower ones are errors of the call. */
+  /** The runtime's count for the end of the stream; lower counts are errors of the call. */
   private static final int END_OF_STREAM = -1;
 
   /**
-   * Reads in a row that may be interrupted; after that the selector reports again that the socket
-   * is readable.
+   * Most attempts of an interrupted read; afterwards the selector reports again that the socket is
+   * readable.
    */
   private static final int MAX_ATTEMPTS = 8;
 
-  /** One read. */
+  /** A read operation. */
   @FunctionalInterface
   interface Read {
-    /** Reads; the count, or a negative number. */
+    /** Reads, and returns the count or a negative number. */
     int read() throws Exception;
   }
 
-  /** Makes a socket that is to be connected. */
+  /** Creates a socket that is to be connected. */
   public RetryingSocketChannel() {}
 
   /**
-   * Makes the socket of a connection that was accepted.
+   * Creates the socket of an accepted connection.
    *
-   * @param parent where it was accepted
-   * @param accepted the connection
+   * @param parent the listening socket
+   * @param accepted the accepted connection
    */
   RetryingSocketChannel(Channel parent, SocketChannel accepted) {
     super(parent, accepted);
   }
 
   @Override
-  protected int doReadBytes(ByteBuf to) throws Exception {
-    return untilRead(() -> super.doReadBytes(to));
+  protected int doReadBytes(ByteBuf buffer) throws Exception {
+    return readUninterrupted(() -> super.doReadBytes(buffer));
   }
 
   /**
-   * Reads until a read is not interrupted.
+   * Repeats a read until it is not interrupted.
    *
-   * @param read one read
-   * @return its count, -1 at the end of the stream, or 0 where each was interrupted
-   * @throws Exception where a read fails
+   * @param read the read operation
+   * @return its count, -1 at the end of the stream, or 0 if every attempt was interrupted
+   * @throws Exception if a read fails
    */
-  static int untilRead(Read read) throws Exception {
+  static int readUninterrupted(Read read) throws Exception {
     for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
       int count = read.read();
       if (count >= END_OF_STREAM) {
--- a/src/main/java/mothwing/net/SharedPortQuota.java
+++ b/src/main/java/mothwing/net/SharedPortQuota.java
@@ -1,14 +1,14 @@
 package mothwing.net;
 
 /**
- * How many connections one of two processes that listen at the same address may have, so that both
- * together stay within the limit of one. They do not talk to each other: each polls the kernel's
+ * Limits the connections of one of two processes that listen at the same address, so that both
+ * together stay within the limit of one. The processes do not communicate: each polls the kernel's
  * socket table. A process may have more than half only while a fresh poll shows no other listener;
- * a process that joins an address in use accepts nobody until the other is down to half. Times are
- * microseconds of the monotonic clock; the result of a poll may come late.
+ * a process that starts at an address in use accepts no connections until the other process is down
+ * to half. Times are microseconds of the monotonic clock; the result of a poll may arrive late.
  */
 final class SharedPortQuota {
-  /** For so long the result of a poll is valid. */
+  /** The result of a poll is valid for this long. */
   static final long FRESH_MICROS = 500_000;
 
   private static final long POLL_PERIOD_MICROS = 100_000;
@@ -23,7 +23,7 @@
   private int otherConnections;
 
   /**
-   * Makes a quota before its first poll.
+   * Creates a quota that has not been polled yet.
    *
    * @param maxConnections most connections of one process
    * @param now when the process began to listen
@@ -33,64 +33,71 @@
     startedAt = now;
   }
 
-  /** Whether the socket table is to be polled now, with so many connections open. */
+  /** Returns whether the socket table is to be polled now, given the number of open connections. */
   boolean isPollDue(long now, int open) {
     return now - polledAt >= POLL_PERIOD_MICROS
         && (!hasPolled || otherListens || otherConnections > 0 || open >= pollThreshold());
   }
 
-  private int half() {
+  private int halfLimit() {
     return Math.max(1, maxConnections / 2);
   }
 
-  /** From so many connections on it polls, to know in time whether it may pass half. */
+  /**
+   * Number of open connections from which polling is needed, to find out in time whether half may
+   * be exceeded.
+   */
   private int pollThreshold() {
     return Math.max(1, maxConnections * 3 / 8);
   }
 
   /**
-   * Takes the result of a poll.
+   * Updates the quota from the result of a poll.
    *
-   * @param at when the poll was begun: the result describes that moment or a later one
+   * @param at when the poll began: the result describes that moment or a later one
    * @param otherListens whether another process listens at the address
-   * @param connections connections at the address that are not this process's
+   * @param connections connections at the address that belong to other processes
    */
   void update(long at, boolean otherListens, int connections) {
-    boolean first = !hasPolled;
+    boolean isFirstPoll = !hasPolled;
     hasPolled = true;
     polledAt = at;
     this.otherListens = otherListens;
     otherConnections = Math.max(0, connections);
-    boolean otherHasPolled = at - startedAt >= FRESH_MICROS; // since this process listens
+    // By then the other process has noticed that this one listens.
+    boolean otherHasPolled = at - startedAt >= FRESH_MICROS;
     admitted |=
         !otherListens
-            || (first && otherConnections <= pollThreshold())
-            || (otherHasPolled && otherConnections <= half());
+            || (isFirstPoll && otherConnections <= pollThreshold())
+            || (otherHasPolled && otherConnections <= halfLimit());
   }
 
-  /** The socket table cannot be read: the quota is that of a process alone at its address. */
+  /**
+   * Sets the quota of a process that is alone at its address, because the socket table cannot be
+   * read.
+   */
   void assumeAlone() {
     hasPolled = true;
     admitted = true;
   }
 
   /**
-   * How many of so many open connections are to be evicted: none because of an outdated poll alone.
+   * Returns how many of the open connections are to be evicted. An outdated poll alone evicts none.
    */
   int excess(long now, int open) {
-    boolean known = otherListens || now - polledAt <= FRESH_MICROS;
-    return admitted && known ? Math.max(0, open - limit(now)) : 0;
+    boolean isCurrent = otherListens || now - polledAt <= FRESH_MICROS;
+    return admitted && isCurrent ? Math.max(0, open - limit(now)) : 0;
   }
 
-  /** How many connections may be open now; 0 where none is to be accepted yet. */
+  /** Returns how many connections may be open now, or 0 if none is to be accepted yet. */
   int limit(long now) {
     if (!admitted) {
       return 0;
     } else if (polledAt == NEVER) {
       return maxConnections;
     } else if (otherListens || now - polledAt > FRESH_MICROS) {
-      return half();
+      return halfLimit();
     }
-    return Math.max(half(), maxConnections - otherConnections);
+    return Math.max(halfLimit(), maxConnections - otherConnections);
   }
 }
--- a/src/main/java/mothwing/net/TcpConnector.java
+++ b/src/main/java/mothwing/net/TcpConnector.java
@@ -11,7 +11,7 @@
 import java.net.InetSocketAddress;
 import java.util.function.Supplier;
 
-/** Opens connections to one address. */
+/** Opens TCP connections to one address. */
 public final class TcpConnector implements Connector {
   private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
@@ -20,11 +20,11 @@
   private final InetSocketAddress address;
 
   /**
-   * Makes a connector.
+   * Creates a connector.
    *
-   * @param loop the thread of it all
-   * @param allocator gives buffers
-   * @param address where to connect
+   * @param loop the event loop of the connections
+   * @param allocator the buffer allocator
+   * @param address the address to connect to
    */
   public TcpConnector(EventLoop loop, ByteBufAllocator allocator, InetSocketAddress address) {
     this.loop = loop;
@@ -33,7 +33,7 @@
   }
 
   @Override
-  public void connect(Supplier<? extends Connection> maker, Runnable failed) {
+  public void connect(Supplier<? extends Connection> factory, Runnable onFailure) {
     new Bootstrap()
         .group(loop)
         .channelFactory(RetryingSocketChannel::new)
@@ -44,31 +44,33 @@
             new ChannelInitializer<SocketChannel>() {
               @Override
               protected void initChannel(SocketChannel opened) {
-                opened.pipeline().addLast(new OpeningHandler(maker));
+                opened.pipeline().addLast(new OpeningHandler(factory));
               }
             })
         .connect(address)
         .addListener(
             done -> {
               if (!done.isSuccess()) {
-                loop.execute(failed); // a failure to create a socket is reported on another thread
+                // a failure to create a socket is reported on another thread
+                loop.execute(onFailure);
               }
             });
   }
 
   /**
-   * Replaces itself with the connection once that is open, so that failed attempts leave no trace.
+   * Replaces itself with the connection once that is open, so that failed attempts are neither
+   * logged nor counted.
    */
   private static final class OpeningHandler extends ChannelInboundHandlerAdapter {
-    private final Supplier<? extends Connection> maker;
+    private final Supplier<? extends Connection> factory;
 
-    OpeningHandler(Supplier<? extends Connection> maker) {
-      this.maker = maker;
+    OpeningHandler(Supplier<? extends Connection> factory) {
+      this.factory = factory;
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-      Connection connection = maker.get();
+      Connection connection = factory.get();
       ctx.pipeline().replace(this, "connection", connection);
       ctx.pipeline().fireChannelActive();
     }
--- a/src/main/java/mothwing/net/TimingWheel.java
+++ b/src/main/java/mothwing/net/TimingWheel.java
@@ -3,28 +3,28 @@
 import java.util.function.Consumer;
 
 /**
- * A hashed timing wheel: entries with due times, put in, moved and taken out at a cost that does
- * not depend on their number. An entry due beyond one turn of the wheel is passed over once a turn.
- * Times are microseconds of one clock that only goes forward; an entry fires at the first advance
- * at or after its due time, up to a tick late.
+ * A hashed timing wheel: adds, moves and removes entries with due times at a cost that does not
+ * depend on their number. An entry due beyond one revolution of the wheel is skipped once per
+ * revolution. Times are microseconds of one clock that never goes back; an entry fires at the first
+ * advance at or after its due time, up to one tick late.
  */
 final class TimingWheel {
   /** An entry, in at most one slot of one wheel. */
   static class Entry {
-    private Entry before;
-    private Entry after;
+    private Entry previous;
+    private Entry next;
     private long due = Connection.NEVER;
 
-    /** When it is due, or {@link Connection#NEVER} where it is in no wheel. */
+    /** Returns when the entry is due, or {@link Connection#NEVER} if it is in no wheel. */
     final long due() {
       return due;
     }
 
     private void unlink() {
-      before.after = after;
-      after.before = before;
-      before = null;
-      after = null;
+      previous.next = next;
+      next.previous = previous;
+      previous = null;
+      next = null;
       due = Connection.NEVER;
     }
   }
@@ -35,83 +35,85 @@
   private int size;
 
   /**
-   * Makes an empty wheel.
+   * Creates an empty wheel.
    *
-   * @param slots how many slots it has, a power of 2
-   * @param tick microseconds of a slot
-   * @param now the time
+   * @param slots the number of slots, a power of 2
+   * @param tickMicros microseconds per slot
+   * @param now the current time
    */
-  TimingWheel(int slots, long tick, long now) {
-    this.tickMicros = tick;
-    this.currentTick = now / tick;
+  TimingWheel(int slots, long tickMicros, long now) {
+    this.tickMicros = tickMicros;
+    this.currentTick = now / tickMicros;
     this.slots = new Entry[slots];
     for (int i = 0; i < slots; i++) {
       Entry head = new Entry();
-      head.before = head;
-      head.after = head;
+      head.previous = head;
+      head.next = head;
       this.slots[i] = head;
     }
   }
 
-  /** Puts an entry in, or moves it; what is due already fires at the next advance. */
+  /** Adds or moves an entry. An entry that is already due fires at the next advance. */
   void put(Entry entry, long due) {
     remove(entry);
     Entry head = slots[(int) (Math.max(due / tickMicros, currentTick) & (slots.length - 1))];
     entry.due = due;
-    entry.before = head.before;
-    entry.after = head;
-    head.before.after = entry;
-    head.before = entry;
+    entry.previous = head.previous;
+    entry.next = head;
+    head.previous.next = entry;
+    head.previous = entry;
     size++;
   }
 
-  /** Takes an entry out, where it is in. */
+  /** Removes an entry, if it is in the wheel. */
   void remove(Entry entry) {
-    if (entry.before != null) {
+    if (entry.previous != null) {
       entry.unlink();
       size--;
     }
   }
 
-  /** How many entries it has. */
+  /** Returns the number of entries. */
   int size() {
     return size;
   }
 
   /**
-   * Takes out all entries that are due and fires them, in no order. An entry that is put in
-   * meanwhile and is due already fires at the next advance.
+   * Removes all entries that are due and fires them, in no particular order. An entry added
+   * meanwhile that is already due fires at the next advance.
    *
-   * @param now the time
-   * @param fired takes each entry
+   * @param now the current time
+   * @param handler called with each entry
    */
-  void advance(long now, Consumer<Entry> fired) {
-    long until = now / tickMicros;
-    long from = Math.max(currentTick, until - slots.length + 1); // one turn covers all slots
-    Entry due = new Entry(); // entries put in meanwhile are not met
-    due.before = due;
-    due.after = due;
-    for (long at = from; at <= until; at++) {
-      Entry head = slots[(int) (at & (slots.length - 1))];
-      for (Entry entry = head.after; entry != head; ) {
-        Entry next = entry.after;
+  void advance(long now, Consumer<Entry> handler) {
+    long lastTick = now / tickMicros;
+    // One revolution covers all slots.
+    long firstTick = Math.max(currentTick, lastTick - slots.length + 1);
+    // A list of its own, so that entries added by the handler are not visited.
+    Entry due = new Entry();
+    due.previous = due;
+    due.next = due;
+    for (long tick = firstTick; tick <= lastTick; tick++) {
+      Entry head = slots[(int) (tick & (slots.length - 1))];
+      for (Entry entry = head.next; entry != head; ) {
+        Entry following = entry.next;
         if (entry.due <= now) {
           long dueAt = entry.due;
           entry.unlink();
           entry.due = dueAt;
-          entry.before = due.before;
-          entry.after = due;
-          due.before.after = entry;
-          due.before = entry;
+          entry.previous = due.previous;
+          entry.next = due;
+          due.previous.next = entry;
+          due.previous = entry;
         }
-        entry = next;
+        entry = following;
       }
     }
-    currentTick = until;
-    while (due.after != due) {
-      Entry entry = due.after;
+    currentTick = lastTick;
+    while (due.next != due) {
+      Entry entry = due.next;
       remove(entry);
-      fired.accept(entry);
+      handler.accept(entry);
     }
   }
 }
--- a/src/test/java/mothwing/net/ConnectionTableTest.java
+++ b/src/test/java/mothwing/net/ConnectionTableTest.java
@@ -24,208 +24,214 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** Which connections a connection table closes of itself. */
+/** Expiry and eviction of connections, and the timing wheel behind it. */
 class ConnectionTableTest {
   private static final long SECOND = 1_000_000;
 
-  private BrokerFixture stand;
+  private BrokerFixture fixture;
   private ConnectionTable table;
 
   @BeforeTry
-  void anew() {
-    stand = new BrokerFixture().bound();
-    table = new ConnectionTable(2 * SECOND, stand);
+  void setUp() {
+    fixture = new BrokerFixture().bound();
+    table = new ConnectionTable(2 * SECOND, fixture);
   }
 
   private EmbeddedChannel open(Connection connection) {
     table.add(connection);
-    EmbeddedChannel channel = stand.open(connection);
+    EmbeddedChannel channel = fixture.open(connection);
     channel.closeFuture().addListener(closed -> table.remove(connection));
     return channel;
   }
 
   private Connection fastCgi() {
-    return new FastCgiConnection(stand.broker, stand.lines::add, stand.counters);
+    return new FastCgiConnection(fixture.broker, fixture.lines::add, fixture.counters);
   }
 
   private Connection ajp() {
-    return new AjpConnection(stand.broker, stand.lines::add, stand.counters);
+    return new AjpConnection(fixture.broker, fixture.lines::add, fixture.counters);
   }
 
-  private void pass(long span) {
+  private void advance(long span) {
     for (long left = span; left > 0; left -= SECOND / 10) {
-      stand.pass(Math.min(left, SECOND / 10));
+      fixture.pass(Math.min(left, SECOND / 10));
       table.closeExpired(30 * SECOND, CloseReason.IDLE);
     }
   }
 
   @Example
-  void closesWhatIsIdleForTheSpanInForce() {
+  void closesConnectionIdleForLongerThanTheLimit() {
     EmbeddedChannel channel = open(fastCgi());
     byte[] ping = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
-    stand.send(channel, new Gateway.FastCgi(), ping);
-    pass(29 * SECOND);
-    stand.send(channel, new Gateway.FastCgi(), ping);
-    pass(29 * SECOND); // since it was last used
+    fixture.send(channel, new Gateway.FastCgi(), ping);
+    advance(29 * SECOND);
+    fixture.send(channel, new Gateway.FastCgi(), ping);
+    advance(29 * SECOND); // the limit counts from the last request
     assertTrue(channel.isOpen());
-    pass(2 * SECOND);
+    advance(2 * SECOND);
     assertFalse(channel.isOpen());
-    assertTrue(stand.lines.get(stand.lines.size() - 1).contains("reason=idle"));
+    assertTrue(fixture.lines.get(fixture.lines.size() - 1).contains("reason=idle"));
   }
 
   /**
-   * Guards against a process that wakes from a standstill and closes on what was sent to it
-   * meanwhile.
+   * Guards against a process that resumes after a stall and closes connections whose sockets hold
+   * requests that were sent meanwhile.
    */
   @Example
-  void whatWaitsInASocketAfterAStandstillIsReadFirst() {
-    for (CloseReason why : new CloseReason[] {CloseReason.IDLE, CloseReason.DRAIN}) {
+  void readsSocketsBeforeClosingIdleConnectionsAfterAStall() {
+    for (CloseReason reason : new CloseReason[] {CloseReason.IDLE, CloseReason.DRAIN}) {
       EmbeddedChannel channel = open(fastCgi());
       byte[] ping = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
-      stand.send(channel, new Gateway.FastCgi(), ping);
-      table.closeExpired(20_000, why);
-      stand.pass(3 * SECOND); // nobody looked: it stood still
-      table.closeExpired(20_000, why);
-      assertTrue(channel.isOpen(), "its socket may hold a request");
-      stand.send(channel, new Gateway.FastCgi(), ping);
-      assertTrue(channel.isOpen(), "and another one behind that");
+      fixture.send(channel, new Gateway.FastCgi(), ping);
+      table.closeExpired(20_000, reason);
+      fixture.pass(3 * SECOND); // a stall: no pass in this time
+      table.closeExpired(20_000, reason);
+      assertTrue(
+          channel.isOpen(), "closed right after the stall, although its socket may hold a request");
+      fixture.send(channel, new Gateway.FastCgi(), ping);
+      assertTrue(
+          channel.isOpen(), "closed after an answer, although its socket may hold another request");
       for (int i = 0; i < 3; i++) {
-        stand.pass(20_000);
-        table.closeExpired(20_000, why);
+        fixture.pass(20_000);
+        table.closeExpired(20_000, reason);
       }
-      assertFalse(channel.isOpen(), "read, answered and quiet since");
+      assertFalse(
+          channel.isOpen(), "open, although all requests were answered and it was idle since");
     }
   }
 
   /**
-   * Guards against a close in the middle of a request's first bytes, and before a new connection's
-   * first request.
+   * Guards against a shutdown that closes a connection in the middle of a request, or a new
+   * connection before its first request has arrived.
    */
   @Example
-  void leavingClosesNeitherWhatHasBegunNorWhatHasJustCome() {
-    EmbeddedChannel begun = open(fastCgi());
+  void keepsIncompleteRequestsAndNewConnectionsDuringShutdown() {
+    EmbeddedChannel incomplete = open(fastCgi());
     byte[] ping = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
-    stand.send(begun, new Gateway.FastCgi(), ping);
-    stand.send(begun, new Gateway.FastCgi(), new byte[] {1, 1, 0});
+    fixture.send(incomplete, new Gateway.FastCgi(), ping);
+    fixture.send(incomplete, new Gateway.FastCgi(), new byte[] {1, 1, 0});
     EmbeddedChannel idle = open(fastCgi());
-    stand.send(idle, new Gateway.FastCgi(), ping);
-    EmbeddedChannel newcomer = open(fastCgi());
-    stand.pass(SECOND / 10);
+    fixture.send(idle, new Gateway.FastCgi(), ping);
+    EmbeddedChannel newConnection = open(fastCgi());
+    fixture.pass(SECOND / 10);
     table.closeExpired(SECOND / 50, CloseReason.DRAIN);
-    assertTrue(begun.isOpen() && newcomer.isOpen());
+    assertTrue(incomplete.isOpen() && newConnection.isOpen());
     assertFalse(idle.isOpen());
     for (int i = 0; i < 2; i++) {
-      stand.pass(SECOND / 10);
+      fixture.pass(SECOND / 10);
       table.closeExpired(SECOND / 50, CloseReason.DRAIN);
     }
-    assertFalse(newcomer.isOpen());
+    assertFalse(newConnection.isOpen());
     table.closeExpired(0, CloseReason.DRAIN);
-    assertTrue(begun.isOpen()); // it is ended as half sent, or by the process
+    assertTrue(incomplete.isOpen()); // ends at its read timeout, or with the process
   }
 
   /**
-   * Guards against clients that say nothing, stop in a request or drip it: each would hold its
-   * socket for ever.
+   * Guards against clients that send nothing, stop in the middle of a request or send it byte by
+   * byte: each would hold its socket forever.
    */
   @Example
-  void closesWhatStaysSilentOrHalfSent() {
+  void closesSilentConnectionsAndIncompleteRequestsAfterTheTimeout() {
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
       channels.add(open(i % 2 == 0 ? fastCgi() : ajp()));
     }
-    byte[][] half = {
+    byte[][] incompleteRequests = {
       Gateway.FastCgi.begin(1), Gateway.Ajp.forward("/call/x", "", Map.of(), 50), {1, 1, 0}, {0x12}
     };
-    for (int i = 0; i < half.length; i++) {
-      stand.send(channels.get(i), new Gateway.FastCgi(), half[i]);
+    for (int i = 0; i < incompleteRequests.length; i++) {
+      fixture.send(channels.get(i), new Gateway.FastCgi(), incompleteRequests[i]);
     }
-    stand.send(channels.get(4), new Gateway.FastCgi(), Gateway.FastCgi.record(99, 0, new byte[4]));
+    fixture.send(
+        channels.get(4), new Gateway.FastCgi(), Gateway.FastCgi.record(99, 0, new byte[4]));
     for (int i = 0; i < 19; i++) {
-      pass(SECOND / 10);
-      stand.send(channels.get(0), new Gateway.FastCgi(), Gateway.FastCgi.record(4, 1, new byte[1]));
+      advance(SECOND / 10);
+      fixture.send(
+          channels.get(0), new Gateway.FastCgi(), Gateway.FastCgi.record(4, 1, new byte[1]));
       channels.forEach(channel -> assertTrue(channel.isOpen()));
     }
-    pass(SECOND / 5);
+    advance(SECOND / 5);
     channels.forEach(channel -> assertFalse(channel.isOpen()));
-    assertEquals(4, stand.lines.stream().filter(line -> line.contains("reason=half-sent")).count());
-    assertEquals(4, stand.lines.stream().filter(line -> line.contains("reason=silent")).count());
+    assertEquals(
+        4, fixture.lines.stream().filter(line -> line.contains("reason=half-sent")).count());
+    assertEquals(4, fixture.lines.stream().filter(line -> line.contains("reason=silent")).count());
   }
 
   /**
-   * Guards against gateways that are turned away, or lose what they asked, while others hold places
-   * for nothing.
+   * Guards against gateways that are rejected at the connection limit, or lose their open requests,
+   * while other clients hold connections without a request.
    */
   @Property(seed = "1764576008", tries = 200)
-  void makesRoomAtTheCostOfWhomItHarmsLeast(
+  void evictsUnidentifiedConnectionsThenIdleOnes(
       @ForAll @Size(min = 1, max = 12) List<@IntRange(max = 4) Integer> kinds) {
-    List<EmbeddedChannel> asked = new ArrayList<>();
-    List<EmbeddedChannel> rest = new ArrayList<>();
-    List<EmbeddedChannel> strangers = new ArrayList<>();
+    List<EmbeddedChannel> withRequest = new ArrayList<>();
+    List<EmbeddedChannel> idle = new ArrayList<>();
+    List<EmbeddedChannel> unidentified = new ArrayList<>();
     for (int kind : kinds) {
       boolean ajp = kind % 2 == 0;
       EmbeddedChannel channel = open(ajp ? ajp() : fastCgi());
       Gateway gateway = ajp ? new Gateway.Ajp() : new Gateway.FastCgi();
       if (kind < 2) {
-        strangers.add(channel);
+        unidentified.add(channel);
       } else if (kind < 4) {
-        stand.send(channel, gateway, gateway.request(1, "/ping", "", Map.of(), new byte[0]));
-        rest.add(channel);
+        fixture.send(channel, gateway, gateway.request(1, "/ping", "", Map.of(), new byte[0]));
+        idle.add(channel);
       } else {
-        stand.send(
+        fixture.send(
             channel,
             gateway,
             gateway.request(
                 1,
                 "/call/" + BrokerFixture.LOOK,
                 "",
-                Gateway.fields(BrokerFixture.id(asked.size() + 1), stand.wallClockMillis()),
+                Gateway.fields(BrokerFixture.id(withRequest.size() + 1), fixture.wallClockMillis()),
                 new byte[0]));
-        asked.add(channel);
+        withRequest.add(channel);
       }
-      pass(SECOND / 100);
+      advance(SECOND / 100);
     }
-    List<EmbeddedChannel> order = new ArrayList<>(strangers);
-    order.addAll(rest);
-    while (!order.isEmpty()) {
+    List<EmbeddedChannel> evictionOrder = new ArrayList<>(unidentified);
+    evictionOrder.addAll(idle);
+    while (!evictionOrder.isEmpty()) {
       table.evict();
-      assertFalse(order.remove(0).isOpen());
-      order.forEach(channel -> assertTrue(channel.isOpen()));
+      assertFalse(evictionOrder.remove(0).isOpen());
+      evictionOrder.forEach(channel -> assertTrue(channel.isOpen()));
     }
     table.evict();
-    asked.forEach(channel -> assertTrue(channel.isOpen()));
+    withRequest.forEach(channel -> assertTrue(channel.isOpen()));
   }
 
   /**
-   * Guards against a crowd that stops half way and costs the place of a request which is written
-   * slowly.
+   * Guards against many clients that stop in the middle of a request and cause the eviction of one
+   * that writes its request slowly.
    */
   @Example
-  void whoIsWrittenSlowlyOutlivesWhoStopped() {
+  void evictsStoppedClientsBeforeASlowWriter() {
     EmbeddedChannel slow = open(fastCgi());
-    byte[] all = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
-    List<EmbeddedChannel> crowd = new ArrayList<>();
-    for (int i = 0; i < all.length - 1; i++) {
-      stand.pass(SECOND / 1000);
-      EmbeddedChannel one = open(fastCgi());
-      stand.send(one, new Gateway.FastCgi(), i % 2 == 0 ? new byte[0] : new byte[] {1, 1, 0});
-      crowd.add(one);
-      stand.send(slow, new Gateway.FastCgi(), new byte[] {all[i]});
-      if (crowd.size() > 3) {
+    byte[] bytes = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
+    List<EmbeddedChannel> stoppedClients = new ArrayList<>();
+    for (int i = 0; i < bytes.length - 1; i++) {
+      fixture.pass(SECOND / 1000);
+      EmbeddedChannel client = open(fastCgi());
+      fixture.send(client, new Gateway.FastCgi(), i % 2 == 0 ? new byte[0] : new byte[] {1, 1, 0});
+      stoppedClients.add(client);
+      fixture.send(slow, new Gateway.FastCgi(), new byte[] {bytes[i]});
+      if (stoppedClients.size() > 3) {
         table.evict();
-        assertFalse(crowd.remove(0).isOpen());
+        assertFalse(stoppedClients.remove(0).isOpen());
       }
     }
     Gateway gateway = new Gateway.FastCgi();
-    stand.send(slow, gateway, new byte[] {all[all.length - 1]});
+    fixture.send(slow, gateway, new byte[] {bytes[bytes.length - 1]});
     assertEquals(200, gateway.answers.remove().status());
   }
 
   /**
-   * Guards against a wheel that forgets, fires early or twice: held against a plain map at random
-   * steps.
+   * Guards against a timing wheel that loses entries, or fires them early or twice, by comparing it
+   * with a map over random steps.
    */
   @Property(seed = "1764576017", tries = 300)
-  void theWheelFiresWhatAPlainMapWould(
+  void timingWheelFiresTheSameEntriesAsAMap(
       @ForAll @Size(max = 200) List<@IntRange(max = 9999) Integer> steps) {
     long tick = 10;
     TimingWheel wheel = new TimingWheel(8, tick, 0);
@@ -236,16 +242,16 @@
     }
     long now = 0;
     for (int step : steps) {
-      TimingWheel.Entry one = entries.get(step % 12);
+      TimingWheel.Entry entry = entries.get(step % 12);
       switch (step / 12 % 4) {
         case 0, 1 -> {
           long due = now + step / 48 - 20;
-          wheel.put(one, due);
-          model.put(one, due);
+          wheel.put(entry, due);
+          model.put(entry, due);
         }
         case 2 -> {
-          wheel.remove(one);
-          model.remove(one);
+          wheel.remove(entry);
+          model.remove(entry);
         }
         default -> {
           now += step / 48 % 120;
@@ -253,7 +259,7 @@
           List<TimingWheel.Entry> fired = new ArrayList<>();
           wheel.advance(now, fired::add);
           Set<TimingWheel.Entry> expected = new HashSet<>(model.keySet());
-          expected.removeIf(entry -> model.get(entry) > at);
+          expected.removeIf(candidate -> model.get(candidate) > at);
           assertEquals(expected, new HashSet<>(fired));
           assertEquals(expected.size(), fired.size());
           model.keySet().removeAll(expected);
@@ -264,13 +270,12 @@
   }
 
   /**
-   * Guards against a client that takes no answers: what was sent to it would fill the memory for
-   * ever.
+   * Guards against a client that reads no answers: the output for it would occupy memory forever.
    */
   @Example
-  void cutsOffWhatDoesNotRead() {
+  void closesConnectionThatDoesNotRead() {
     EmbeddedChannel channel = open(fastCgi());
-    stand.send(
+    fixture.send(
         channel,
         new Gateway.FastCgi(),
         new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]));
@@ -280,10 +285,10 @@
         .outboundBuffer()
         .addMessage(Unpooled.wrappedBuffer(new byte[9]), 9, channel.newPromise());
     assertFalse(channel.isWritable());
-    pass(2 * SECOND);
+    advance(2 * SECOND);
     assertTrue(channel.isOpen());
-    pass(SECOND);
+    advance(SECOND);
     assertFalse(channel.isOpen());
-    assertTrue(stand.lines.get(stand.lines.size() - 1).contains("reason=not-read"));
+    assertTrue(fixture.lines.get(fixture.lines.size() - 1).contains("reason=not-read"));
   }
 }
--- a/src/test/java/mothwing/net/ConnectionTimeoutsTest.java
+++ b/src/test/java/mothwing/net/ConnectionTimeoutsTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a peer is given time for, and why it is disconnected afterwards. */
+/** Timeouts of a peer, and the reasons for which it is disconnected. */
 class ConnectionTimeoutsTest {
   private static final long TIMEOUT = 100;
   private static final long NEVER = Connection.NEVER;
@@ -16,30 +16,33 @@
   }
 
   @Test
-  void aPeerWithoutARequestExpiresUntilItIsIdentified() {
+  void expiresPeerUntilItIsIdentified() {
     timeouts.opened(10);
     assertEquals(110, expiresAt());
     assertEquals(CloseReason.SILENT, timeouts.reason(111, TIMEOUT, NEVER));
-    assertEquals(NEVER, timeouts.expiresAt(TIMEOUT, false, NEVER), "its input is held up here");
+    assertEquals(
+        NEVER,
+        timeouts.expiresAt(TIMEOUT, false, NEVER),
+        "expires although this process holds up its input");
     timeouts.identified();
     assertEquals(NEVER, expiresAt());
   }
 
-  /** Guards against a message sent byte by byte that would never expire. */
+  /** Guards against a message that is sent byte by byte and never expires. */
   @Test
-  void theFirstByteOfAnIncompleteMessageCounts() {
+  void countsTimeoutFromFirstByteOfIncompleteMessage() {
     timeouts.identified();
     timeouts.bytesReceived(20);
     timeouts.bytesReceived(90);
     assertEquals(120, expiresAt());
     assertEquals(CloseReason.HALF_SENT, timeouts.reason(121, TIMEOUT, NEVER));
-    assertEquals(105, timeouts.expiresAt(TIMEOUT, true, 5), "an older request");
+    assertEquals(105, timeouts.expiresAt(TIMEOUT, true, 5), "an older incomplete request");
     timeouts.bufferEmptied();
     assertEquals(NEVER, expiresAt());
   }
 
   @Test
-  void unreadAnswersExpireEvenWhereNoInputIsAwaited() {
+  void expiresUnreadAnswersEvenIfNoInputIsExpected() {
     timeouts.identified();
     timeouts.writeBlocked(30);
     timeouts.writeBlocked(60);
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -35,98 +35,99 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Bytes, answers, aborts, resets, the idle limit, new settings, the notice to leave, and links to
- * the pool that are lost with what was on them, in any order: each request that was read whole gets
- * one final answer, and what must run once runs once, whichever of its tries that is.
+ * Interleaves bytes, answers, aborts, resets, the idle limit, reloads, a shutdown, and losses of
+ * the pool connection with the messages on it, in random order. Each request that was read
+ * completely gets one final answer, and a request that must run once runs once, whichever of its
+ * attempts that is.
  */
 class InterleavingsTest {
   private static final long SECOND = 1_000_000;
-  private static final int WIDE = 4;
-  private static final long SLACK = 150_000;
-  private static final long LONGEST = 6 * SECOND;
-  private static final long STOP = 3_200_000;
-  private static final long GRACE = 2 * SECOND;
-  private static final long WINDOW = 2 * SECOND;
+  private static final int CONNECTIONS = 4;
+  private static final long SLACK_MICROS = 150_000;
+  private static final long MAX_DEADLINE_MICROS = 6 * SECOND;
+  private static final long STOP_MICROS = 3_200_000;
+  private static final long GRACE_MICROS = 2 * SECOND;
+  private static final long WINDOW_MICROS = 2 * SECOND;
   private static final String GUARDED = "deposit";
 
-  /** A pool with a link whose commands and notices may be lost with it. */
-  private final class ModelPool implements WorkerPool {
+  /** A pool whose commands and notices may be lost with its connection. */
+  private final class PoolModel implements WorkerPool {
     private final List<Runnable> commands = new ArrayList<>();
     private final List<Runnable> notices = new ArrayList<>();
     private final Set<String> running = new LinkedHashSet<>();
     private final Set<String> paused = new HashSet<>();
     private final Map<String, Integer> runs = new HashMap<>();
-    private boolean linked = true;
+    private boolean connected = true;
 
-    private void command(Runnable one) {
-      commands.add(one);
+    private void enqueue(Runnable command) {
+      commands.add(command);
     }
 
-    /** The pool reads what is on the link and says what it has to say. */
-    void turn() {
-      List<Runnable> all = new ArrayList<>(commands);
+    /** Executes the commands sent to the pool and delivers its notices. */
+    void processMessages() {
+      List<Runnable> received = new ArrayList<>(commands);
       commands.clear();
-      all.forEach(Runnable::run);
-      while (linked && !notices.isEmpty()) {
+      received.forEach(Runnable::run);
+      while (connected && !notices.isEmpty()) {
         notices.remove(0).run();
       }
     }
 
-    void lose(boolean unread) {
-      if (linked) {
-        if (unread) {
+    void disconnect(boolean dropCommands) {
+      if (connected) {
+        if (dropCommands) {
           commands.clear();
         }
-        turnSilent();
-        linked = false;
-        stand.broker.poolDisconnected();
+        executeCommands();
+        connected = false;
+        fixture.broker.poolDisconnected();
       }
     }
 
-    private void turnSilent() {
-      List<Runnable> all = new ArrayList<>(commands);
+    private void executeCommands() {
+      List<Runnable> received = new ArrayList<>(commands);
       commands.clear();
-      all.forEach(Runnable::run);
+      received.forEach(Runnable::run);
     }
 
-    void back() {
-      if (!linked) {
-        linked = true;
-        turn();
-        stand.broker.resynchronized();
+    void reconnect() {
+      if (!connected) {
+        connected = true;
+        processMessages();
+        fixture.broker.resynchronized();
       }
     }
 
-    void end(int number, boolean good) {
+    void endRun(int index, boolean succeeded) {
       if (!running.isEmpty()) {
-        String id = List.copyOf(running).get(number % running.size());
+        String id = List.copyOf(running).get(index % running.size());
         running.remove(id);
         notices.add(
             () ->
-                stand.broker.runEnded(
+                fixture.broker.runEnded(
                     id,
-                    good ? RunOutcome.SUCCEEDED : RunOutcome.FAILED,
+                    succeeded ? RunOutcome.SUCCEEDED : RunOutcome.FAILED,
                     1000,
-                    good ? BrokerFixture.result(id) : null));
+                    succeeded ? BrokerFixture.result(id) : null));
       }
     }
 
     @Override
     public boolean isReady() {
-      return linked;
+      return connected;
     }
 
     @Override
     public boolean startRun(Exchange exchange) {
       String id = exchange.request().id();
-      if (!linked) {
+      if (!connected) {
         return false;
       }
-      command(
+      enqueue(
           () -> {
             if (!paused.contains(id) && running.add(id)) {
               runs.merge(id, 1, Integer::sum);
-              ranAt.putIfAbsent(id, stand.now());
+              ranAt.putIfAbsent(id, fixture.now());
             }
           });
       return true;
@@ -134,18 +135,18 @@
 
     @Override
     public void stopRun(String id) {
-      command(
+      enqueue(
           () -> {
             if (running.remove(id)) {
               paused.add(id);
-              notices.add(() -> stand.broker.runEnded(id, RunOutcome.STOPPED, 1000, null));
+              notices.add(() -> fixture.broker.runEnded(id, RunOutcome.STOPPED, 1000, null));
             }
           });
     }
 
     @Override
     public void resumeRun(String id) {
-      command(
+      enqueue(
           () -> {
             if (paused.remove(id)) {
               running.add(id);
@@ -155,33 +156,39 @@
 
     @Override
     public void requestGauges(String echo) {
-      command(
+      enqueue(
           () ->
               notices.add(
                   () ->
-                      stand.broker.gaugesReceived(
+                      fixture.broker.gaugesReceived(
                           echo, new double[] {0.5, running.size(), 0.1, 1})));
     }
 
     @Override
     public void startHealthCheck(String echo) {
-      command(() -> notices.add(() -> stand.broker.healthCheckEnded(echo, true)));
+      enqueue(() -> notices.add(() -> fixture.broker.healthCheckEnded(echo, true)));
     }
   }
 
-  /** A request as its gateway knows it, from its first byte. */
-  private static final class Asked {
+  /** A request as its gateway sees it, from its first byte. */
+  private static final class SentRequest {
     final String id;
     final boolean order;
-    final String key; // what it has in common with other tries of the same request, or null
+
+    /** The idempotency key, common to all attempts of the same request, or null. */
+    final String key;
+
     final byte[] bytes;
     int sent;
-    long begunAt; // which it states as its arrival
-    long wholeAt = Long.MAX_VALUE;
-    boolean left;
+
+    /** When its first byte was sent, which it states as its arrival. */
+    long startedAt;
+
+    long completedAt = Long.MAX_VALUE;
+    boolean abandoned;
     int answers;
 
-    Asked(String id, boolean order, String key, byte[] bytes) {
+    SentRequest(String id, boolean order, String key, byte[] bytes) {
       this.id = id;
       this.order = order;
       this.key = key;
@@ -190,59 +197,60 @@
   }
 
   /**
-   * A connection of the gateway; requests are written one behind the other, and may be open
-   * together.
+   * A connection of the gateway. Requests are written one after another, and several may be open at
+   * the same time.
    */
-  private final class Line {
+  private final class ClientConnection {
     Gateway gateway;
     EmbeddedChannel channel;
-    Map<Integer, Asked> asked = new HashMap<>();
-    int numbers;
-    int writing;
+    Map<Integer, SentRequest> requests = new HashMap<>();
+    int lastId;
+    int incompleteId;
 
-    /** The gateway resets it: it waits for nothing any more. */
+    /** Resets the connection; the gateway awaits no answer on it any more. */
     void reset() {
       read();
-      asked.values().forEach(one -> one.left = true);
+      requests.values().forEach(request -> request.abandoned = true);
       channel.close();
       open();
     }
 
     void open() {
-      asked = new HashMap<>();
-      numbers = 0;
-      writing = 0;
+      requests = new HashMap<>();
+      lastId = 0;
+      incompleteId = 0;
       gateway = new Gateway.FastCgi();
-      Connection connection = new FastCgiConnection(stand.broker, stand.lines::add, stand.counters);
+      Connection connection =
+          new FastCgiConnection(fixture.broker, fixture.lines::add, fixture.counters);
       table.add(connection);
-      channel = stand.open(connection);
+      channel = fixture.open(connection);
       channel.closeFuture().addListener(closed -> table.remove(connection));
     }
 
     void write(int step) {
       if (!channel.isOpen()) {
-        if (!leaving) {
+        if (!draining) {
           open();
         }
         return;
       }
-      if (writing == 0) {
+      if (incompleteId == 0) {
         boolean order = step % 2 == 0;
         String key = step % 4 == 0 ? "key" + step / 4 % 3 : null;
-        String id = BrokerFixture.id(++made);
-        writing = ++numbers;
-        Map<String, String> fields = Gateway.fields(id, stand.wallClockMillis());
+        String id = BrokerFixture.id(++createdRequests);
+        incompleteId = ++lastId;
+        Map<String, String> fields = Gateway.fields(id, fixture.wallClockMillis());
         if (key != null) {
           fields.put("Replay-Key", key);
         }
-        asked.put(
-            writing,
-            new Asked(
+        requests.put(
+            incompleteId,
+            new SentRequest(
                 id,
                 order,
                 key,
                 gateway.request(
-                    writing,
+                    incompleteId,
                     "/call/"
                         + (key != null
                             ? GUARDED
@@ -250,75 +258,83 @@
                     "",
                     fields,
                     new byte[key != null ? 1 : step % 100])));
-        asked.get(writing).begunAt = stand.now();
-        all.add(asked.get(writing));
+        requests.get(incompleteId).startedAt = fixture.now();
+        allRequests.add(requests.get(incompleteId));
       }
-      Asked one = asked.get(writing);
-      int upTo =
-          step % 3 == 0 ? Math.min(one.bytes.length, one.sent + 1 + step % 200) : one.bytes.length;
-      byte[] part = Arrays.copyOfRange(one.bytes, one.sent, upTo);
-      one.sent = upTo;
-      if (one.sent == one.bytes.length) {
-        one.wholeAt = stand.now();
-        writing = 0;
+      SentRequest request = requests.get(incompleteId);
+      int end =
+          step % 3 == 0
+              ? Math.min(request.bytes.length, request.sent + 1 + step % 200)
+              : request.bytes.length;
+      byte[] nextBytes = Arrays.copyOfRange(request.bytes, request.sent, end);
+      request.sent = end;
+      if (request.sent == request.bytes.length) {
+        request.completedAt = fixture.now();
+        incompleteId = 0;
       }
-      stand.send(channel, gateway, part);
+      fixture.send(channel, gateway, nextBytes);
     }
 
     void abort(int step) {
-      if (channel.isOpen() && numbers > 0 && writing == 0) {
-        int number = 1 + step % numbers;
-        asked.get(number).left = true;
-        stand.send(channel, gateway, Gateway.FastCgi.abort(number));
+      if (channel.isOpen() && lastId > 0 && incompleteId == 0) {
+        int id = 1 + step % lastId;
+        requests.get(id).abandoned = true;
+        fixture.send(channel, gateway, Gateway.FastCgi.abort(id));
       }
     }
 
     void read() {
-      stand.read(channel, gateway);
+      fixture.read(channel, gateway);
       Answer answer;
       while ((answer = gateway.answers.poll()) != null) {
-        Asked one = asked.get(answer.id());
+        SentRequest request = requests.get(answer.id());
         String content = new String(answer.content(), StandardCharsets.UTF_8);
-        assertNotNull(one, "an answer to nothing");
-        one.answers++;
-        assertEquals(1, one.answers, one.id + " is answered twice");
-        assertTrue(one.wholeAt <= stand.now(), one.id + " is answered before it was sent whole");
+        assertNotNull(request, "answer to an unknown request");
+        request.answers++;
+        assertEquals(1, request.answers, request.id + " is answered twice");
+        assertTrue(
+            request.completedAt <= fixture.now(),
+            request.id + " is answered before it was sent completely");
         assertTrue(
-            answer.status() != 503 || !one.order || !pool.runs.containsKey(one.id),
-            one.id + " ran and is refused");
+            answer.status() != 503 || !request.order || !pool.runs.containsKey(request.id),
+            request.id + " ran and is rejected");
         if (answer.status() == 200) {
           assertTrue(
-              all.stream()
-                  .filter(by -> by == one || (by.key != null && by.key.equals(one.key)))
+              allRequests.stream()
+                  .filter(
+                      attempt ->
+                          attempt == request
+                              || (attempt.key != null && attempt.key.equals(request.key)))
                   .anyMatch(
-                      by ->
-                          pool.runs.containsKey(by.id)
-                              && new String(BrokerFixture.result(by.id), StandardCharsets.UTF_8)
+                      attempt ->
+                          pool.runs.containsKey(attempt.id)
+                              && new String(
+                                      BrokerFixture.result(attempt.id), StandardCharsets.UTF_8)
                                   .equals(content)),
-              one.id + " is given what no run made for it");
+              request.id + " is answered with a result that none of its runs produced");
         }
       }
     }
   }
 
-  private BrokerFixture stand;
-  private ModelPool pool;
+  private BrokerFixture fixture;
+  private PoolModel pool;
   private ConnectionTable table;
-  private List<Line> lines;
-  private List<Asked> all;
+  private List<ClientConnection> clients;
+  private List<SentRequest> allRequests;
   private Map<String, Long> ranAt;
-  private int made;
-  private boolean leaving;
-  private long noticeAt;
+  private int createdRequests;
+  private boolean draining;
+  private long drainRequestedAt;
 
   /**
-   * Decisions that start all at once and think of nothing else: what holds then is held by the core
-   * alone.
+   * Starts every request at once and decides nothing else, so that the invariants are upheld by the
+   * broker alone.
    */
-  private static final class Eager extends NoDecisionController {
+  private static final class StartAllController extends NoDecisionController {
     private final ControllerHost host;
 
-    Eager(ControllerHost host) {
+    StartAllController(ControllerHost host) {
       this.host = host;
     }
 
@@ -328,148 +344,156 @@
     }
   }
 
-  private void anew(boolean eager) {
-    pool = new ModelPool();
+  private void setUp(boolean startAll) {
+    pool = new PoolModel();
     ranAt = new HashMap<>();
-    stand =
+    fixture =
         new BrokerFixture(
-                eager ? (settings, host) -> new Eager(host) : OverloadController::new, of -> pool)
+                startAll
+                    ? (settings, host) -> new StartAllController(host)
+                    : OverloadController::new,
+                ignored -> pool)
             .bound();
-    stand.broker.applySettings(guarded(BrokerFixture.settings(4.5, 2)));
-    table = new ConnectionTable(60 * SECOND, stand);
-    all = new ArrayList<>();
-    made = 0;
-    leaving = false;
-    lines = new ArrayList<>();
-    for (int i = 0; i < WIDE; i++) {
-      lines.add(new Line());
-      lines.get(i).open();
+    fixture.broker.applySettings(guarded(BrokerFixture.settings(4.5, 2)));
+    table = new ConnectionTable(60 * SECOND, fixture);
+    allRequests = new ArrayList<>();
+    createdRequests = 0;
+    draining = false;
+    clients = new ArrayList<>();
+    for (int i = 0; i < CONNECTIONS; i++) {
+      clients.add(new ClientConnection());
+      clients.get(i).open();
     }
   }
 
-  private static Settings guarded(Settings one) {
-    List<RequestClass> kinds = new ArrayList<>(one.classes());
-    kinds.add(
+  private static Settings guarded(Settings settings) {
+    List<RequestClass> classes = new ArrayList<>(settings.classes());
+    classes.add(
         new RequestClass(
-            GUARDED, SECOND, 3 * SECOND, 4, 0, Idempotency.WITH_KEY, WINDOW, false, 0));
-    return SettingsVariants.parts(one, kinds, one.tenants());
+            GUARDED, SECOND, 3 * SECOND, 4, 0, Idempotency.WITH_KEY, WINDOW_MICROS, false, 0));
+    return SettingsVariants.parts(settings, classes, settings.tenants());
   }
 
   private static Settings settings(int step) {
-    Settings one =
-        guarded(BrokerFixture.settings((double) (step % 2 == 0 ? 3 : LONGEST / SECOND), 2));
+    Settings settings =
+        guarded(
+            BrokerFixture.settings((double) (step % 2 == 0 ? 3 : MAX_DEADLINE_MICROS / SECOND), 2));
     return step % 5 > 0
-        ? one
-        : SettingsVariants.parts(one, one.classes().subList(1, 3), one.tenants());
+        ? settings
+        : SettingsVariants.parts(settings, settings.classes().subList(1, 3), settings.tenants());
   }
 
-  private void pass(long span) {
-    for (long left = span; left > 0; left -= 20_000) {
-      stand.pass(Math.min(left, 20_000));
+  private void advance(long span) {
+    for (long remaining = span; remaining > 0; remaining -= 20_000) {
+      fixture.pass(Math.min(remaining, 20_000));
       table.closeExpired(
-          leaving ? 20_000 : 30 * SECOND, leaving ? CloseReason.DRAIN : CloseReason.IDLE);
-      pool.turn();
+          draining ? 20_000 : 30 * SECOND, draining ? CloseReason.DRAIN : CloseReason.IDLE);
+      pool.processMessages();
       check();
     }
   }
 
   private void check() {
-    lines.forEach(Line::read);
-    for (Asked one : all) {
+    clients.forEach(ClientConnection::read);
+    for (SentRequest request : allRequests) {
+      assertTrue(
+          request.answers > 0
+              || request.abandoned
+              || request.completedAt > fixture.now() - MAX_DEADLINE_MICROS - SLACK_MICROS
+              || request.completedAt == Long.MAX_VALUE,
+          request.id + " is overdue");
       assertTrue(
-          one.answers > 0
-              || one.left
-              || one.wholeAt > stand.now() - LONGEST - SLACK
-              || one.wholeAt == Long.MAX_VALUE,
-          one.id + " is overdue");
-      assertTrue(!one.order || pool.runs.getOrDefault(one.id, 0) <= 1, one.id + " ran twice");
+          !request.order || pool.runs.getOrDefault(request.id, 0) <= 1, request.id + " ran twice");
       assertTrue(
-          one.key == null
-              || !pool.runs.containsKey(one.id)
-              || all.stream()
+          request.key == null
+              || !pool.runs.containsKey(request.id)
+              || allRequests.stream()
                   .noneMatch(
-                      by ->
-                          by != one
-                              && one.key.equals(by.key)
-                              && pool.runs.containsKey(by.id)
-                              && Math.abs(by.begunAt - one.begunAt) < WINDOW),
-          one.id + " ran, and so did another try of it");
+                      attempt ->
+                          attempt != request
+                              && request.key.equals(attempt.key)
+                              && pool.runs.containsKey(attempt.id)
+                              && Math.abs(attempt.startedAt - request.startedAt) < WINDOW_MICROS),
+          request.id + " ran, and so did another attempt of it");
       assertTrue(
-          !leaving
-              || ranAt.getOrDefault(one.id, 0L) < one.wholeAt
-              || one.wholeAt <= noticeAt + GRACE,
-          one.id + " came after the grace and ran");
+          !draining
+              || ranAt.getOrDefault(request.id, 0L) < request.completedAt
+              || request.completedAt <= drainRequestedAt + GRACE_MICROS,
+          request.id + " arrived after the grace period and ran");
     }
-    assertTrue(table.descriptors() <= WIDE);
+    assertTrue(table.descriptorCount() <= CONNECTIONS);
     assertEquals(
-        all.stream()
-            .filter(one -> one.wholeAt < Long.MAX_VALUE && one.answers == 0 && !one.left)
+        allRequests.stream()
+            .filter(
+                request ->
+                    request.completedAt < Long.MAX_VALUE
+                        && request.answers == 0
+                        && !request.abandoned)
             .count(),
-        stand.broker.pendingCount(),
-        "what is owed, here and there");
+        fixture.broker.pendingCount(),
+        "the broker and the gateway disagree on the pending requests");
   }
 
   @Property(seed = "1764576041", tries = 400)
-  void oneAnswerARequestAndAtMostOneRunWhateverCrossesWhat(
+  void answersEachRequestOnceAndRunsItAtMostOnceInAnyInterleaving(
       @ForAll @Size(min = 20, max = 120) List<@IntRange(max = 99_999) Integer> steps,
-      @ForAll @IntRange(max = 120) int leaves,
-      @ForAll boolean eager) {
-    anew(eager);
-    for (int i = 0; i < steps.size() && !leaving; i++) {
+      @ForAll @IntRange(max = 120) int drainStep,
+      @ForAll boolean startAll) {
+    setUp(startAll);
+    for (int i = 0; i < steps.size() && !draining; i++) {
       int step = steps.get(i);
-      Line line = lines.get(step / 20 % WIDE);
+      ClientConnection client = clients.get(step / 20 % CONNECTIONS);
       switch (step % 20) {
-        case 0, 1, 2, 3, 4, 5, 6, 7 -> line.write(step / 80);
-        case 8, 9, 10, 11 -> pool.end(step / 20, step % 7 > 0);
-        case 12 -> line.abort(step / 80);
-        case 13 -> line.reset();
+        case 0, 1, 2, 3, 4, 5, 6, 7 -> client.write(step / 80);
+        case 8, 9, 10, 11 -> pool.endRun(step / 20, step % 7 > 0);
+        case 12 -> client.abort(step / 80);
+        case 13 -> client.reset();
         case 14 -> table.closeExpired(1, CloseReason.IDLE);
-        case 15 -> stand.broker.applySettings(settings(step / 20));
-        case 16 -> pool.lose(step % 40 == 16);
-        case 17 -> pool.back();
-        case 18 -> pass(step * 10L);
+        case 15 -> fixture.broker.applySettings(settings(step / 20));
+        case 16 -> pool.disconnect(step % 40 == 16);
+        case 17 -> pool.reconnect();
+        case 18 -> advance(step * 10L);
         default -> table.evict();
       }
       check();
-      if (i == leaves) {
-        leaving = true;
-        noticeAt = stand.now();
-        stand.broker.drain(noticeAt, noticeAt + STOP, false);
+      if (i == drainStep) {
+        draining = true;
+        drainRequestedAt = fixture.now();
+        fixture.broker.drain(drainRequestedAt, drainRequestedAt + STOP_MICROS, false);
       }
-      pass(step % 7_000);
+      advance(step % 7_000);
     }
-    pool.back();
-    if (leaving) {
-      for (int i = 0; stand.now() < noticeAt + STOP - 150_000; i++) {
-        if (i % 2 == 0
-            || stand.now()
-                > noticeAt + GRACE + 100_000) { // half of them end what they write too late
-          lines.get(i % WIDE).write(i);
+    pool.reconnect();
+    if (draining) {
+      for (int i = 0; fixture.now() < drainRequestedAt + STOP_MICROS - 150_000; i++) {
+        // Half of the connections complete their requests too late.
+        if (i % 2 == 0 || fixture.now() > drainRequestedAt + GRACE_MICROS + 100_000) {
+          clients.get(i % CONNECTIONS).write(i);
         }
-        if (leaves % 2 == 0) { // else runs go on until the end
-          pool.end(i, true);
+        if (drainStep % 2 == 0) { // otherwise runs continue until the end
+          pool.endRun(i, true);
         }
-        pass(50_000);
+        advance(50_000);
       }
-      stand.broker.failPending();
+      fixture.broker.failPending();
       check();
     } else {
-      pass(LONGEST + 2 * SLACK);
+      advance(MAX_DEADLINE_MICROS + 2 * SLACK_MICROS);
     }
-    stand.pass(1);
+    fixture.pass(1);
     check();
-    all.forEach(
-        one ->
+    allRequests.forEach(
+        request ->
             assertTrue(
-                one.answers > 0 || one.left || one.wholeAt == Long.MAX_VALUE,
-                one.id + " has no answer"));
-    assertEquals(0, stand.broker.pendingCount());
-    assertEquals(0, stand.counters.get("controller-faults"));
-    assertEquals(0, stand.counters.get("faults"));
+                request.answers > 0 || request.abandoned || request.completedAt == Long.MAX_VALUE,
+                request.id + " has no answer"));
+    assertEquals(0, fixture.broker.pendingCount());
+    assertEquals(0, fixture.counters.get("controller-faults"));
+    assertEquals(0, fixture.counters.get("faults"));
     while (!pool.running.isEmpty()) {
-      pool.end(0, true);
+      pool.endRun(0, true);
     }
-    pass(20 * SECOND);
-    assertTrue(stand.broker.counts().startsWith("open=0 "), stand.broker.counts());
+    advance(20 * SECOND);
+    assertTrue(fixture.broker.counts().startsWith("open=0 "), fixture.broker.counts());
   }
 }
--- a/src/test/java/mothwing/net/ReadBudgetTest.java
+++ b/src/test/java/mothwing/net/ReadBudgetTest.java
@@ -15,17 +15,20 @@
 import mothwing.broker.Scheduler;
 import org.junit.jupiter.api.Test;
 
-/** What one turn of the loop takes of what clients sent, where taking costs time. */
+/**
+ * The client input that one turn of the event loop decodes when decoding takes time, and the share
+ * of requests that is shed.
+ */
 class ReadBudgetTest {
-  private static final long COST = 500; // microseconds a piece
-  private static final int IN_A_TURN = (int) (ReadBudget.TURN_MICROS / COST);
+  private static final long DECODE_MICROS = 500;
+  private static final int MESSAGES_PER_TURN = (int) (ReadBudget.TURN_MICROS / DECODE_MICROS);
 
   private final Clock clock = new Clock();
-  private final ReadBudget turns = new ReadBudget(clock);
-  private final List<String> taken = new ArrayList<>();
+  private final ReadBudget budget = new ReadBudget(clock);
+  private final List<String> decoded = new ArrayList<>();
   private final Counters counters = new Counters();
 
-  /** A clock that moves as work is done. */
+  /** A clock that advances as work is done. */
   private static final class Clock implements Scheduler {
     private final ArrayDeque<Runnable> due = new ArrayDeque<>();
     private long now;
@@ -45,7 +48,7 @@
       due.add(work);
     }
 
-    boolean turn() {
+    boolean runNext() {
       Runnable work = due.poll();
       if (work != null) {
         now += 500;
@@ -55,11 +58,11 @@
     }
   }
 
-  /** Takes a byte a piece. */
-  private class Letters extends Connection {
-    int number;
+  /** Decodes each byte as one message. */
+  private class ByteConnection extends Connection {
+    int index;
 
-    Letters() {
+    ByteConnection() {
       super("letters", 100, line -> {}, counters);
     }
 
@@ -68,146 +71,146 @@
       if (!in.isReadable()) {
         return false;
       }
-      taken.add(String.valueOf((char) in.readByte()));
-      clock.now += COST;
+      decoded.add(String.valueOf((char) in.readByte()));
+      clock.now += DECODE_MICROS;
       return true;
     }
 
     @Override
     protected void onClosed() {
-      taken.add("ended");
+      decoded.add("ended");
     }
   }
 
-  private EmbeddedChannel sent(String letters) {
-    Letters connection = new Letters();
-    connection.limitReads(turns);
+  private EmbeddedChannel openWith(String input) {
+    ByteConnection connection = new ByteConnection();
+    connection.limitReads(budget);
     EmbeddedChannel channel = new EmbeddedChannel(connection);
-    channel.writeInbound(Unpooled.copiedBuffer(letters, StandardCharsets.US_ASCII));
+    channel.writeInbound(Unpooled.copiedBuffer(input, StandardCharsets.US_ASCII));
     return channel;
   }
 
   /**
-   * Guards against a turn that takes all there is while runs end unseen, and against what is then
-   * forgotten.
+   * Guards against a turn that decodes all input while ends of runs go unnoticed, and against input
+   * that is left undecoded afterwards.
    */
   @Test
-  void allIsTakenATurnAtATimeInTheOrderInWhichItCame() {
-    var first = sent("a".repeat(20));
-    var second = sent("b".repeat(20));
-    assertEquals(List.of("a"), taken.stream().distinct().toList());
-    assertEquals(IN_A_TURN, taken.size());
+  void decodesOneBudgetPerTurnInArrivalOrder() {
+    var first = openWith("a".repeat(20));
+    var second = openWith("b".repeat(20));
+    assertEquals(List.of("a"), decoded.stream().distinct().toList());
+    assertEquals(MESSAGES_PER_TURN, decoded.size());
     assertFalse(
         first.config().isAutoRead() || second.config().isAutoRead(),
-        "nothing further is read meanwhile");
-    int before = taken.size();
-    while (clock.turn()) {
-      assertTrue(taken.size() - before <= IN_A_TURN, "no more than a turn's share at once");
-      before = taken.size();
+        "reads on although the budget is used up");
+    int before = decoded.size();
+    while (clock.runNext()) {
+      assertTrue(decoded.size() - before <= MESSAGES_PER_TURN, "a turn exceeds its budget");
+      before = decoded.size();
     }
     assertEquals(
-        "a".repeat(20) + "b".repeat(20), String.join("", taken.stream().sorted().toList()));
+        "a".repeat(20) + "b".repeat(20), String.join("", decoded.stream().sorted().toList()));
     assertTrue(first.config().isAutoRead() && second.config().isAutoRead());
   }
 
   /**
-   * Guards against who gives way for a new connection being one that asked, and waits for this
-   * process to read it.
+   * Guards against the eviction of a connection whose request has arrived and waits for this
+   * process to decode it.
    */
   @Test
-  void whoWaitsForItsTurnDoesNotGiveWay() {
+  void doesNotEvictConnectionThatAwaitsTheBudget() {
     ConnectionTable table = new ConnectionTable(1_000_000, clock);
-    Letters busy = new Letters();
-    Letters waits = new Letters();
+    ByteConnection busy = new ByteConnection();
+    ByteConnection waiting = new ByteConnection();
     List<EmbeddedChannel> channels = new ArrayList<>();
-    for (Letters one : List.of(busy, waits)) {
-      table.add(one);
-      one.limitReads(turns);
-      EmbeddedChannel channel = new EmbeddedChannel(one);
+    for (ByteConnection connection : List.of(busy, waiting)) {
+      table.add(connection);
+      connection.limitReads(budget);
+      EmbeddedChannel channel = new EmbeddedChannel(connection);
       channel.writeInbound(
-          Unpooled.copiedBuffer("a".repeat(2 * IN_A_TURN), StandardCharsets.US_ASCII));
+          Unpooled.copiedBuffer("a".repeat(2 * MESSAGES_PER_TURN), StandardCharsets.US_ASCII));
       channels.add(channel);
     }
     table.evict();
     channels.forEach(
-        one -> assertTrue(one.isOpen(), "its bytes lie here, unread by our own doing"));
-    while (clock.turn()) {
-      // all turns come
+        channel -> assertTrue(channel.isOpen(), "evicted although its input awaits the budget"));
+    while (clock.runNext()) {
+      // runs all turns
     }
-    assertEquals(4 * IN_A_TURN, taken.size());
+    assertEquals(4 * MESSAGES_PER_TURN, decoded.size());
   }
 
   /**
-   * Guards against a close over bytes that no look has read yet, where many have asked and this
-   * process is behind.
+   * Guards against a close with unread bytes when many clients have sent requests and this process
+   * is behind.
    */
   @Test
-  void ofManyWhoAskedUnreadNobodyGivesWay() {
+  void evictsNoneOfManyConnectionsWithUnreadRequests() {
     ConnectionTable table = new ConnectionTable(1_000_000, clock);
-    sent("a".repeat(2 * IN_A_TURN)); // this process is behind
+    openWith("a".repeat(2 * MESSAGES_PER_TURN)); // this process is behind
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      Letters one =
-          new Letters() {
+      ByteConnection connection =
+          new ByteConnection() {
             @Override
             void readNow() {
               if (!isAwaitingBudget()) {
                 channels
-                    .get(number)
+                    .get(index)
                     .writeInbound(Unpooled.copiedBuffer("b", StandardCharsets.US_ASCII));
               }
             }
           };
-      one.number = i;
-      one.limitReads(turns);
-      table.add(one);
-      channels.add(new EmbeddedChannel(one));
+      connection.index = i;
+      connection.limitReads(budget);
+      table.add(connection);
+      channels.add(new EmbeddedChannel(connection));
     }
     table.evict();
-    channels.forEach(one -> assertTrue(one.isOpen(), "what it asked lay unread"));
+    channels.forEach(channel -> assertTrue(channel.isOpen(), "evicted with an unread request"));
   }
 
   @Test
-  void aConnectionThatEndsAsItWaitsIsPassedOver() {
-    sent("a".repeat(2 * IN_A_TURN));
-    var second = sent("b");
+  void skipsConnectionThatEndsWhileItWaits() {
+    openWith("a".repeat(2 * MESSAGES_PER_TURN));
+    var second = openWith("b");
     second.close();
-    while (clock.turn()) {
-      // until nothing is left to do
+    while (clock.runNext()) {
+      // runs until no work is left
     }
-    assertEquals(1, taken.stream().filter("ended"::equals).count());
-    assertFalse(taken.contains("b"));
+    assertEquals(1, decoded.stream().filter("ended"::equals).count());
+    assertFalse(decoded.contains("b"));
   }
 
-  /** Guards against a share that is refused for a burst, and one that outlasts the trouble. */
+  /** Guards against shedding in a burst, and against shedding that outlasts the overload. */
   @Test
-  void aShareIsRefusedWhereSomeAlwaysWaitAndNoneOnceNoneDoes() {
-    sent("a".repeat(20));
-    while (clock.turn()) {
-      // until nothing is left to do
+  void shedsOnlyWhileSomeConnectionAlwaysWaits() {
+    openWith("a".repeat(20));
+    while (clock.runNext()) {
+      // runs until no work is left
     }
-    assertEquals(0, shed(100), "a burst");
+    assertEquals(0, countShed(100), "shed in a burst");
     for (int i = 0; i < 300; i++) {
-      sent("a".repeat(3 * IN_A_TURN));
-      clock.turn();
+      openWith("a".repeat(3 * MESSAGES_PER_TURN));
+      clock.runNext();
     }
-    assertTrue(shed(100) > 80, "each turn leaves something behind");
-    while (clock.turn()) {
-      // until nothing is left to do
+    assertTrue(countShed(100) > 80, "shed too few although each turn leaves input behind");
+    while (clock.runNext()) {
+      // runs until no work is left
     }
     for (int i = 0; i < 50; i++) {
       clock.now += 100_000;
-      sent("a");
-      clock.turn();
+      openWith("a");
+      clock.runNext();
     }
-    assertEquals(0, shed(100), "nothing has waited for 5 s");
+    assertEquals(0, countShed(100), "shed although nothing has waited for 5 s");
   }
 
-  private int shed(int of) {
-    int many = 0;
-    for (int i = 0; i < of; i++) {
-      many += turns.isOverloaded() ? 1 : 0;
+  private int countShed(int requests) {
+    int shed = 0;
+    for (int i = 0; i < requests; i++) {
+      shed += budget.isOverloaded() ? 1 : 0;
     }
-    return many;
+    return shed;
   }
 }
--- a/src/test/java/mothwing/net/RequestFieldsTest.java
+++ b/src/test/java/mothwing/net/RequestFieldsTest.java
@@ -8,7 +8,7 @@
 import mothwing.broker.InboundRequest;
 import org.junit.jupiter.api.Test;
 
-/** The names of request fields on the wire, and the codes for invalid ones. */
+/** The names of request fields on the wire, and the error codes for invalid ones. */
 class RequestFieldsTest {
   private static final byte[] BODY = {1, 2};
 
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void everyFieldIsReadByItsNameOnTheWire() throws Exception {
+  void readsEveryFieldByItsNameOnTheWire() throws Exception {
     InboundRequest request = fields().toRequest("/call/order", BODY);
     InboundRequest expected =
         new InboundRequest("00000000000000aF", 1700, "p", "order", 150, 0.25, "l", "r", 40, BODY);
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void anInvalidFieldIsNamedInTheCode() {
+  void namesInvalidFieldInErrorCode() {
     Map.of(
             "trace-id", "xyz",
             "accepted-at-ms", "-1",
--- a/src/test/java/mothwing/net/RetryingSocketChannelTest.java
+++ b/src/test/java/mothwing/net/RetryingSocketChannelTest.java
@@ -8,25 +8,26 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Counts as the runtime gives them for reads that a signal interrupts. */
+/** Read counts as the Java runtime returns them for reads that a signal interrupts. */
 class RetryingSocketChannelTest {
   private static final int INTERRUPTED = -3;
 
   private static int read(Integer... counts) throws Exception {
-    ArrayDeque<Integer> all = new ArrayDeque<>(List.of(counts));
-    return RetryingSocketChannel.untilRead(() -> all.isEmpty() ? INTERRUPTED : all.remove());
+    ArrayDeque<Integer> remaining = new ArrayDeque<>(List.of(counts));
+    return RetryingSocketChannel.readUninterrupted(
+        () -> remaining.isEmpty() ? INTERRUPTED : remaining.remove());
   }
 
   @Test
-  void anInterruptedReadIsTriedAgainAndIsNoEndOfTheStream() throws Exception {
+  void retriesInterruptedReadAndDoesNotReportEndOfStream() throws Exception {
     assertEquals(17, read(INTERRUPTED, INTERRUPTED, 17));
     assertEquals(-1, read(INTERRUPTED, -1));
-    assertEquals(0, read(0, 5), "nothing to read");
-    assertEquals(0, read(), "interrupted over and over: the selector says so again");
+    assertEquals(0, read(0, 5), "no bytes are available");
+    assertEquals(0, read(), "interrupted at every attempt: the selector reports the socket again");
     assertThrows(
         IOException.class,
         () ->
-            RetryingSocketChannel.untilRead(
+            RetryingSocketChannel.readUninterrupted(
                 () -> {
                   throw new IOException("reset");
                 }));
--- a/src/test/java/mothwing/net/SharedPortQuotaTest.java
+++ b/src/test/java/mothwing/net/SharedPortQuotaTest.java
@@ -14,108 +14,114 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two processes at one address, and what the kernel's list says of them. */
+/** The quotas of two processes at one address, and the kernel's socket table that they poll. */
 class SharedPortQuotaTest {
-  private static final int MOST = 800;
-  private static final long STEP = 10_000; // microseconds
-  private static final int COME =
-      2; // in a step: fewer than an eighth of the bound within the time of a fresh look
+  private static final int MAX_CONNECTIONS = 800;
+  private static final long STEP_MICROS = 10_000;
+
+  /** Fewer than an eighth of the limit may arrive while a poll is valid. */
+  private static final int MAX_CHANGES_PER_STEP = 2;
 
   @TempDir private Path folder;
-  private final List<Side> sides = new ArrayList<>();
+  private final List<ProcessModel> processes = new ArrayList<>();
   private Random random;
 
-  /** One process with a crowd before it. */
-  private final class Side {
+  /** One process, to which many clients connect. */
+  private final class ProcessModel {
     final SharedPortQuota quota;
-    int quiet;
+    int idle;
     int busy;
     boolean listens = true;
-    long answerAt = Long.MAX_VALUE;
-    long askedAt;
-    boolean sawOther;
-    int sawOpen;
+    long pollAnsweredAt = Long.MAX_VALUE;
+    long pollStartedAt;
+    boolean otherListened;
+    int otherConnections;
 
-    Side(long now) {
-      quota = new SharedPortQuota(MOST, now);
+    ProcessModel(long now) {
+      quota = new SharedPortQuota(MAX_CONNECTIONS, now);
     }
 
     int open() {
-      return quiet + busy;
+      return idle + busy;
     }
 
     void step(long now) {
-      Side other = sides.size() < 2 ? null : sides.get(sides.get(0) == this ? 1 : 0);
-      if (answerAt == Long.MAX_VALUE && quota.isPollDue(now, open())) {
-        askedAt = now;
-        answerAt =
-            now + random.nextInt(random.nextInt(4) == 0 ? 400 : 20) * STEP; // some come very late
-        sawOther = other != null && other.listens; // the truth of the moment at which it began
-        sawOpen = other == null ? 0 : other.open();
+      ProcessModel otherProcess =
+          processes.size() < 2 ? null : processes.get(processes.get(0) == this ? 1 : 0);
+      if (pollAnsweredAt == Long.MAX_VALUE && quota.isPollDue(now, open())) {
+        pollStartedAt = now;
+        // Some results arrive very late.
+        pollAnsweredAt = now + random.nextInt(random.nextInt(4) == 0 ? 400 : 20) * STEP_MICROS;
+        // The state when the poll began.
+        otherListened = otherProcess != null && otherProcess.listens;
+        otherConnections = otherProcess == null ? 0 : otherProcess.open();
       }
-      if (now >= answerAt) {
-        quota.update(askedAt, sawOther, sawOpen);
-        answerAt = Long.MAX_VALUE;
+      if (now >= pollAnsweredAt) {
+        quota.update(pollStartedAt, otherListened, otherConnections);
+        pollAnsweredAt = Long.MAX_VALUE;
       }
-      quiet -= Math.min(quiet, quota.excess(now, open()));
-      for (int i = random.nextInt(COME + 1); i > 0 && listens && open() < quota.limit(now); i--) {
-        quiet++;
+      idle -= Math.min(idle, quota.excess(now, open()));
+      for (int i = random.nextInt(MAX_CHANGES_PER_STEP + 1);
+          i > 0 && listens && open() < quota.limit(now);
+          i--) {
+        idle++;
       }
-      int turn = Math.min(quiet, random.nextInt(COME + 1));
-      quiet -= turn;
-      busy += turn;
-      int done = Math.min(busy, random.nextInt(COME + 1));
-      busy -= done;
-      quiet += done;
+      int started = Math.min(idle, random.nextInt(MAX_CHANGES_PER_STEP + 1));
+      idle -= started;
+      busy += started;
+      int finished = Math.min(busy, random.nextInt(MAX_CHANGES_PER_STEP + 1));
+      busy -= finished;
+      idle += finished;
     }
   }
 
   /**
-   * Guards against both holding more than one may, whatever is answered late; and one alone that
-   * holds less.
+   * Guards against two processes that together hold more connections than one may, however late
+   * polls are answered, and against a process that does not use its whole limit when it is alone.
    */
   @Test
-  void togetherTheyStayUnderTheBoundOfOne() {
-    int nearBound = 0;
+  void keepsBothProcessesWithinTheLimitOfOne() {
+    int nearLimit = 0;
     int moreThanHalf = 0;
     for (int seed = 0; seed < 300; seed++) {
       random = new Random(seed);
-      sides.clear();
-      sides.add(new Side(0));
-      long comes = 4_000_000L + random.nextInt(4_000_000);
-      long leaves = comes + random.nextInt(4_000_000);
-      long full = 0;
-      for (long now = 0; now < 40_000_000; now += STEP) {
-        if (now >= comes && sides.size() == 1) {
-          sides.add(new Side(now));
+      processes.clear();
+      processes.add(new ProcessModel(0));
+      long secondStartsAt = 4_000_000L + random.nextInt(4_000_000);
+      long firstStopsAt = secondStartsAt + random.nextInt(4_000_000);
+      long stepsNearLimit = 0;
+      for (long now = 0; now < 40_000_000; now += STEP_MICROS) {
+        if (now >= secondStartsAt && processes.size() == 1) {
+          processes.add(new ProcessModel(now));
         }
-        if (now >= leaves) {
-          Side old = sides.get(0);
-          old.listens = false;
-          old.quiet = Math.max(0, old.quiet - (now / STEP % 8 == 0 ? seed % 8 + 1 : 0));
+        if (now >= firstStopsAt) {
+          ProcessModel stopping = processes.get(0);
+          stopping.listens = false;
+          stopping.idle =
+              Math.max(0, stopping.idle - (now / STEP_MICROS % 8 == 0 ? seed % 8 + 1 : 0));
         }
-        for (Side one : List.copyOf(sides)) {
-          one.step(now);
+        for (ProcessModel process : List.copyOf(processes)) {
+          process.step(now);
         }
-        int all = sides.stream().mapToInt(Side::open).sum();
-        assertTrue(all <= MOST, "seed " + seed + " at " + now + ": " + all);
-        full += all > MOST * 7 / 8 ? 1 : 0;
+        int total = processes.stream().mapToInt(ProcessModel::open).sum();
+        assertTrue(total <= MAX_CONNECTIONS, "seed " + seed + " at " + now + ": " + total);
+        stepsNearLimit += total > MAX_CONNECTIONS * 7 / 8 ? 1 : 0;
       }
-      nearBound += full > 100 ? 1 : 0;
-      moreThanHalf += sides.get(1).open() > MOST / 2 ? 1 : 0;
+      nearLimit += stepsNearLimit > 100 ? 1 : 0;
+      moreThanHalf += processes.get(1).open() > MAX_CONNECTIONS / 2 ? 1 : 0;
     }
     assertTrue(
-        nearBound > 200 && moreThanHalf > 200,
+        nearLimit > 200 && moreThanHalf > 200,
         "of 300 "
-            + nearBound
-            + " came near the bound, and "
+            + nearLimit
+            + " came near the limit, and "
             + moreThanHalf
             + " had more than half at the end");
   }
 
   @Test
-  void theListIsReadForBothKindsOfAddress() throws IOException {
-    Path four =
+  void readsSocketTablesOfIpv4AndIpv6() throws IOException {
+    Path ipv4 =
         Files.writeString(
             folder.resolve("tcp"),
             """
@@ -126,7 +132,7 @@
                    3: 0100007F:C001 0100007F:1F90 01 00000000:00000000 00:00000000 00000000     0
                    4: 0200007F:1F90 0100007F:C003 01 00000000:00000000 00:00000000 00000000     0
                 """);
-    Path six =
+    Path ipv6 =
         Files.writeString(
             folder.resolve("tcp6"),
             """
@@ -136,18 +142,18 @@
                    2: 00000000000000000000000001000000:1F90 00000000000000000000000000000000:0000 0A 0:0 0
                 cut
                 """);
-    Path none = folder.resolve("none");
+    Path missing = folder.resolve("none");
     assertEquals(
         new SocketTable(2, 2),
-        SocketTable.at(new InetSocketAddress("127.0.0.1", 8080), List.of(four, six)));
+        SocketTable.read(new InetSocketAddress("127.0.0.1", 8080), List.of(ipv4, ipv6)));
     assertEquals(
         new SocketTable(1, 0),
-        SocketTable.at(new InetSocketAddress("::1", 8080), List.of(none, six)));
+        SocketTable.read(new InetSocketAddress("::1", 8080), List.of(missing, ipv6)));
     assertEquals(
         new SocketTable(0, 1),
-        SocketTable.at(new InetSocketAddress("127.0.0.1", 0xC001), List.of(four)));
+        SocketTable.read(new InetSocketAddress("127.0.0.1", 0xC001), List.of(ipv4)));
     assertThrows(
         IOException.class,
-        () -> SocketTable.at(new InetSocketAddress("127.0.0.1", 1), List.of(none)));
+        () -> SocketTable.read(new InetSocketAddress("127.0.0.1", 1), List.of(missing)));
   }
 }
