--- a/src/main/java/mothwing/admin/AdminCommand.java
+++ b/src/main/java/mothwing/admin/AdminCommand.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** The commands of operators, with their names on the wire. */
+/** The admin commands; their names are also those on the wire. */
 public enum AdminCommand {
   /** Queries whether this process serves clients. */
   HEALTH,
@@ -16,22 +16,22 @@
   JOIN;
 
   /**
-   * Executes the command on a line. A line without a command changes nothing.
+   * Executes the command on a line. A line that is no command changes nothing.
    *
-   * @param line the line, without its end
-   * @param operations the shop server
-   * @return the reply, each line with its end; its first word is {@code YES} or {@code NO}, except
-   *     for statistics and members
+   * @param line the line, without its terminator
+   * @param operations the operations of the server
+   * @return the reply, with line terminators; it begins with {@code YES} or {@code NO}, except for
+   *     statistics and members
    */
   static String reply(String line, AdminOperations operations) {
-    String word = line.strip();
+    String commandName = line.strip();
     for (AdminCommand command : values()) {
-      if (command.name().equals(word)) {
+      if (command.name().equals(commandName)) {
         return command.execute(operations);
       }
     }
     return failure(
-        word.isEmpty()
+        commandName.isEmpty()
             ? "an empty line is no call"
             : "unknown call, known are HEALTH DUMP MEMBERS LEAVE JOIN");
   }
@@ -50,15 +50,15 @@
     };
   }
 
-  /** The reply to a command that failed. */
+  /** Returns the reply to a command that failed. */
   static String failure(String reason) {
     return "NO " + reason + "\n";
   }
 
   /**
-   * The command as it is called in counters.
+   * Returns the command's name in counters.
    *
-   * @return its name in lower case
+   * @return the name in lower case
    */
   String code() {
     return name().toLowerCase(Locale.ROOT);
--- a/src/main/java/mothwing/admin/AdminConnection.java
+++ b/src/main/java/mothwing/admin/AdminConnection.java
@@ -9,21 +9,21 @@
 import mothwing.net.ProtocolException;
 
 /**
- * A connection of an operator: one command line, one reply, and a close. Input after the line is
- * ignored; a line over {@link #MAX_LINE_BYTES} bytes is answered with an error.
+ * A connection of an operator: reads one command line, sends one reply and closes. Input after the
+ * line is ignored; a line longer than {@link #MAX_LINE_BYTES} bytes is answered with an error.
  */
 public final class AdminConnection extends Connection {
-  /** Most bytes of a line without its end. */
+  /** Most bytes of a line, without its terminator. */
   static final int MAX_LINE_BYTES = 64;
 
   private final AdminOperations operations;
 
   /**
-   * Makes the state of a new connection.
+   * Creates the state of a new connection.
    *
-   * @param operations the shop server
-   * @param log takes its log lines
-   * @param counters counts what happens
+   * @param operations the operations of the server
+   * @param log the event log
+   * @param counters the counters to increment
    */
   public AdminConnection(AdminOperations operations, EventLog log, Counters counters) {
     super("management", MAX_LINE_BYTES + 2, log, counters);
@@ -54,6 +54,6 @@
 
   @Override
   protected void onClosed() {
-    // nothing is kept of it
+    // there is no state to release
   }
 }
--- a/src/main/java/mothwing/admin/AdminOperations.java
+++ b/src/main/java/mothwing/admin/AdminOperations.java
@@ -2,35 +2,35 @@
 
 import java.util.Optional;
 
-/** The operations of a running shop server for operators. Called on the event loop only. */
+/** The operations of a running server for operators. Called on the event loop only. */
 public interface AdminOperations {
   /**
-   * Whether this process serves clients.
+   * Returns whether this process serves clients.
    *
-   * @return true from when it listens for them and its worker pool is connected, until it drains
+   * @return true once it listens for clients and its worker pool is connected, until it drains
    */
   boolean isServing();
 
   /**
-   * The statistics of this moment.
+   * Returns the current statistics.
    *
    * @return one JSON object on one line
    */
   String statistics();
 
   /**
-   * This server's view of its fleet.
+   * Returns this server's view of its fleet.
    *
-   * @return one JSON object on one line, or none where the server belongs to no fleet
+   * @return one JSON object on one line, or empty if the server belongs to no fleet
    */
   Optional<String> members();
 
   /**
-   * Takes the server out of rotation, or back: health checks fail from now on, or succeed again.
-   * Idempotent.
+   * Takes the server out of rotation or puts it back: health checks fail from now on, or succeed
+   * again. Idempotent.
    *
    * @param outOfRotation whether gateways are to use other servers
-   * @return false where the process is draining, in which case nothing has changed
+   * @return false if the process is draining, in which case nothing has changed
    */
   boolean setOutOfRotation(boolean outOfRotation);
 }
--- a/src/main/java/mothwing/admin/package-info.java
+++ b/src/main/java/mothwing/admin/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The operators' connection: text commands, one a connection, executed on the event loop of the
- * server. A command that is not understood changes nothing and is answered with the reason.
+ * The admin interface for operators: text commands, one per connection, executed on the event loop
+ * of the server. An unknown command changes nothing and is answered with an error.
  */
 package mothwing.admin;
--- a/src/test/java/mothwing/admin/AdminConnectionTest.java
+++ b/src/test/java/mothwing/admin/AdminConnectionTest.java
@@ -18,7 +18,10 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** The operators' door against a model of its calls: what is no call changes nothing. */
+/**
+ * Compares admin connections with a model of the commands: a line that is no command changes
+ * nothing.
+ */
 class AdminConnectionTest {
   private static final String[] LINES = {
     "HEALTH",
@@ -33,15 +36,15 @@
     "x".repeat(5000)
   };
 
-  private final BrokerFixture stand = new BrokerFixture();
-  private final List<Boolean> told = new ArrayList<>();
-  private boolean leaving;
+  private final BrokerFixture fixture = new BrokerFixture();
+  private final List<Boolean> rotationChanges = new ArrayList<>();
+  private boolean draining;
 
   private final AdminOperations operations =
       new AdminOperations() {
         @Override
         public boolean isServing() {
-          return !leaving;
+          return !draining;
         }
 
         @Override
@@ -51,77 +54,78 @@
 
         @Override
         public Optional<String> members() {
-          return leaving ? Optional.empty() : Optional.of("{\"members\":[]}");
+          return draining ? Optional.empty() : Optional.of("{\"members\":[]}");
         }
 
         @Override
-        public boolean setOutOfRotation(boolean away) {
-          if (!leaving) {
-            told.add(away);
+        public boolean setOutOfRotation(boolean outOfRotation) {
+          if (!draining) {
+            rotationChanges.add(outOfRotation);
           }
-          return !leaving;
+          return !draining;
         }
       };
 
-  private EmbeddedChannel call() {
-    return stand.open(new AdminConnection(operations, stand.lines::add, stand.counters));
+  private EmbeddedChannel connect() {
+    return fixture.open(new AdminConnection(operations, fixture.lines::add, fixture.counters));
   }
 
   private static String reply(EmbeddedChannel channel) {
-    StringBuilder all = new StringBuilder();
+    StringBuilder received = new StringBuilder();
     channel.runPendingTasks();
     ByteBuf out;
     while ((out = channel.readOutbound()) != null) {
-      all.append(out.toString(StandardCharsets.UTF_8));
+      received.append(out.toString(StandardCharsets.UTF_8));
       out.release();
     }
-    return all.toString();
+    return received.toString();
   }
 
   @Property(seed = "1764576015", tries = 300)
-  void oneLineIsOneCallHoweverItIsCut(
+  void executesOneCommandHoweverItsLineIsSplit(
       @ForAll @Size(max = 6) List<@IntRange(max = 9) Integer> lines,
-      @ForAll @IntRange(max = 5) int cut,
-      @ForAll boolean last) {
+      @ForAll @IntRange(max = 5) int split,
+      @ForAll boolean drainBeforeLast) {
     List<Boolean> expected = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
-      leaving = last && i == lines.size() - 1;
+      draining = drainBeforeLast && i == lines.size() - 1;
       String line = LINES[lines.get(i)];
-      EmbeddedChannel channel = call();
-      byte[] bytes =
-          (line + "\nJOIN\n").getBytes(StandardCharsets.US_ASCII); // a second line is not read
-      int at = Math.min(cut, line.length());
-      channel.writeInbound(Unpooled.copiedBuffer(bytes, 0, at));
+      EmbeddedChannel channel = connect();
+      // The second line must be ignored.
+      byte[] bytes = (line + "\nJOIN\n").getBytes(StandardCharsets.US_ASCII);
+      int splitAt = Math.min(split, line.length());
+      channel.writeInbound(Unpooled.copiedBuffer(bytes, 0, splitAt));
       assertTrue(channel.isOpen() && reply(channel).isEmpty());
-      channel.writeInbound(Unpooled.copiedBuffer(bytes, at, bytes.length - at));
+      channel.writeInbound(Unpooled.copiedBuffer(bytes, splitAt, bytes.length - splitAt));
       String reply = reply(channel);
       assertFalse(channel.isOpen());
-      String word = line.strip();
-      if (word.equals("DUMP")) {
+      String commandName = line.strip();
+      if (commandName.equals("DUMP")) {
         assertEquals("{\"pending\":0}\nEND\n", reply);
       } else {
-        boolean known = List.of("HEALTH", "LEAVE", "JOIN").contains(word);
-        assertEquals(known && !leaving, reply.equals("YES\n"), reply);
-        assertEquals(!known || leaving, reply.startsWith("NO ") && reply.endsWith("\n"), reply);
-        if (known && !leaving && !word.equals("HEALTH")) {
-          expected.add(word.equals("LEAVE"));
+        boolean isCommand = List.of("HEALTH", "LEAVE", "JOIN").contains(commandName);
+        assertEquals(isCommand && !draining, reply.equals("YES\n"), reply);
+        assertEquals(
+            !isCommand || draining, reply.startsWith("NO ") && reply.endsWith("\n"), reply);
+        if (isCommand && !draining && !commandName.equals("HEALTH")) {
+          expected.add(commandName.equals("LEAVE"));
         }
       }
     }
-    assertEquals(expected, told);
+    assertEquals(expected, rotationChanges);
     assertEquals(
         lines.size(),
-        stand.lines.stream()
-            .filter(one -> one.startsWith("connection-closed side=management"))
+        fixture.lines.stream()
+            .filter(entry -> entry.startsWith("connection-closed side=management"))
             .count());
-    leaving = false;
-    told.clear();
-    stand.lines.clear();
+    draining = false;
+    rotationChanges.clear();
+    fixture.lines.clear();
   }
 
   @Example
-  void aLineWithoutAnEndIsAnsweredAtItsBound() {
-    EmbeddedChannel channel = call();
+  void answersUnterminatedLineThatExceedsItsBound() {
+    EmbeddedChannel channel = connect();
     channel.writeInbound(Unpooled.wrappedBuffer(new byte[AdminConnection.MAX_LINE_BYTES + 1]));
     assertTrue(reply(channel).startsWith("NO "));
     assertFalse(channel.isOpen());
