--- a/src/main/java/mothwing/server/AsyncLogWriter.java
+++ b/src/main/java/mothwing/server/AsyncLogWriter.java
@@ -8,12 +8,13 @@
 import mothwing.broker.EventLog;
 
 /**
- * Writes the log on a thread of its own, each line with its time, so that a slow reader of the log
- * does not block the event loop. Lines over a bound are dropped and their number is logged.
+ * Writes the log on a thread of its own, each line with a timestamp, so that a slow reader of the
+ * log does not block the event loop. Lines that do not fit into a bounded queue are dropped, and
+ * their number is logged.
  */
 public final class AsyncLogWriter implements EventLog {
   private static final int MAX_QUEUED_LINES = 4096;
-  private static final String END = "";
+  private static final String END_MARKER = "";
 
   private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
@@ -21,9 +22,9 @@
   private final Thread writer = new Thread(this::write, "log");
 
   /**
-   * Makes a log writer and starts its thread.
+   * Creates a log writer and starts its thread.
    *
-   * @param out where the lines go
+   * @param out the stream for the lines
    */
   public AsyncLogWriter(PrintStream out) {
     this.out = out;
@@ -40,26 +41,26 @@
 
   private void write() {
     try {
-      for (String line = queue.take(); !line.equals(END); line = queue.take()) {
+      for (String line = queue.take(); !line.equals(END_MARKER); line = queue.take()) {
         out.println(line);
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-          out.println(System.currentTimeMillis() + " log-dropped lines=" + lost);
+        long droppedLines = dropped.getAndSet(0);
+        if (droppedLines > 0) {
+          out.println(System.currentTimeMillis() + " log-dropped lines=" + droppedLines);
         }
       }
       out.flush();
-    } catch (InterruptedException ended) {
+    } catch (InterruptedException interrupted) {
       Thread.currentThread().interrupt();
     }
   }
 
   /**
-   * Writes the queued lines, for at most two seconds.
+   * Writes the queued lines and ends the thread, waiting for at most two seconds.
    *
-   * @throws InterruptedException where the wait is interrupted
+   * @throws InterruptedException if the wait is interrupted
    */
   public void close() throws InterruptedException {
-    if (queue.offer(END, 1, TimeUnit.SECONDS)) {
+    if (queue.offer(END_MARKER, 1, TimeUnit.SECONDS)) {
       writer.join(TimeUnit.SECONDS.toMillis(1));
     }
   }
--- a/src/main/java/mothwing/server/ClientFronts.java
+++ b/src/main/java/mothwing/server/ClientFronts.java
@@ -14,9 +14,9 @@
 import mothwing.net.ReadBudget;
 
 /**
- * The listeners for clients: binds them, at once or once the server is ready, and knows which of
- * them listen. A stop waits for binds in progress, as a client that connects in that moment is to
- * be answered too. On the event loop's thread, but for the methods that a start calls.
+ * The listeners for clients: binds them, at once or when the server is ready, and tracks which of
+ * them are bound. A stop waits for binds in progress, since a client that connects at that moment
+ * must be answered too. Used on the event loop's thread, except for the methods that a start calls.
  */
 final class ClientFronts {
   private final EventLoop loop;
@@ -24,18 +24,21 @@
   private final EventLog log;
   private final List<Front> fronts = new ArrayList<>();
   private final List<Listener> listening = new CopyOnWriteArrayList<>();
-  private int pendingBinds = 1; // the start of the server counts as one
+
+  /** Binds in progress; the start of the server counts as one. */
+  private int pendingBinds = 1;
+
   private boolean stopped;
   private Runnable onStopped = () -> {};
 
   private record Front(Listener listener, InetSocketAddress address) {}
 
   /**
-   * Makes it without fronts.
+   * Creates an instance without fronts.
    *
-   * @param loop the thread of all connections
-   * @param allocator gives buffers
-   * @param log takes lines of the log
+   * @param loop the event loop of all connections
+   * @param allocator the buffer allocator
+   * @param log the event log
    */
   ClientFronts(EventLoop loop, ByteBufAllocator allocator, EventLog log) {
     this.loop = loop;
@@ -43,25 +46,25 @@
     this.log = log;
   }
 
-  /** Adds a front that is to listen at an address. */
+  /** Adds a front and the address that it is to bind. */
   void add(Listener listener, InetSocketAddress address) {
     fronts.add(new Front(listener, address));
   }
 
-  /** Makes all fronts share a read budget. */
+  /** Sets the read budget that all fronts share. */
   void limitReads(ReadBudget budget) {
     fronts.forEach(front -> front.listener().limitReads(budget));
   }
 
-  /** Lets another process listen at the same addresses. */
+  /** Allows another process to listen at the same addresses. */
   void shareAddresses() {
     fronts.forEach(front -> front.listener().shareAddress());
   }
 
   /**
-   * Listens now, on the caller's thread.
+   * Binds all fronts, on the caller's thread.
    *
-   * @throws ListenException where an address cannot be bound
+   * @throws ListenException if an address cannot be bound
    */
   void listen() throws ListenException {
     for (Front front : fronts) {
@@ -73,7 +76,7 @@
   /**
    * Binds one listener, on the caller's thread.
    *
-   * @throws ListenException where the address cannot be bound
+   * @throws ListenException if the address cannot be bound
    */
   void bind(Listener listener, InetSocketAddress address) throws ListenException {
     Future<Void> bound = listener.listen(loop, allocator, address).awaitUninterruptibly();
@@ -83,9 +86,9 @@
   }
 
   /**
-   * Listens without waiting for it, unless a stop has begun.
+   * Starts to bind all fronts without waiting for completion, unless a stop has begun.
    *
-   * @param onFailure called for an address that cannot be bound
+   * @param onFailure called for each address that cannot be bound
    */
   void listenInBackground(BiConsumer<InetSocketAddress, Throwable> onFailure) {
     for (Front front : fronts) {
@@ -109,7 +112,7 @@
     }
   }
 
-  /** The start of the server, or one bind of it, is over. */
+  /** Records that the start of the server, or one bind, has finished. */
   void bindFinished() {
     pendingBinds--;
     if (pendingBinds == 0 && stopped) {
@@ -118,35 +121,36 @@
   }
 
   /**
-   * Binds nothing further.
+   * Prevents further binds.
    *
-   * @param then called once no bind is in progress
+   * @param callback called once no bind is in progress
    */
-  void stop(Runnable then) {
+  void stop(Runnable callback) {
     stopped = true;
-    onStopped = then;
+    onStopped = callback;
     if (pendingBinds == 0) {
-      then.run();
+      callback.run();
     }
   }
 
-  /** Whether every front listens. */
+  /** Returns whether every front listens. */
   boolean isListening() {
     return listening.size() == fronts.size();
   }
 
-  /** The listeners that listen. */
+  /** Returns the listeners that are bound. */
   List<Listener> listening() {
     return listening;
   }
 
   /**
-   * Keeps to the quota of a shared address, and closes idle and timed-out connections.
+   * Enforces the quota of a shared address, and closes idle and timed-out connections. Does nothing
+   * after a stop.
    *
-   * @param idleLimit microseconds for which a connection may be idle; 0 where none is closed yet
+   * @param idleLimit microseconds for which a connection may be idle; 0 if none is to be closed yet
    */
   void supervise(long idleLimit) {
-    if (stopped) { // the shutdown decides how long connections stay
+    if (stopped) { // the graceful shutdown closes the connections
       return;
     }
     listening.forEach(Listener::pollSharedPort);
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -19,18 +19,18 @@
 import mothwing.settings.SiteScript;
 
 /**
- * The configuration of a shop server.
+ * The configuration of a server.
  *
  * @param name the name of the server
- * @param listen where clients connect
- * @param pool where the worker pool listens
- * @param announce where the discovery service listens
- * @param ledger where the dependency listens, or null for none
- * @param management where operators connect, or null for nowhere
- * @param stopMs milliseconds from the request to drain to the stop
- * @param sockets most file descriptors
+ * @param listen the address for clients
+ * @param pool the address of the worker pool
+ * @param announce the address of the discovery service
+ * @param ledger the address of the dependency, or null if there is none
+ * @param management the address for operators, or null if there is none
+ * @param stopMs milliseconds from the drain request until the process stops
+ * @param sockets most file descriptors of the process
  * @param settings the settings of the site
- * @param source the fields that it was read from
+ * @param source the JSON fields of the configuration
  */
 public record Config(
     String name,
@@ -43,14 +43,15 @@
     int sockets,
     Settings settings,
     JsonFields source) {
-  private static final int HEXADECIMAL = 16;
+  private static final int SEED_RADIX = 16;
 
   /**
-   * Reads a configuration. The same checks hold at a start, for {@code check} and at SIGHUP.
+   * Reads a configuration. The same checks apply at a start, to the {@code check} command and at
+   * SIGHUP.
    *
-   * @param json its text
+   * @param json the text of the configuration
    * @return the configuration
-   * @throws IOException where it cannot be understood; the message names the field
+   * @throws IOException if it is invalid; the message names the field
    */
   public static Config read(Reader json) throws IOException {
     JsonFields fields = object(json);
@@ -73,11 +74,11 @@
   }
 
   /**
-   * Reads a configuration's file.
+   * Reads a configuration file.
    *
-   * @param path its path
+   * @param path the path of the file
    * @return the configuration
-   * @throws IOException where it cannot be read or understood
+   * @throws IOException if the file cannot be read or is invalid
    */
   public static Config read(String path) throws IOException {
     if (path.isEmpty()) {
@@ -89,12 +90,12 @@
   }
 
   /**
-   * Reads the file of the configuration that is to replace this one. A file without a key that this
-   * one has was truncated, or is a mistake.
+   * Reads the configuration file that is to replace this configuration. A file that lacks a key of
+   * this configuration is considered truncated or mistaken.
    *
-   * @param path its path
+   * @param path the path of the file
    * @return the configuration
-   * @throws IOException where it cannot be read or understood, or lacks a key
+   * @throws IOException if the file cannot be read, is invalid, or lacks a key
    */
   Config readSuccessor(String path) throws IOException {
     Config next = read(path);
@@ -103,10 +104,10 @@
   }
 
   /**
-   * This configuration with those fields of a new one that a running server can apply.
+   * Returns this configuration with those fields of a new one that a running server can apply.
    *
-   * @param next the new one
-   * @return the one to be in force
+   * @param next the new configuration
+   * @return the configuration to apply
    */
   Config withReloaded(Config next) {
     return new Config(
@@ -122,7 +123,10 @@
         next.source);
   }
 
-  /** The names of the fields in which a new configuration differs that need a restart. */
+  /**
+   * Returns the names of the fields that differ in a new configuration and need a restart,
+   * separated by commas.
+   */
   String restartRequiredFor(Config next) {
     List<String> fields = new ArrayList<>();
     if (!name.equals(next.name)) {
@@ -141,12 +145,12 @@
   }
 
   /**
-   * Reads our own settings of a shop server.
+   * Reads the site settings of a server.
    *
-   * @param file our settings script, or where its name ends with {@code .json} the older form, a
-   *     JSON object with the field {@code listen} that says where AJP is spoken
-   * @return the settings
-   * @throws IOException where it cannot be read or understood
+   * @param file the site script, or, if its name ends with {@code .json}, the older format: a JSON
+   *     object whose field {@code listen} is the address for AJP
+   * @return the site settings
+   * @throws IOException if the file cannot be read or is invalid
    */
   public static Site readSite(Path file) throws IOException {
     if (!file.toString().endsWith(".json")) {
@@ -161,7 +165,7 @@
     try (JsonReader reader = new JsonReader(json)) {
       JsonFields fields = JsonFields.read(reader);
       if (reader.peek() != JsonToken.END_DOCUMENT) {
-        throw new InvalidInputException("something follows the JSON object");
+        throw new InvalidInputException("unexpected text after the JSON object");
       }
       return fields;
     } catch (IllegalStateException notObject) {
@@ -171,13 +175,13 @@
 
   private static long seed(String text) throws InvalidInputException {
     try {
-      return Long.parseUnsignedLong(text, HEXADECIMAL);
+      return Long.parseUnsignedLong(text, SEED_RADIX);
     } catch (NumberFormatException notNumber) {
       throw new InvalidInputException("field seed: not a hexadecimal number");
     }
   }
 
-  /** Where operators connect: as configured, else as the environment says. */
+  /** Returns the address for operators from the configuration, else from the environment. */
   private static InetSocketAddress management(String configured) throws InvalidInputException {
     String address =
         configured.isEmpty()
--- a/src/main/java/mothwing/server/ConfigReloader.java
+++ b/src/main/java/mothwing/server/ConfigReloader.java
@@ -6,9 +6,9 @@
 import mothwing.settings.InvalidInputException;
 
 /**
- * Reads the configuration again and applies it to the running server. The file is read on a thread
- * of its own, one read after the other, so that the event loop never waits for a disk and the last
- * read wins.
+ * Rereads the configuration and applies it to the running server. The file is read on a thread of
+ * its own, one read at a time, so that the event loop never waits for a disk and the last read
+ * wins.
  */
 public final class ConfigReloader {
   private final String path;
@@ -16,22 +16,22 @@
   private Config current;
   private final ExecutorService reader =
       Executors.newSingleThreadExecutor(
-          work -> {
-            Thread thread = new Thread(work, "reload");
+          task -> {
+            Thread thread = new Thread(task, "reload");
             thread.setDaemon(true);
             return thread;
           });
 
   /**
-   * Makes a reloader.
+   * Creates a reloader.
    *
-   * @param path the path of the configuration
-   * @param first the configuration in force
-   * @param server takes the new configuration
+   * @param path the path of the configuration file
+   * @param initial the configuration in force
+   * @param server the server to reconfigure
    */
-  public ConfigReloader(String path, Config first, Server server) {
+  public ConfigReloader(String path, Config initial, Server server) {
     this.path = path;
-    this.current = first;
+    this.current = initial;
     this.server = server;
   }
 
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -19,7 +19,9 @@
 import mothwing.settings.Site;
 import mothwing.settings.SiteScript;
 
-/** The DNS server as a process: its loop, its two worker threads, reload and graceful shutdown. */
+/**
+ * The DNS server process, with its event loop, two worker threads, reload and graceful shutdown.
+ */
 public final class DnsService implements Service {
   private static final long STOP_AFTER_MILLIS = 5000;
   private static final int SHUTDOWN_POLL_MILLIS = 20;
@@ -29,19 +31,19 @@
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
   private final EventLoopScheduler timers = new EventLoopScheduler(loop);
-  private final ExecutorService writer = helper("dns-write");
-  private final ExecutorService reader = helper("dns-read");
+  private final ExecutorService writer = daemonExecutor("dns-write");
+  private final ExecutorService reader = daemonExecutor("dns-read");
   private final CountDownLatch ended = new CountDownLatch(1);
   private final DnsFront front;
   private boolean draining;
   private long stopAt;
 
   /**
-   * Wires a server that is not started yet.
+   * Creates a server that is not started yet.
    *
-   * @param settings the settings script
-   * @param log takes lines of the log
-   * @throws IOException where the script cannot be read or asks for no DNS
+   * @param settings the site script
+   * @param log the event log
+   * @throws IOException if the script cannot be read or configures no DNS server
    */
   public DnsService(Path settings, EventLog log) throws IOException {
     this.settings = settings;
@@ -61,32 +63,32 @@
   private static Site.Dns dns(Path settings) throws IOException {
     Site.Dns dns = SiteScript.read(settings).dns();
     if (dns == null) {
-      throw new InvalidInputException(settings + ": no dns(listen = ...)");
+      throw new InvalidInputException(settings + ": dns(listen = ...) is missing");
     }
     return dns;
   }
 
-  private static ExecutorService helper(String name) {
+  private static ExecutorService daemonExecutor(String name) {
     return Executors.newSingleThreadExecutor(
-        work -> {
-          Thread thread = new Thread(work, name);
+        task -> {
+          Thread thread = new Thread(task, name);
           thread.setDaemon(true);
           return thread;
         });
   }
 
   /**
-   * Reads keys and zones and listens.
+   * Reads keys and zones, and starts to listen.
    *
-   * @throws IOException where that fails
+   * @throws IOException if keys or zones cannot be read or the address cannot be bound
    */
   public void start() throws IOException {
     front.start();
   }
 
   /**
-   * Reads the settings, keys and zone files again. May be called from any thread. What cannot be
-   * read changes nothing.
+   * Rereads the settings, keys and zone files. May be called from any thread. Settings, keys and
+   * zones that cannot be read remain as they are.
    */
   public void reload() {
     reader.execute(
@@ -100,9 +102,9 @@
   }
 
   /**
-   * Where it listens.
+   * Returns the bound address.
    *
-   * @return the address, with the port that was given
+   * @return the address, with the assigned port
    */
   public InetSocketAddress address() {
     return front.address();
@@ -145,7 +147,7 @@
     }
   }
 
-  /** Ends its threads without waiting for work in progress. */
+  /** Stops the threads without waiting for work in progress. */
   public void close() {
     writer.shutdownNow();
     reader.shutdownNow();
--- a/src/main/java/mothwing/server/EventLoopScheduler.java
+++ b/src/main/java/mothwing/server/EventLoopScheduler.java
@@ -4,7 +4,7 @@
 import java.util.concurrent.TimeUnit;
 import mothwing.broker.Scheduler;
 
-/** The system clocks, and timers that fire on the event loop. */
+/** The system clocks, and timers that run tasks on the event loop. */
 final class EventLoopScheduler implements Scheduler {
   private static final long NANOS_PER_MICRO = 1000;
 
@@ -26,12 +26,12 @@
   }
 
   @Override
-  public void schedule(long at, Runnable work) {
+  public void schedule(long at, Runnable task) {
     long delay = at - now();
     if (delay <= 0) {
-      loop.execute(work);
+      loop.execute(task);
     } else {
-      loop.schedule(work, delay, TimeUnit.MICROSECONDS);
+      loop.schedule(task, delay, TimeUnit.MICROSECONDS);
     }
   }
 }
--- a/src/main/java/mothwing/server/FileDescriptorBudget.java
+++ b/src/main/java/mothwing/server/FileDescriptorBudget.java
@@ -6,24 +6,27 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** How many file descriptors this process may hold, and how many are reserved from clients. */
+/**
+ * Determines how many file descriptors this process may hold, and how many are not available to
+ * clients.
+ */
 final class FileDescriptorBudget {
   private static final Path LIMITS = Path.of("/proc/self/limits");
   private static final String OPEN_FILES = "Max open files";
   private static final int MAX_RESERVED = 64;
 
-  /** For other connections, connects in progress, listeners, and lingering connections. */
+  /** Reserve for other connections, connects in progress, listeners, and lingering connections. */
   private static final int MIN_RESERVED = 24;
 
-  private static final int USUALLY_OPEN = 16;
+  private static final int DEFAULT_OPEN = 16;
   private static final Path OPEN_DESCRIPTORS = Path.of("/proc/self/fd");
 
   private FileDescriptorBudget() {}
 
   /**
-   * The lower one of the configured limit and the kernel's.
+   * Returns the lower of the configured limit and the kernel's.
    *
-   * @param configured the number in the configuration
+   * @param configured the limit in the configuration
    * @return file descriptors, above 0
    */
   static int limitFor(int configured) {
@@ -35,34 +38,37 @@
     }
   }
 
-  /** The soft limit in the kernel's table, or another number where it states none. */
-  static int limit(List<String> table, int otherwise) {
+  /** Returns the soft limit in the kernel's table, or a fallback if the table states none. */
+  static int limit(List<String> table, int fallback) {
     for (String line : table) {
       if (line.startsWith(OPEN_FILES)) {
         String soft = line.substring(OPEN_FILES.length()).strip().split("\\s+")[0];
-        return soft.matches("[1-9][0-9]{0,8}") ? Integer.parseInt(soft) : otherwise;
+        return soft.matches("[1-9][0-9]{0,8}") ? Integer.parseInt(soft) : fallback;
       }
     }
-    return otherwise;
+    return fallback;
   }
 
   /**
-   * File descriptors that are reserved for the connections to pool, dependency and discovery
-   * service, for lingering connections and for the runtime: load reports and runs go on however
-   * many clients connect.
+   * Returns the number of file descriptors reserved for the connections to pool, dependency and
+   * discovery service, for lingering connections and for the runtime, so that load reports and runs
+   * continue however many clients connect.
    *
-   * @param limit file descriptors in all
+   * @param limit the total number of file descriptors
    * @param open how many this process holds before it listens
-   * @return their number: a quarter, {@value #MAX_RESERVED} at most, but no less than those open
-   *     and {@value #LEAST_SPARE} more
+   * @return a quarter of the limit, at most {@value #MAX_RESERVED}, but at least {@value
+   *     #MIN_RESERVED} more than those open
    */
   static int reserved(int limit, int open) {
     return Math.max(open + MIN_RESERVED, Math.min(MAX_RESERVED, limit / 4));
   }
 
-  /** How many this process holds now, or a usual number where the kernel does not say. */
+  /**
+   * Returns how many descriptors this process holds now, or {@value #DEFAULT_OPEN} if the kernel
+   * does not report it.
+   */
   static int openNow() {
     String[] descriptors = OPEN_DESCRIPTORS.toFile().list();
-    return descriptors == null ? USUALLY_OPEN : descriptors.length;
+    return descriptors == null ? DEFAULT_OPEN : descriptors.length;
   }
 }
--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -19,32 +19,38 @@
 import mothwing.net.RetryingSocketChannel;
 
 /**
- * The graceful shutdown of a running server: stops listening, finds out whether another process
- * serves clients at its address, lets the broker answer the requests that were read, closes idle
- * connections, and reports when all is done. On the event loop only.
+ * The graceful shutdown of a running server: stops listening, probes whether another process serves
+ * clients at its address, lets the broker answer the requests that were read, closes idle
+ * connections, and reports completion. Used on the event loop only.
  */
 final class GracefulShutdown {
   private static final long MICROS_PER_MILLI = 1000;
   private static final long STEP_PERIOD_MICROS = 20_000;
 
-  /** So long before the stop the requests that are still pending are failed. */
+  /** Requests that are still pending are failed this long before the stop. */
   private static final long FINAL_PHASE_MICROS = 150_000;
 
-  /** A step that is late by more: the process stalled, and its sockets hold unread requests. */
+  /**
+   * A step that is late by more than this indicates a stall, after which sockets hold unread
+   * requests.
+   */
   private static final long STALL_MICROS = 5 * STEP_PERIOD_MICROS;
 
-  /** After a stall, for reading and answering what the sockets hold. */
+  /** Time after a stall for reading and answering the requests in the sockets. */
   private static final long READ_AFTER_STALL_MICROS = 200_000;
 
-  /** In the final phase, for the closes of the other sides. */
-  private static final long CLOSE_MICROS = 60_000;
+  /** Time in the final phase for the peers to close their connections. */
+  private static final long PEER_CLOSE_MICROS = 60_000;
 
-  /** The process may be killed after the longest deadline, up to this, and the grace. */
+  /**
+   * The process may be killed after the longest deadline, capped to this, plus {@link
+   * #KILL_GRACE_MICROS}.
+   */
   private static final long MAX_DEADLINE_MICROS = 3_000_000;
 
   private static final long KILL_GRACE_MICROS = 700_000;
 
-  /** A connect waits where a backlog is full; where nobody listens it is refused at once. */
+  /** A connect hangs if the backlog is full; if no process listens it is refused at once. */
   private static final int PROBE_TIMEOUT_MILLIS = 100;
 
   private static final int PROBE_RETRY_MILLIS = 10;
@@ -63,12 +69,12 @@
   private int listening;
 
   /**
-   * Makes a shutdown that has not begun.
+   * Creates a shutdown that has not begun.
    *
-   * @param loop the thread of it all
+   * @param loop the event loop of the server
    * @param scheduler the clock and timers
-   * @param broker answers what was read
-   * @param log takes lines of the log
+   * @param broker the broker that answers the requests that were read
+   * @param log the event log
    * @param done called once, when the process may end
    */
   GracefulShutdown(
@@ -81,7 +87,7 @@
   }
 
   /**
-   * Begins.
+   * Begins the shutdown.
    *
    * @param clientListeners the listeners of clients
    * @param shared whether another process may listen at the address of the first one
@@ -111,7 +117,10 @@
                 }));
   }
 
-  /** Another process serves the clients if it accepts a connection at the address just left. */
+  /**
+   * Probes whether another process serves the clients: it does if it accepts a connection at the
+   * address that this process has just released.
+   */
   private void probe(SocketAddress address, long requestedAt, Config config, int attempts) {
     new Bootstrap()
         .group(loop)
@@ -123,11 +132,15 @@
             connected ->
                 loop.execute(
                     () ->
-                        probed((ChannelFuture) connected, address, requestedAt, config, attempts)));
+                        probeFinished(
+                            (ChannelFuture) connected, address, requestedAt, config, attempts)));
   }
 
-  /** A socket that cannot be made for the moment says nothing about another process. */
-  private void probed(
+  /**
+   * Evaluates a probe. A transient failure to create the socket gives no evidence of another
+   * process, so the probe is repeated.
+   */
+  private void probeFinished(
       ChannelFuture connected,
       SocketAddress address,
       long requestedAt,
@@ -158,7 +171,10 @@
     step();
   }
 
-  /** The final phase does not begin while sockets hold requests that came during a stall. */
+  /**
+   * Runs one step of the shutdown. The final phase does not begin while sockets hold requests that
+   * arrived during a stall.
+   */
   private void step() {
     long now = scheduler.now();
     if (now - nextStepAt > STALL_MICROS) {
@@ -168,7 +184,7 @@
     nextStepAt = now + STEP_PERIOD_MICROS;
     boolean finalPhase = now >= Math.max(stopAt - FINAL_PHASE_MICROS, readUntil);
     if (finalPhase && finalPhaseEndsAt == Long.MAX_VALUE) {
-      finalPhaseEndsAt = now + CLOSE_MICROS;
+      finalPhaseEndsAt = now + PEER_CLOSE_MICROS;
       broker.failPending();
     }
     listeners.forEach(
--- a/src/main/java/mothwing/server/ListenException.java
+++ b/src/main/java/mothwing/server/ListenException.java
@@ -3,12 +3,12 @@
 import java.io.IOException;
 import java.net.InetSocketAddress;
 
-/** An address cannot be listened at. */
+/** Thrown if an address cannot be bound. */
 public final class ListenException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes the error.
+   * Creates the exception.
    *
    * @param address the address
    * @param cause why it cannot be bound
--- a/src/main/java/mothwing/server/ReloadStatistics.java
+++ b/src/main/java/mothwing/server/ReloadStatistics.java
@@ -1,26 +1,26 @@
 package mothwing.server;
 
-/** How often the configuration was reloaded, and how often that failed. On the event loop only. */
+/** Counts successful and failed reloads of the configuration. Used on the event loop only. */
 final class ReloadStatistics {
   private long succeeded;
   private long failed;
 
-  /** A new configuration is in force. */
+  /** Counts a configuration that was applied. */
   void countSuccess() {
     succeeded++;
   }
 
-  /** A new configuration was rejected. */
+  /** Counts a configuration that was rejected. */
   void countFailure() {
     failed++;
   }
 
-  /** Reloads that succeeded. */
+  /** Returns the number of successful reloads. */
   long succeeded() {
     return succeeded;
   }
 
-  /** Reloads that failed. */
+  /** Returns the number of failed reloads. */
   long failed() {
     return failed;
   }
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -37,19 +37,21 @@
 import mothwing.settings.InvalidInputException;
 import mothwing.settings.Site;
 
-/** One shop server: wires its parts together on one event loop, and starts and stops them. */
+/** A server process: wires its components on one event loop, and starts and stops them. */
 public final class Server implements Service {
   private static final long SUPERVISION_PERIOD_MICROS = 50_000;
   private static final int MAX_ADMIN_CONNECTIONS = 16;
 
-  /** Gateways may take 2 s to send a request; bad clients are disconnected within 3 s. */
+  /** Gateways may take 2 s to send a request; misbehaving clients are disconnected within 3 s. */
   private static final long CLIENT_TIMEOUT_MICROS = 2_500_000;
 
-  /** Long enough for an operator who types. */
+  /** Long enough for an operator who types a command by hand. */
   private static final long ADMIN_TIMEOUT_MICROS = 10_000_000;
 
   private static final int PAGE_BYTES = 8192;
-  private static final int CHUNK_ORDER = 5; // chunks of PAGE_BYTES << 5, or 256 KiB
+
+  /** Gives allocator chunks of PAGE_BYTES << 5, or 256 KiB. */
+  private static final int CHUNK_ORDER = 5;
 
   private final InetSocketAddress ajp;
   private final EventLog log;
@@ -74,11 +76,11 @@
   private long idleLimit;
 
   /**
-   * Wires a server that is not started yet.
+   * Creates a server that is not started yet.
    *
-   * @param config its configuration
-   * @param ajp where to listen for AJP, or null for nowhere
-   * @param log takes lines of the log
+   * @param config the configuration
+   * @param ajp the address for AJP, or null to disable it
+   * @param log the event log
    */
   public Server(Config config, InetSocketAddress ajp, EventLog log) {
     this.config = config;
@@ -103,19 +105,19 @@
   }
 
   /**
-   * Makes it a member of a fleet. To be called before {@link #start}.
+   * Makes the server a member of a fleet. Must be called before {@link #start}.
    *
    * @param fleet the fleet
-   * @throws InvalidInputException where the server's name may not be that of a member
+   * @throws InvalidInputException if the server's name is not valid for a member
    */
   public void join(Site.Fleet fleet) throws InvalidInputException {
     if (!Site.Fleet.mayBeCalled(config.name())) {
       throw new InvalidInputException(
           "field name: \""
               + config.name()
-              + "\" is not "
+              + "\" is not a valid name of a fleet member: "
               + Site.Fleet.NAMED
-              + ", as a member of a fleet is called");
+              + " required");
     }
     peer =
         new PeerTransport(fleet, config.name(), loop, scheduler, new SecureRandom(), counters, log);
@@ -132,11 +134,11 @@
   }
 
   /**
-   * Starts: listens, connects to the pool, reports load. Where operators may call, the address of
-   * clients may be shared with the process that this one replaces, so clients are listened for only
-   * once the pool is connected.
+   * Starts the server: binds its listeners, connects to the pool and reports load. If there is an
+   * address for operators, the addresses for clients may be shared with the process that this one
+   * replaces, so they are bound only once the pool is connected.
    *
-   * @throws ListenException where an address cannot be listened at
+   * @throws ListenException if an address cannot be bound
    */
   public void start() throws ListenException {
     addFronts();
@@ -146,7 +148,7 @@
       } else {
         fronts.shareAddresses();
         shareRunClaims();
-        listenForOperators();
+        bindAdminListener();
         broker.whenReady(() -> fronts.listenInBackground(this::listenFailed));
       }
     } catch (ListenException failure) {
@@ -180,7 +182,7 @@
     return new Listener(side, factory, maxConnections, CLIENT_TIMEOUT_MICROS, scheduler, counters);
   }
 
-  private void listenForOperators() throws ListenException {
+  private void bindAdminListener() throws ListenException {
     AdminOperations operations =
         new ServerAdmin(
             broker,
@@ -198,9 +200,7 @@
     fronts.bind(adminListener, config.management());
   }
 
-  /**
-   * Another process may serve at the same address: both claim the runs that must not be doubled.
-   */
+  /** Shares run claims with another process at the same address, so that no run is duplicated. */
   private void shareRunClaims() {
     Path file = SharedRunClaims.file(config.name());
     try {
@@ -244,9 +244,9 @@
   }
 
   /**
-   * Applies what a running server can take of a new configuration: the settings, the addresses that
-   * it connects to, and the time of a shutdown. Open requests and runs are not affected. May be
-   * called from any thread, and more than once.
+   * Applies the fields of a new configuration that a running server can change: the settings, the
+   * addresses that it connects to, and the duration of a shutdown. Open requests and runs are not
+   * affected. May be called from any thread, and more than once.
    *
    * @param next the new configuration
    */
@@ -302,10 +302,10 @@
   }
 
   /**
-   * Counts and logs a configuration that was rejected: nothing has changed. May be called from any
+   * Counts and logs a configuration that was rejected and changed nothing. May be called from any
    * thread.
    *
-   * @param reason what is wrong with it
+   * @param reason why it was rejected
    */
   public void reloadFailed(String reason) {
     loop.execute(
@@ -371,18 +371,18 @@
   }
 
   /**
-   * Where it listens: for FastCGI, then for AJP where it does.
+   * Returns the addresses for clients: that of FastCGI, then that of AJP if enabled.
    *
-   * @return the addresses, with the ports that were given
+   * @return the bound addresses, with the assigned ports
    */
   public List<InetSocketAddress> clientAddresses() {
     return fronts.listening().stream().map(Listener::address).toList();
   }
 
   /**
-   * Where operators call.
+   * Returns the address for operators.
    *
-   * @return the address, with the port that was given
+   * @return the bound address, with the assigned port
    */
   public InetSocketAddress adminAddress() {
     return adminListener.address();
@@ -393,7 +393,7 @@
     ended.await();
   }
 
-  /** Ends the event loop. */
+  /** Stops the event loop. */
   public void close() {
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
   }
--- a/src/main/java/mothwing/server/ServerAdmin.java
+++ b/src/main/java/mothwing/server/ServerAdmin.java
@@ -8,7 +8,7 @@
 import mothwing.admin.AdminOperations;
 import mothwing.broker.Broker;
 
-/** The operators' calls on a running server. On the event loop only. */
+/** The admin operations of a running server. Used on the event loop only. */
 final class ServerAdmin implements AdminOperations {
   private final Broker broker;
   private final BooleanSupplier listening;
@@ -17,11 +17,11 @@
   private final Gson json = new Gson();
 
   /**
-   * Makes the operations.
+   * Creates the operations.
    *
    * @param broker the broker of the server
    * @param listening whether every front listens
-   * @param membership the view of the fleet, or none where the server belongs to no fleet
+   * @param membership the view of the fleet, or empty if the server belongs to no fleet
    * @param reloads the reloads so far
    */
   ServerAdmin(
--- a/src/main/java/mothwing/server/Service.java
+++ b/src/main/java/mothwing/server/Service.java
@@ -6,23 +6,23 @@
   void drain();
 
   /**
-   * Waits until its shutdown is complete.
+   * Waits until the shutdown is complete.
    *
-   * @throws InterruptedException where the wait is interrupted
+   * @throws InterruptedException if the wait is interrupted
    */
   void await() throws InterruptedException;
 
   /**
-   * Whether it has failed.
+   * Returns whether the service has failed.
    *
-   * @return true where the process is to end with an error status
+   * @return true if the process is to exit with an error status
    */
   default boolean hasFailed() {
     return false;
   }
 
   /**
-   * The counters so far.
+   * Returns the current counters.
    *
    * @return one line
    */
--- a/src/main/java/mothwing/server/SharedRunClaims.java
+++ b/src/main/java/mothwing/server/SharedRunClaims.java
@@ -9,25 +9,25 @@
 import mothwing.store.ClaimTable;
 
 /**
- * The claims on runs of requests with an idempotency key, in a table that this process and another
- * one at the same address both map into memory: each run is claimed by one of them.
+ * Claims on runs of requests with an idempotency key, in a table that this process and another one
+ * at the same address both map into memory, so that each run is claimed by only one of them.
  */
 final class SharedRunClaims {
   private static final Path BOOT_ID = Path.of("/proc/sys/kernel/random/boot_id");
 
   private SharedRunClaims() {}
 
-  /** The file of the table of a server of that name. */
+  /** Returns the file of the claim table of a server. */
   static Path file(String serverName) {
     return Path.of(System.getProperty("java.io.tmpdir"), "mothwing-claims-" + serverName);
   }
 
   /**
-   * Opens the table.
+   * Opens the claim table.
    *
-   * @param file its file
+   * @param file the file of the table
    * @return the claims
-   * @throws IOException where it cannot be opened
+   * @throws IOException if it cannot be opened
    */
   static RunClaims open(Path file) throws IOException {
     long boot = Files.readString(BOOT_ID).strip().hashCode();
--- a/src/test/java/mothwing/server/ClientFrontsTest.java
+++ b/src/test/java/mothwing/server/ClientFrontsTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** A stop of the listeners, and the binds that it waits for. */
+/** Stopping the listeners, and the binds that the stop waits for. */
 class ClientFrontsTest {
   private final AtomicInteger stops = new AtomicInteger();
   private final ClientFronts fronts =
@@ -16,7 +16,7 @@
           new EmbeddedChannel().eventLoop(), UnpooledByteBufAllocator.DEFAULT, line -> {});
 
   @Test
-  void aStopDuringTheStartWaitsForItsEnd() {
+  void waitsForTheStartBeforeStopping() {
     fronts.stop(stops::incrementAndGet);
     assertEquals(0, stops.get());
     fronts.bindFinished();
@@ -24,10 +24,10 @@
   }
 
   @Test
-  void aStopAfterTheStartIsImmediate() {
+  void stopsAtOnceAfterTheStart() {
     fronts.bindFinished();
     fronts.stop(stops::incrementAndGet);
     assertEquals(1, stops.get());
-    assertTrue(fronts.isListening(), "there is no front that does not listen");
+    assertTrue(fronts.isListening(), "not listening although every front is bound");
   }
 }
--- a/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
+++ b/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
@@ -26,18 +26,18 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Idle clients without number, before a process that may hold few descriptors, as the announce
- * service says nothing.
+ * The limits and the reserve of file descriptors, and a server with few descriptors under many idle
+ * clients while the discovery service does not answer.
  */
 @Timeout(120)
 class FileDescriptorBudgetTest {
   private static final int LIMIT = 160;
-  private static final int CROWD = 300;
+  private static final int IDLE_CLIENTS = 300;
 
   @TempDir private Path folder;
 
   @Test
-  void theLowerOfTwoLimitsHoldsAndAPartIsKept() {
+  void appliesLowerLimitAndReservesDescriptors() {
     List<String> table =
         List.of(
             "Limit                     Soft Limit           Hard Limit           Units     ",
@@ -57,42 +57,44 @@
 
   private static String report(ServerSocket service) throws IOException {
     while (true) {
-      try (Socket call = service.accept()) {
+      try (Socket connection = service.accept()) {
         StringBuilder text = new StringBuilder();
-        int next = call.getInputStream().read();
+        int next = connection.getInputStream().read();
         while (next >= 0 && text.indexOf("}") < 0) {
           text.append((char) next);
-          next = text.indexOf("}") < 0 ? call.getInputStream().read() : -1;
+          next = text.indexOf("}") < 0 ? connection.getInputStream().read() : -1;
         }
         if (text.indexOf("}") > 0) {
-          call.getOutputStream()
+          connection
+              .getOutputStream()
               .write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
           return text.toString();
         }
       } catch (IOException reset) {
-        // one that was left meanwhile
+        // a connection that the server has given up meanwhile
       }
     }
   }
 
   /**
-   * Guards against idle clients that take every descriptor: who asks is answered, the pool is
-   * linked again, reports resume.
+   * Guards against idle clients that take every descriptor: requests must be answered, the pool
+   * connection reopened, and load reports resumed.
    */
   @Test
-  void gatewaysAreServedAndLinksReopenedWhileIdleClientsFillTheDescriptors() throws Exception {
-    List<Socket> crowd = new ArrayList<>();
+  void servesGatewaysAndReconnectsWhileIdleClientsTakeAllDescriptors() throws Exception {
+    List<Socket> idleClients = new ArrayList<>();
     List<String> log = Collections.synchronizedList(new ArrayList<>());
     try (StandInPool pool = new StandInPool(1);
-        SocketChannel port = ServerProcess.port();
-        SocketChannel door = ServerProcess.port();
-        ServerSocket announce = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+        SocketChannel clientPort = ServerProcess.port();
+        SocketChannel adminPort = ServerProcess.port();
+        ServerSocket discovery = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       String config =
-          ServerProcess.config(ServerProcess.number(port), ServerProcess.number(door), pool)
+          ServerProcess.config(
+                  ServerProcess.number(clientPort), ServerProcess.number(adminPort), pool)
               .replace("\"sockets\":256", "\"sockets\":1024")
               .replaceFirst(
                   "\"announce\":\"[^\"]*\"",
-                  "\"announce\":\"127.0.0.1:" + announce.getLocalPort() + "\"");
+                  "\"announce\":\"127.0.0.1:" + discovery.getLocalPort() + "\"");
       assertTrue(config.contains("\"sockets\":1024"));
       Path file = Files.writeString(folder.resolve("config.json"), config);
       Process server =
@@ -111,9 +113,8 @@
               .redirectErrorStream(true)
               .start();
       try {
-        BufferedReader out =
-            server.inputReader(); // its lock is the reader's while the process lives: it ends with
-        // that
+        // Not closed here: the thread below holds the lock of the reader until the process ends.
+        BufferedReader out = server.inputReader();
         for (String line = out.readLine();
             !line.contains(" takes-clients ");
             line = out.readLine()) {
@@ -124,29 +125,30 @@
                 () -> {
                   try {
                     out.lines().forEach(log::add);
-                  } catch (UncheckedIOException over) {
-                    // the process has been ended
+                  } catch (UncheckedIOException ended) {
+                    // the process has ended
                   }
                 });
         reader.setDaemon(true);
         reader.start();
-        InetSocketAddress at =
-            new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
-        for (int i = 0; i < CROWD; i++) {
-          crowd.add(new Socket(at.getAddress(), at.getPort()));
+        InetSocketAddress address =
+            new InetSocketAddress(
+                InetAddress.getLoopbackAddress(), ServerProcess.number(clientPort));
+        for (int i = 0; i < IDLE_CLIENTS; i++) {
+          idleClients.add(new Socket(address.getAddress(), address.getPort()));
         }
         for (int i = 1; i <= 20; i++) {
-          try (Crossing gateway = new Crossing(at)) {
+          try (Crossing gateway = new Crossing(address)) {
             gateway.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(i)));
             assertEquals(200, gateway.answer().status());
           }
-          crowd.add(new Socket(at.getAddress(), at.getPort()));
+          idleClients.add(new Socket(address.getAddress(), address.getPort()));
         }
         pool.cut();
         pool.awaitLink();
-        assertTrue(report(announce).startsWith("PUT /announce/n1 "));
-        assertTrue(report(announce).endsWith("}"), "reports resume");
-        try (Crossing gateway = new Crossing(at)) {
+        assertTrue(report(discovery).startsWith("PUT /announce/n1 "));
+        assertTrue(report(discovery).endsWith("}"), "load reports have not resumed");
+        try (Crossing gateway = new Crossing(address)) {
           gateway.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(99)));
           assertEquals(200, gateway.answer().status());
         }
@@ -156,8 +158,8 @@
             () -> String.join("\n", log));
       } finally {
         server.destroyForcibly().waitFor();
-        for (Socket one : crowd) {
-          one.close();
+        for (Socket client : idleClients) {
+          client.close();
         }
       }
     }
--- a/src/test/java/mothwing/server/ServerRaceTest.java
+++ b/src/test/java/mothwing/server/ServerRaceTest.java
@@ -29,14 +29,14 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Each row of docs/races.md that needs a whole server and real sockets: the crossing is forced, not
- * waited for.
+ * Races between a server and its peers over real sockets, for the rows of docs/races.md that need a
+ * whole server. Each test holds the event loop to force the order of events.
  */
 @Timeout(120)
-class CrossingTest {
-  private static final int STATUS_REFUSED = 503;
-  private static final int STATUS_SERVED = 200;
-  private static final int LOOKS = 20;
+class ServerRaceTest {
+  private static final int STATUS_UNAVAILABLE = 503;
+  private static final int STATUS_OK = 200;
+  private static final int MAX_IDLE_TURNS = 20;
 
   private final BlockingLog log = new BlockingLog();
   private InetSocketAddress listen = Loopback.any();
@@ -48,19 +48,18 @@
         "n1", listen, pool.address(), Loopback.NOBODY, null, null, 3200, sockets, settings, null);
   }
 
-  private void make(long workMs, int sockets) throws IOException {
+  private void create(long workMs, int sockets) throws IOException {
     pool = new StandInPool(workMs);
     server = new Server(config(BrokerFixture.settings(60, 2), sockets), null, log);
   }
 
   private void start(long workMs, int sockets) throws Exception {
-    make(workMs, sockets);
+    create(workMs, sockets);
     server.start();
     log.awaitLine("ready ");
-    while (!server
-        .counts()
-        .contains(
-            "pool-notice-gauges=")) { // until then an order's start is asked about, by a pause
+    // Before the first answered poll the start of an order is in doubt after a reconnect, and the
+    // broker would stop the run to find out whether it was started.
+    while (!server.counts().contains("pool-notice-gauges=")) {
       Thread.sleep(1);
     }
   }
@@ -69,36 +68,36 @@
     return new Crossing(server.clientAddresses().get(0));
   }
 
-  /** A connection on which a check was answered and nothing is open. */
-  private Crossing resting() throws IOException {
-    Crossing one = connect();
-    one.send(Crossing.ping(1));
-    assertEquals(STATUS_SERVED, one.answer().status());
-    return one;
+  /** Opens a connection on which a health check was answered and no request is open. */
+  private Crossing openIdle() throws IOException {
+    Crossing client = connect();
+    client.send(Crossing.ping(1));
+    assertEquals(STATUS_OK, client.answer().status());
+    return client;
   }
 
-  /**
-   * Holds the event loop where a line of this start is written, as a thread of its own does
-   * something that leads there.
-   */
-  private void holdAt(String line, Runnable leadsThere) throws InterruptedException {
-    log.hold(line);
-    leadsThere.run();
+  /** Runs an action and holds the event loop when it then writes a log line with a prefix. */
+  private void holdAt(String prefix, Runnable action) throws InterruptedException {
+    log.hold(prefix);
+    action.run();
     log.awaitHeld();
   }
 
-  /** Holds the event loop at no particular step. */
+  /** Holds the event loop at an arbitrary point. */
   private void holdLoop() throws InterruptedException {
     holdAt("reload-failed", () -> server.reloadFailed("the test holds the loop"));
   }
 
-  /** Sends bytes while the event loop is held, until they lie unread in the server's socket. */
+  /**
+   * Sends bytes while the event loop is held, and waits until they lie unread in the server's
+   * socket.
+   */
   private static void sendUnread(Crossing gateway, byte[] bytes) throws IOException {
     gateway.send(bytes);
     gateway.awaitUnread(bytes.length);
   }
 
-  /** Lets the server find bytes in its socket in one turn of the loop. */
+  /** Sends bytes such that the server finds all of them in one turn of the event loop. */
   private void sendAtOnce(Crossing gateway, byte[] bytes) throws Exception {
     holdLoop();
     sendUnread(gateway, bytes);
@@ -116,20 +115,20 @@
   }
 
   /**
-   * Guards against a close over unread bytes: it resets the connection, and the answers on their
-   * way go with it.
+   * Guards against a close with unread bytes, which resets the connection and loses the answers in
+   * flight.
    */
   @Test
-  void nothingLiesUnreadBehindAnAnswerAsItsConnectionIsClosed() throws Exception {
+  void readsAllInputBeforeClosingAfterAnAnswer() throws Exception {
     start(1, 256);
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
-    all.writeBytes(Crossing.ping(1));
-    all.writeBytes(new byte[] {9}); // no version of the protocol
-    all.writeBytes(new byte[50_000]);
-    try (Crossing one = connect()) {
-      sendAtOnce(one, all.toByteArray());
-      assertEquals(STATUS_SERVED, one.answer().status());
-      assertTrue(one.endsInOrder(), "it was reset");
+    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+    bytes.writeBytes(Crossing.ping(1));
+    bytes.writeBytes(new byte[] {9}); // an invalid protocol version
+    bytes.writeBytes(new byte[50_000]);
+    try (Crossing client = connect()) {
+      sendAtOnce(client, bytes.toByteArray());
+      assertEquals(STATUS_OK, client.answer().status());
+      assertTrue(client.endsInOrder(), "the connection was reset");
     }
     log.awaitLine("connection-closed side=fastcgi reason=malformed");
     assertTrue(
@@ -137,16 +136,16 @@
             .anyMatch(
                 line ->
                     line.startsWith("connection-closed side=fastcgi reason=malformed")
-                        && line.contains(" in=" + all.size() + " ")),
-        "unread at the close: " + log.lines());
+                        && line.contains(" in=" + bytes.size() + " ")),
+        "bytes were unread at the close: " + log.lines());
   }
 
   /**
-   * Guards against who never closes, or never stops sending, behind a close of this side: it holds
-   * no descriptor for long.
+   * Guards against a peer that never closes, or never stops sending, after the server has closed
+   * its side, and so would hold a descriptor for long.
    */
   @Test
-  void whoDoesNotCloseTooIsClosedAfterAWhileOrAfterSoManyBytes() throws Exception {
+  void endsLingerAfterATimeoutOrTooManyBytes() throws Exception {
     start(1, 256);
     byte[] notTheProtocol = {9, 9, 9, 9, 9, 9, 9, 9};
     try (Crossing silent = connect();
@@ -167,25 +166,25 @@
   }
 
   /**
-   * Guards against a request that lies in the socket of a resting connection as the notice to leave
-   * closes it.
+   * Guards against a shutdown that closes an idle connection while a request lies unread in its
+   * socket.
    */
   @Test
-  void aRequestThatLiesUnreadAsTheNoticeToLeaveComesIsAnswered() throws Exception {
+  void answersUnreadRequestWhenShutdownIsRequested() throws Exception {
     start(1, 256);
-    try (Crossing whole = resting();
-        Crossing half = resting()) {
+    try (Crossing complete = openIdle();
+        Crossing incomplete = openIdle()) {
       byte[] request = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(2));
       holdAt("shutdown-requested ", server::drain);
-      sendUnread(whole, request);
-      byte[] other = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
-      sendUnread(half, Arrays.copyOf(other, 30));
+      sendUnread(complete, request);
+      byte[] splitRequest = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
+      sendUnread(incomplete, Arrays.copyOf(splitRequest, 30));
       log.release();
-      assertNotNull(whole.answer(), "closed without an answer");
-      assertTrue(whole.endsInOrder());
-      half.send(Arrays.copyOfRange(other, 30, other.length));
-      assertNotNull(half.answer(), "closed in the middle of a request");
-      assertTrue(half.endsInOrder());
+      assertNotNull(complete.answer(), "closed without an answer");
+      assertTrue(complete.endsInOrder());
+      incomplete.send(Arrays.copyOfRange(splitRequest, 30, splitRequest.length));
+      assertNotNull(incomplete.answer(), "closed in the middle of a request");
+      assertTrue(incomplete.endsInOrder());
     }
     server.await();
     assertTrue(server.counts().contains(" pending=0 "), server.counts());
@@ -193,158 +192,156 @@
   }
 
   /**
-   * Asks until the server reads no further, as its answers are not read; says how many were asked
-   * for.
+   * Sends requests until the server stops reading because its answers are not read, and returns the
+   * number of requests sent.
    */
-  private int fill(Crossing one) throws IOException {
-    int asked = 0;
-    for (int looks = 0; looks < LOOKS; ) {
-      ByteArrayOutputStream some = new ByteArrayOutputStream();
+  private int fill(Crossing client) throws IOException {
+    int requestsSent = 0;
+    for (int idleTurns = 0; idleTurns < MAX_IDLE_TURNS; ) {
+      ByteArrayOutputStream requests = new ByteArrayOutputStream();
       for (int i = 1; i <= 30; i++) {
-        some.writeBytes(Crossing.counts(i));
+        requests.writeBytes(Crossing.counts(i));
       }
-      one.send(some.toByteArray());
-      asked += 30;
-      looks = 0;
-      while (one.unread() > 0 && looks < LOOKS) { // each is a turn of the loop
-        server.counts();
-        looks++;
+      client.send(requests.toByteArray());
+      requestsSent += 30;
+      idleTurns = 0;
+      while (client.unread() > 0 && idleTurns < MAX_IDLE_TURNS) {
+        server.counts(); // takes a turn of the event loop
+        idleTurns++;
       }
     }
-    return asked;
+    return requestsSent;
   }
 
   /**
-   * Guards against a full socket buffer: nothing is read meanwhile, so a connection with requests
-   * in its socket seems to rest.
+   * Guards against a full socket buffer: the server reads nothing meanwhile, so a connection with
+   * requests in its socket seems idle.
    */
   @Test
-  void aRequestThatLiesUnreadBehindAFullSocketBufferAsTheNoticeToLeaveComesIsAnswered()
-      throws Exception {
+  void answersUnreadRequestsBehindFullSocketBufferWhenShutdownIsRequested() throws Exception {
     start(1, 256);
-    try (Crossing one = new Crossing(server.clientAddresses().get(0), 4096)) {
-      int asked = fill(one);
+    try (Crossing client = new Crossing(server.clientAddresses().get(0), 4096)) {
+      int requestsSent = fill(client);
       holdAt("shutdown-requested ", server::drain);
-      one.awaitUnread(1);
+      client.awaitUnread(1);
       log.release();
-      for (int i = 0; i < asked; i++) {
-        assertNotNull(one.answer(), "closed without answer " + i + " of " + asked);
+      for (int i = 0; i < requestsSent; i++) {
+        assertNotNull(client.answer(), "closed without answer " + i + " of " + requestsSent);
       }
-      assertTrue(one.endsInOrder());
+      assertTrue(client.endsInOrder());
     }
     server.await();
   }
 
   /**
-   * Guards against a connection that waits to be accepted, its request written, as the notice
-   * closes the listener.
+   * Guards against a shutdown that closes the listener while a connection waits to be accepted and
+   * its request is already sent.
    */
   @Test
-  void whoWaitsToBeAcceptedAsTheNoticeComesIsAnswered() throws Exception {
+  void answersClientInBacklogWhenShutdownIsRequested() throws Exception {
     start(1, 256);
-    InetSocketAddress at = server.clientAddresses().get(0);
+    InetSocketAddress address = server.clientAddresses().get(0);
     holdLoop();
     server.drain();
-    try (Crossing one = new Crossing(at);
-        Crossing silent = new Crossing(at)) {
+    try (Crossing client = new Crossing(address);
+        Crossing silent = new Crossing(address)) {
       byte[] request = Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1));
-      sendUnread(one, request);
+      sendUnread(client, request);
       log.release();
-      assertNotNull(one.answer(), "closed without an answer");
-      assertTrue(one.endsInOrder() && silent.endsInOrder());
+      assertNotNull(client.answer(), "closed without an answer");
+      assertTrue(client.endsInOrder() && silent.endsInOrder());
     }
     server.await();
     assertTrue(server.counts().contains(" pending=0 "), server.counts());
   }
 
   /**
-   * Guards against the same at the idle limit, which here falls to nothing in the very turn in
-   * which the request comes.
+   * Guards against the idle limit closing a connection while a request lies unread in its socket.
+   * Here a reload lowers the limit to 1 µs in the same turn in which the request arrives.
    */
   @Test
-  void aRequestThatLiesUnreadAsTheIdleLimitComesIsAnswered() throws Exception {
+  void answersUnreadRequestWhenIdleLimitExpires() throws Exception {
     start(1, 256);
-    try (Crossing one = resting();
-        Crossing other = resting()) {
+    try (Crossing client = openIdle();
+        Crossing otherClient = openIdle()) {
       byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdLoop();
       server.reload(config(SettingsVariants.idle(BrokerFixture.settings(60, 2), 1), 256));
-      sendUnread(one, request);
+      sendUnread(client, request);
       log.release();
-      Answer answer = one.answer();
+      Answer answer = client.answer();
       assertNotNull(answer, "closed without an answer");
-      assertEquals(STATUS_SERVED, answer.status());
-      assertTrue(other.endsInOrder() && one.endsInOrder());
+      assertEquals(STATUS_OK, answer.status());
+      assertTrue(otherClient.endsInOrder() && client.endsInOrder());
     }
   }
 
   /**
-   * Guards against the same as a newcomer wants the place: here there is one place, and the
-   * newcomer came first.
+   * Guards against the eviction of a connection while a request lies unread in its socket. Here the
+   * limit is one connection, and the new connection arrives before the request.
    */
   @Test
-  void aRequestThatLiesUnreadAsItsConnectionIsToGiveWayIsAnswered() throws Exception {
+  void answersUnreadRequestOfConnectionToBeEvicted() throws Exception {
     start(1, 33);
-    try (Crossing one = resting()) {
+    try (Crossing client = openIdle()) {
       byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdLoop();
-      try (Crossing newcomer = connect()) {
-        sendUnread(one, request);
+      try (Crossing newConnection = connect()) {
+        sendUnread(client, request);
         log.release();
-        Answer answer = one.answer();
+        Answer answer = client.answer();
         assertNotNull(answer, "closed without an answer");
-        assertEquals(STATUS_SERVED, answer.status());
-        assertNull(newcomer.answer());
+        assertEquals(STATUS_OK, answer.status());
+        assertNull(newConnection.answer());
       }
     }
-    try (Crossing next = resting();
-        Crossing after = resting()) { // the first gives way to the second
+    try (Crossing next = openIdle();
+        Crossing after = openIdle()) { // the second connection evicts the first
       assertTrue(next.endsInOrder());
       after.send(Crossing.ping(2));
-      assertEquals(STATUS_SERVED, after.answer().status());
+      assertEquals(STATUS_OK, after.answer().status());
     }
   }
 
   /**
-   * Guards against a listener that is opened behind the way out: who connects there would be cut
-   * off by the end.
+   * Guards against a listener that is bound after the shutdown: clients that connect there would be
+   * reset when the process ends.
    */
   @Test
-  void theNoticeToLeaveDuringTheStartWaitsForWhatIsBeingBound() throws Exception {
-    listen =
-        new InetSocketAddress(
-            "127.0.83.1", 0); // where no other test and no caller takes the port that was left
-    make(1, 256);
+  void waitsForBindsWhenShutdownIsRequestedDuringStart() throws Exception {
+    // An address at which no other test or client takes the port after its release.
+    listen = new InetSocketAddress("127.0.83.1", 0);
+    create(1, 256);
     server.drain();
     server.start();
-    InetSocketAddress had = server.clientAddresses().get(0);
+    InetSocketAddress previous = server.clientAddresses().get(0);
     server.await();
-    assertThrows(ConnectException.class, () -> new Crossing(had).close());
+    assertThrows(ConnectException.class, () -> new Crossing(previous).close());
     assertTrue(log.lines().contains("shutdown-complete pending=0"), log.lines()::toString);
   }
 
   /**
-   * Guards against a start that is on its way to the pool, or an end on its way back, as the notice
-   * comes, twice.
+   * Guards against losing or repeating a run whose start or end is in flight between server and
+   * pool when a shutdown is requested, twice.
    */
   @Test
-  void whatIsOnItsWayToThePoolAsTheNoticeComesRunsOnceAndIsAnswered() throws Exception {
+  void runsRequestInFlightOnceDuringGracefulShutdown() throws Exception {
     start(-1, 256);
-    try (Crossing one = connect();
-        Crossing two = connect()) {
-      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+    try (Crossing client = connect();
+        Crossing secondClient = connect()) {
+      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("shutdown-requested ", server::drain);
-      pool.release(); // its end lies in the link's socket
+      pool.release(); // the end of the run lies unread in the socket of the pool connection
       server.drain();
-      two.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
+      secondClient.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       log.release();
-      Answer served = one.answer();
-      assertEquals(STATUS_SERVED, served.status());
+      Answer served = client.answer();
+      assertEquals(STATUS_OK, served.status());
       assertArrayEquals(new byte[] {3, 2, 1}, served.content());
-      Answer late = two.answer();
-      assertEquals(STATUS_REFUSED, late.status());
-      assertTrue(one.endsInOrder() && two.endsInOrder());
+      Answer rejected = secondClient.answer();
+      assertEquals(STATUS_UNAVAILABLE, rejected.status());
+      assertTrue(client.endsInOrder() && secondClient.endsInOrder());
     }
     server.await();
     assertEquals(1, pool.spawns().size());
@@ -352,72 +349,78 @@
   }
 
   /**
-   * Guards against a reload during the way out that opens links again, or brings classes that
-   * nobody may run any more.
+   * Guards against a reload during a shutdown that reopens connections, or replaces the classes so
+   * that open requests may no longer run.
    */
   @Test
-  void newSettingsDuringTheWayOutChangeNothingForWhatIsOpen() throws Exception {
+  void keepsOpenRequestsWhenReloadedDuringShutdown() throws Exception {
     start(-1, 256);
-    try (Crossing one = connect()) {
-      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+    try (Crossing client = connect()) {
+      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("shutdown-requested ", server::drain);
-      Settings had = BrokerFixture.settings(60, 2);
-      RequestClass other =
+      Settings previous = BrokerFixture.settings(60, 2);
+      RequestClass replacement =
           new RequestClass(
-              "other", 1, 1_000, 1, 0, had.classes().get(0).idempotency(), 0, false, 0);
+              "other", 1, 1_000, 1, 0, previous.classes().get(0).idempotency(), 0, false, 0);
       server.reload(
-          config(SettingsVariants.parts(had, List.of(other), List.of(new Tenant("two", 1))), 256));
+          config(
+              SettingsVariants.parts(previous, List.of(replacement), List.of(new Tenant("two", 1))),
+              256));
       log.release();
       log.awaitLine("reload ");
       pool.release();
-      assertEquals(STATUS_SERVED, one.answer().status());
+      assertEquals(STATUS_OK, client.answer().status());
     }
     server.await();
   }
 
   /**
-   * Guards against one number of a connection that stands for two requests as an abort crosses the
-   * answer.
+   * Guards against confusing two requests with the same id on a connection when an abort crosses
+   * the answer to the first.
    */
   @Test
-  void aNumberUsedAgainRightBehindItsAbortIsAnsweredOnceForEach() throws Exception {
+  void answersEachRequestWhenAnIdIsReusedAfterAnAbort() throws Exception {
     start(-1, 256);
-    try (Crossing one = connect()) {
-      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+    try (Crossing client = connect()) {
+      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdLoop();
       pool.release(); // the answer of the first is ready in the same turn as its abort
-      ByteArrayOutputStream all = new ByteArrayOutputStream();
-      all.writeBytes(Gateway.FastCgi.abort(1));
-      all.writeBytes(Crossing.ping(1));
-      one.send(all.toByteArray());
-      one.awaitUnread(all.size());
+      ByteArrayOutputStream bytes = new ByteArrayOutputStream();
+      bytes.writeBytes(Gateway.FastCgi.abort(1));
+      bytes.writeBytes(Crossing.ping(1));
+      client.send(bytes.toByteArray());
+      client.awaitUnread(bytes.size());
       log.release();
-      assertNotNull(one.answer()); // of the first: its result, or that it was aborted
-      Answer second = one.answer();
-      assertEquals(STATUS_SERVED, second.status());
+      // The answer to the first request: its result, or the answer to the abort.
+      assertNotNull(client.answer());
+      Answer second = client.answer();
+      assertEquals(STATUS_OK, second.status());
       assertEquals(0, second.content().length);
     }
     pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
   }
 
-  /** Guards against a caller's reset that crosses its answer, and costs others theirs. */
+  /**
+   * Guards against a reset by one client that crosses its answer and loses the answers of other
+   * clients.
+   */
   @Test
-  void aResetThatCrossesAnAnswerCostsNobodyElseAnything() throws Exception {
+  void answersOtherClientsWhenAResetCrossesAnAnswer() throws Exception {
     start(-1, 256);
-    try (Crossing other = connect()) {
-      Crossing one = connect();
-      one.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
-      other.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
+    try (Crossing otherClient = connect()) {
+      Crossing client = connect();
+      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+      otherClient.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       pool.awaitSpawns(2);
       holdLoop();
       pool.release();
-      one.reset();
+      client.reset();
       log.release();
-      assertEquals(STATUS_SERVED, other.answer().status());
+      assertEquals(STATUS_OK, otherClient.answer().status());
       while (!server.counts().contains("open=0 ")) {
-        Thread.sleep(1); // the end of the other run may come a moment later
+        Thread.sleep(1); // the end of the other run may arrive a moment later
       }
     }
     pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -43,56 +43,56 @@
   private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
   private StandInPool pool;
   private Server server;
-  private double patience;
-  private InetSocketAddress door;
+  private double deadlineSeconds;
+  private InetSocketAddress adminAddress;
 
-  private void start(StandInPool with, double patience, InetSocketAddress announce)
+  private void start(StandInPool standIn, double deadlineSeconds, InetSocketAddress announce)
       throws IOException {
-    pool = with;
-    this.patience = patience;
+    pool = standIn;
+    this.deadlineSeconds = deadlineSeconds;
     server = new Server(config(pool.address(), announce), Loopback.any(), lines::add);
     server.start();
   }
 
-  private Config config(InetSocketAddress poolAt, InetSocketAddress announce) {
+  private Config config(InetSocketAddress poolAddress, InetSocketAddress announce) {
     return new Config(
         "n1",
         Loopback.any(),
-        poolAt,
+        poolAddress,
         announce,
         null,
-        door,
+        adminAddress,
         3200,
         256,
-        BrokerFixture.settings(patience, 2),
+        BrokerFixture.settings(deadlineSeconds, 2),
         null);
   }
 
-  private void startReady(long workMs, double patience) throws IOException {
-    start(new StandInPool(workMs), patience, Loopback.NOBODY);
+  private void startReady(long workMs, double deadlineSeconds) throws IOException {
+    start(new StandInPool(workMs), deadlineSeconds, Loopback.NOBODY);
     awaitPing(200);
   }
 
-  private GatewayConnection till(Gateway gateway) throws IOException {
+  private GatewayConnection connect(Gateway gateway) throws IOException {
     return new GatewayConnection(
         gateway, server.clientAddresses().get(gateway instanceof Gateway.Ajp ? 1 : 0));
   }
 
-  private int ping(GatewayConnection till) throws IOException {
-    till.send(till.gateway.request(1, "/ping", "probe=1", Map.of(), new byte[0]));
-    return till.answer().status();
+  private int ping(GatewayConnection connection) throws IOException {
+    connection.send(connection.gateway.request(1, "/ping", "probe=1", Map.of(), new byte[0]));
+    return connection.answer().status();
   }
 
   private void awaitPing(int status) throws IOException {
-    try (GatewayConnection till = till(new Gateway.Ajp())) {
-      while (ping(till) != status) {
+    try (GatewayConnection connection = connect(new Gateway.Ajp())) {
+      while (ping(connection) != status) {
         Thread.onSpinWait();
       }
     }
   }
 
-  private void awaitLine(String start) {
-    while (List.copyOf(lines).stream().noneMatch(line -> line.startsWith(start))) {
+  private void awaitLine(String prefix) {
+    while (List.copyOf(lines).stream().noneMatch(line -> line.startsWith(prefix))) {
       Thread.onSpinWait();
     }
   }
@@ -107,18 +107,19 @@
   }
 
   @Test
-  void aRequestGoesThroughToThePoolAndItsResultBackUnchanged() throws Exception {
+  void passesBodiesAndResultsUnchangedBetweenGatewaysAndPool() throws Exception {
     startReady(1, 4.5);
     byte[] body = new byte[2048];
     for (int i = 0; i < body.length; i++) {
       body[i] = (byte) (i * 7);
     }
     for (Supplier<Gateway> front : FRONTS) {
-      try (GatewayConnection till = till(front.get())) {
+      try (GatewayConnection connection = connect(front.get())) {
         for (int i = 1; i <= 20; i++) {
           byte[] sent = Arrays.copyOf(body, i % 3 == 0 ? 0 : 2048 - i);
-          till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(i + till.gateway.hashCode()), sent);
-          Answer answer = till.answer();
+          connection.ask(
+              1, BrokerFixture.ORDER, BrokerFixture.id(i + connection.gateway.hashCode()), sent);
+          Answer answer = connection.answer();
           assertEquals(200, answer.status());
           assertArrayEquals(StandInPool.made(sent), answer.content());
         }
@@ -128,76 +129,77 @@
   }
 
   @Test
-  void whatThePoolDoesNotEndFailsByItsDueTimeAndIsStopped() throws Exception {
+  void failsAndStopsRunThatMissesItsDeadline() throws Exception {
     startReady(-1, 1);
     for (Supplier<Gateway> front : FRONTS) {
-      try (GatewayConnection till = till(front.get())) {
-        till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(till.gateway.hashCode()), new byte[9]);
-        assertEquals(500, till.answer().status());
+      try (GatewayConnection connection = connect(front.get())) {
+        connection.ask(
+            1, BrokerFixture.ORDER, BrokerFixture.id(connection.gateway.hashCode()), new byte[9]);
+        assertEquals(500, connection.answer().status());
       }
     }
     pool.awaitSuspends(2);
   }
 
   @Test
-  void aCallerThatLeavesEndsItsRun() throws Exception {
+  void stopsRunWhenItsCallerDisconnects() throws Exception {
     startReady(-1, 60);
-    int left = 0;
+    int disconnected = 0;
     for (Supplier<Gateway> front : FRONTS) {
-      GatewayConnection till = till(front.get());
-      till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(7 + left), new byte[9]);
-      pool.awaitSpawns(++left);
-      till.close();
-      pool.awaitSuspends(left);
+      GatewayConnection connection = connect(front.get());
+      connection.ask(1, BrokerFixture.ORDER, BrokerFixture.id(7 + disconnected), new byte[9]);
+      pool.awaitSpawns(++disconnected);
+      connection.close();
+      pool.awaitSuspends(disconnected);
     }
   }
 
   /**
-   * Guards against a run's end that is lost with the link, and against a second run of what must
-   * run once.
+   * Guards against the end of a run that is lost with the pool connection, and against a second run
+   * of a request that must run once.
    */
   @Test
-  void aBrokenLinkLosesNoEndAndRepeatsNoRun() throws Exception {
+  void losesNoEndAndRepeatsNoRunWhenPoolConnectionBreaks() throws Exception {
     startReady(-1, 60);
-    try (GatewayConnection one = till(new Gateway.FastCgi());
-        GatewayConnection two = till(new Gateway.Ajp())) {
-      one.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
-      two.ask(1, BrokerFixture.LOOK, BrokerFixture.id(2), new byte[] {4, 5});
+    try (GatewayConnection fastCgi = connect(new Gateway.FastCgi());
+        GatewayConnection ajp = connect(new Gateway.Ajp())) {
+      fastCgi.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
+      ajp.ask(1, BrokerFixture.LOOK, BrokerFixture.id(2), new byte[] {4, 5});
       pool.awaitSpawns(2);
       pool.cut();
       pool.release();
-      assertArrayEquals(new byte[] {3, 2, 1}, one.answer().content());
-      assertArrayEquals(new byte[] {5, 4}, two.answer().content());
+      assertArrayEquals(new byte[] {3, 2, 1}, fastCgi.answer().content());
+      assertArrayEquals(new byte[] {5, 4}, ajp.answer().content());
       assertEquals(1, pool.spawns().get(BrokerFixture.id(1)));
       pool.awaitLink();
-      two.ask(1, BrokerFixture.LOOK, BrokerFixture.id(3), new byte[] {6});
+      ajp.ask(1, BrokerFixture.LOOK, BrokerFixture.id(3), new byte[] {6});
       pool.awaitSpawns(3);
       pool.release();
-      assertEquals(200, two.answer().status());
+      assertEquals(200, ajp.answer().status());
     }
   }
 
   /**
-   * Guards against a run that a new address of the pool loses or repeats, and against a server that
-   * stays behind.
+   * Guards against a change of the pool's address that loses or repeats a run, and against a server
+   * that stays connected to the old address.
    */
   @Test
-  void aNewAddressOfThePoolLosesNoRun() throws Exception {
+  void losesNoRunWhenPoolAddressChanges() throws Exception {
     startReady(-1, 60);
-    try (GatewayConnection one = till(new Gateway.FastCgi());
-        GatewayConnection two = till(new Gateway.Ajp());
-        StandInPool.Door door = pool.door()) {
-      one.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
+    try (GatewayConnection fastCgi = connect(new Gateway.FastCgi());
+        GatewayConnection ajp = connect(new Gateway.Ajp());
+        StandInPool.Door newAddress = pool.door()) {
+      fastCgi.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
       pool.awaitSpawns(1);
-      for (int i = 0; i < 3; i++) { // the signal may repeat
-        server.reload(config(door.address(), Loopback.NOBODY));
+      for (int i = 0; i < 3; i++) { // SIGHUP may arrive repeatedly
+        server.reload(config(newAddress.address(), Loopback.NOBODY));
       }
       awaitLine("connection-closed side=pool reason=moved");
-      two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {4, 5});
+      ajp.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {4, 5});
       pool.awaitSpawns(2);
       pool.release();
-      assertArrayEquals(new byte[] {3, 2, 1}, one.answer().content());
-      assertArrayEquals(new byte[] {5, 4}, two.answer().content());
+      assertArrayEquals(new byte[] {3, 2, 1}, fastCgi.answer().content());
+      assertArrayEquals(new byte[] {5, 4}, ajp.answer().content());
       pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
       assertEquals(
           1, List.copyOf(lines).stream().filter(line -> line.contains("reason=moved")).count());
@@ -205,16 +207,16 @@
   }
 
   @Test
-  void aPoolThatComesUpLateIsWaitedFor() throws Exception {
-    StandInPool late = new StandInPool(1);
-    late.up(false);
-    start(late, 4.5, Loopback.NOBODY);
+  void waitsForPoolThatStartsLate() throws Exception {
+    StandInPool standIn = new StandInPool(1);
+    standIn.up(false);
+    start(standIn, 4.5, Loopback.NOBODY);
     pool.awaitLink();
     for (Supplier<Gateway> front : FRONTS) {
-      try (GatewayConnection till = till(front.get())) {
-        assertEquals(503, ping(till));
-        till.ask(1, BrokerFixture.LOOK, BrokerFixture.id(1), new byte[0]);
-        assertEquals(503, till.answer().status());
+      try (GatewayConnection connection = connect(front.get())) {
+        assertEquals(503, ping(connection));
+        connection.ask(1, BrokerFixture.LOOK, BrokerFixture.id(1), new byte[0]);
+        assertEquals(503, connection.answer().status());
       }
     }
     pool.up(true);
@@ -222,23 +224,23 @@
   }
 
   @Test
-  void theNoticeToLeaveAnswersWhatWasReadAndRunsNothingNew() throws Exception {
+  void answersReadRequestsAndRejectsNewOnesDuringShutdown() throws Exception {
     startReady(-1, 60);
-    try (GatewayConnection one = till(new Gateway.FastCgi());
-        GatewayConnection two = till(new Gateway.Ajp())) {
-      one.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2});
-      two.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {3});
+    try (GatewayConnection fastCgi = connect(new Gateway.FastCgi());
+        GatewayConnection ajp = connect(new Gateway.Ajp())) {
+      fastCgi.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2});
+      ajp.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {3});
       pool.awaitSpawns(2);
       server.drain();
       awaitLine("shutdown-requested ");
-      one.ask(2, BrokerFixture.ORDER, BrokerFixture.id(3), new byte[0]);
-      Answer refusal = one.answer();
-      assertEquals(503, refusal.status());
-      assertTrue(Long.parseLong(refusal.fields().get("Hold-Off-Ms")) > 0);
+      fastCgi.ask(2, BrokerFixture.ORDER, BrokerFixture.id(3), new byte[0]);
+      Answer rejection = fastCgi.answer();
+      assertEquals(503, rejection.status());
+      assertTrue(Long.parseLong(rejection.fields().get("Hold-Off-Ms")) > 0);
       pool.release();
-      assertArrayEquals(new byte[] {2, 1}, one.answer().content());
-      assertArrayEquals(new byte[] {3}, two.answer().content());
-      assertTrue(one.closedByServer() && two.closedByServer());
+      assertArrayEquals(new byte[] {2, 1}, fastCgi.answer().content());
+      assertArrayEquals(new byte[] {3}, ajp.answer().content());
+      assertTrue(fastCgi.closedByServer() && ajp.closedByServer());
     }
     server.await();
     assertEquals(2, pool.spawns().size());
@@ -246,7 +248,7 @@
     assertTrue(server.counts().contains(" completed=2"), server.counts());
   }
 
-  private String call(String line) throws IOException, InterruptedException {
+  private String runAdminCommand(String line) throws IOException, InterruptedException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Commands.run(
         new String[] {"manage", "--server", "127.0.0.1:" + server.adminAddress().getPort(), line},
@@ -257,47 +259,49 @@
   }
 
   /**
-   * Guards against a door that callers who say nothing can block, and against calls that change
-   * what they should not.
+   * Guards against an admin listener that silent clients can block, and against commands that
+   * change more than they should.
    */
   @Test
-  void operatorsAskAndTellThroughADoorThatSilentCallersCannotBlock() throws Exception {
-    door = Loopback.any();
+  void executesAdminCommandsDespiteSilentAdminConnections() throws Exception {
+    adminAddress = Loopback.any();
     start(new StandInPool(1), 4.5, Loopback.NOBODY);
     awaitLine("takes-clients ");
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       silent.add(new Socket(server.adminAddress().getAddress(), server.adminAddress().getPort()));
     }
-    assertEquals("YES\n", call("health"));
-    assertEquals("YES\n", call("LEAVE"));
-    try (GatewayConnection till = till(new Gateway.FastCgi())) {
-      assertEquals(503, ping(till));
-      till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2});
-      assertEquals(200, till.answer().status());
+    assertEquals("YES\n", runAdminCommand("health"));
+    assertEquals("YES\n", runAdminCommand("LEAVE"));
+    try (GatewayConnection connection = connect(new Gateway.FastCgi())) {
+      assertEquals(503, ping(connection));
+      connection.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2});
+      assertEquals(200, connection.answer().status());
       server.reloadFailed("on purpose");
-      assertEquals("YES\n", call("JOIN"));
-      assertEquals(200, ping(till));
+      assertEquals("YES\n", runAdminCommand("JOIN"));
+      assertEquals(200, ping(connection));
     }
-    String figures = call("DUMP");
-    assertTrue(figures.startsWith("{\"completed\":{\"stock-check\":0,\"place-order\":1}"), figures);
+    String statistics = runAdminCommand("DUMP");
     assertTrue(
-        figures.endsWith("\"pending\":0,\"config_reloads\":0,\"config_reload_errors\":1}\nEND\n"),
-        figures);
-    for (Socket one : silent) {
-      one.close();
+        statistics.startsWith("{\"completed\":{\"stock-check\":0,\"place-order\":1}"), statistics);
+    assertTrue(
+        statistics.endsWith(
+            "\"pending\":0,\"config_reloads\":0,\"config_reload_errors\":1}\nEND\n"),
+        statistics);
+    for (Socket socket : silent) {
+      socket.close();
     }
   }
 
   /**
-   * Guards against a file that is cut, or means nothing, and is taken in part: whatever is wrong,
-   * nothing changes.
+   * Guards against a truncated or invalid configuration file that is applied in part: after any
+   * error nothing may change.
    */
   @Test
-  void aFaultyFileIsTurnedDownWholeAndCounted(@TempDir Path folder) throws Exception {
+  void rejectsFaultyConfigurationAsAWholeAndCountsIt(@TempDir Path folder) throws Exception {
     pool = new StandInPool(1);
-    String good = ServerProcess.config(1, 2, pool);
-    Path file = Files.writeString(folder.resolve("config.json"), good);
+    String valid = ServerProcess.config(1, 2, pool);
+    Path file = Files.writeString(folder.resolve("config.json"), valid);
     Config first = Config.read(file.toString());
     server =
         new Server(
@@ -316,36 +320,38 @@
             lines::add);
     server.start();
     awaitLine("takes-clients ");
-    ConfigReloader reload = new ConfigReloader(file.toString(), first, server);
-    List<String> wrong =
-        new ArrayList<>(List.of("", "{", good.substring(0, good.length() / 2), good + "{}"));
+    ConfigReloader reloader = new ConfigReloader(file.toString(), first, server);
+    List<String> invalid =
+        new ArrayList<>(List.of("", "{", valid.substring(0, valid.length() / 2), valid + "{}"));
     for (String deadline :
         List.of("0", "-1", "0.5", "\"4500000\"", "NaN", "\"NaN\"", "1e999", "null", "true", "[]")) {
-      wrong.add(good.replaceFirst("\"GiveUp\":4500000", "\"GiveUp\":" + deadline));
+      invalid.add(valid.replaceFirst("\"GiveUp\":4500000", "\"GiveUp\":" + deadline));
     }
     for (String key : List.of("seed", "limits", "settings", "management", "stop_ms", "pool")) {
-      wrong.add(good.replace("\"" + key + "\"", "\"other\""));
+      invalid.add(valid.replace("\"" + key + "\"", "\"other\""));
     }
     for (String key :
         List.of("Worth", "GiveUp", "Cores", "DrainGrace", "QuotaPerS", "Tenants", "Classes")) {
-      wrong.add(
-          good.replaceFirst("\"" + key + "\"", "\"Other\"")); // also where only one class lacks it
+      // A configuration is invalid even if only one of its classes lacks the key.
+      invalid.add(valid.replaceFirst("\"" + key + "\"", "\"Other\""));
     }
-    for (String text : wrong) {
-      assertNotEquals(good, text);
+    for (String text : invalid) {
+      assertNotEquals(valid, text);
       Files.writeString(file, text);
-      reload.reload();
-      awaitCount("reload-failed ", 1 + wrong.indexOf(text));
+      reloader.reload();
+      awaitCount("reload-failed ", 1 + invalid.indexOf(text));
     }
-    Files.writeString(file, good.replace("stock-check", "stock-look"));
-    reload.reload();
+    Files.writeString(file, valid.replace("stock-check", "stock-look"));
+    reloader.reload();
     awaitLine("reload ");
-    String figures = call("DUMP");
+    String statistics = runAdminCommand("DUMP");
     assertTrue(
-        figures.contains("\"config_reloads\":1,\"config_reload_errors\":" + wrong.size()), figures);
+        statistics.contains("\"config_reloads\":1,\"config_reload_errors\":" + invalid.size()),
+        statistics);
     assertTrue(
-        figures.startsWith("{\"completed\":{\"stock-check\":0,\"place-order\":0,\"stock-look\":0}"),
-        figures);
+        statistics.startsWith(
+            "{\"completed\":{\"stock-check\":0,\"place-order\":0,\"stock-look\":0}"),
+        statistics);
     List.copyOf(lines).stream()
         .filter(line -> line.startsWith("reload-failed"))
         .forEach(
@@ -358,99 +364,105 @@
                     line));
   }
 
-  private void awaitCount(String start, int many) {
-    while (List.copyOf(lines).stream().filter(line -> line.startsWith(start)).count() < many) {
+  private void awaitCount(String prefix, int count) {
+    while (List.copyOf(lines).stream().filter(line -> line.startsWith(prefix)).count() < count) {
       Thread.onSpinWait();
     }
   }
 
   @Test
-  void reportsToTheAnnounceServiceAgainAfterItsConnectionBroke() throws Exception {
+  void resumesLoadReportsAfterDiscoveryConnectionBreaks() throws Exception {
     CountDownLatch reports = new CountDownLatch(2);
     try (ServerSocket service = new ServerSocket(0, 4, InetAddress.getLoopbackAddress())) {
-      Thread answers =
+      Thread responder =
           new Thread(
               () -> {
                 while (!service.isClosed()) {
-                  try (Socket call = service.accept()) {
-                    byte[] came = new byte[4096];
+                  try (Socket connection = service.accept()) {
+                    byte[] buffer = new byte[4096];
                     String text = "";
                     while (!text.endsWith("}")) {
                       text +=
                           new String(
-                              came, 0, call.getInputStream().read(came), StandardCharsets.UTF_8);
+                              buffer,
+                              0,
+                              connection.getInputStream().read(buffer),
+                              StandardCharsets.UTF_8);
                     }
                     if (text.startsWith("PUT /announce/n1 HTTP/1.1\r\n")
                         && text.endsWith("{\"accepting\":\"true\"}")) {
-                      call.getOutputStream()
+                      connection
+                          .getOutputStream()
                           .write(
                               "HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.UTF_8));
                       reports.countDown();
                     }
                   } catch (IOException | IndexOutOfBoundsException broken) {
-                    // the next call follows
+                    // the next connection follows
                   }
                 }
               });
-      answers.setDaemon(true);
-      answers.start();
+      responder.setDaemon(true);
+      responder.start();
       start(new StandInPool(1), 4.5, (InetSocketAddress) service.getLocalSocketAddress());
       reports.await();
     }
   }
 
   /**
-   * Half of a rush comes over each front: what is worth the same gets the same, and neither front
-   * starves.
+   * Guards against a front that starves under overload: half of the requests come over each front,
+   * and requests of equal priority weight must get equal service.
    */
   @Test
-  void anEidRushGetsEqualServiceForEqualWorthOverBothFronts() throws Exception {
+  void servesEqualPriorityWeightsEquallyOverBothFrontsUnderOverload() throws Exception {
     startReady(25, 1.5);
-    int wide = 40;
+    int requestsPerFront = 40;
     List<GatewayConnection> ajp = new ArrayList<>();
-    List<GatewayConnection> fast =
-        List.of(till(new Gateway.FastCgi()), till(new Gateway.FastCgi()));
-    for (int i = 0; i < wide; i++) {
-      ajp.add(till(new Gateway.Ajp()));
+    List<GatewayConnection> fastCgi =
+        List.of(connect(new Gateway.FastCgi()), connect(new Gateway.FastCgi()));
+    for (int i = 0; i < requestsPerFront; i++) {
+      ajp.add(connect(new Gateway.Ajp()));
     }
     int[][] served = new int[2][2];
     int answers = 0;
-    int refused = 0;
+    int rejected = 0;
     for (int wave = 0; wave < 6; wave++) {
-      for (int i = 0; i < wide; i++) {
-        String kind = i % 5 == 0 ? BrokerFixture.ORDER : BrokerFixture.LOOK;
+      for (int i = 0; i < requestsPerFront; i++) {
+        String requestClass = i % 5 == 0 ? BrokerFixture.ORDER : BrokerFixture.LOOK;
         int number = 1000 * (wave + 1) + 2 * i;
-        GatewayConnection first = fast.get(i % 2);
-        for (int turn = 0; turn < 2; turn++) { // the fronts take turns at coming first
+        GatewayConnection first = fastCgi.get(i % 2);
+        for (int turn = 0; turn < 2; turn++) { // the fronts alternate in sending first
           if ((turn + i) % 2 == 0) {
-            first.ask(1 + i, kind, BrokerFixture.id(number), new byte[] {(byte) i});
+            first.ask(1 + i, requestClass, BrokerFixture.id(number), new byte[] {(byte) i});
           } else {
-            ajp.get(i).ask(1, kind, BrokerFixture.id(number + 1), new byte[] {(byte) i});
+            ajp.get(i).ask(1, requestClass, BrokerFixture.id(number + 1), new byte[] {(byte) i});
           }
         }
       }
-      for (int i = 0; i < wide; i++) {
-        Answer one = fast.get(i % 2).answer();
-        Answer two = ajp.get(i).answer();
+      for (int i = 0; i < requestsPerFront; i++) {
+        Answer fastCgiAnswer = fastCgi.get(i % 2).answer();
+        Answer ajpAnswer = ajp.get(i).answer();
         answers += 2;
-        refused += (one.status() == 503 ? 1 : 0) + (two.status() == 503 ? 1 : 0);
-        served[0][(one.id() - 1) % 5 == 0 ? 1 : 0] += one.status() == 200 ? 1 : 0;
-        served[1][i % 5 == 0 ? 1 : 0] += two.status() == 200 ? 1 : 0;
+        rejected += (fastCgiAnswer.status() == 503 ? 1 : 0) + (ajpAnswer.status() == 503 ? 1 : 0);
+        served[0][(fastCgiAnswer.id() - 1) % 5 == 0 ? 1 : 0] +=
+            fastCgiAnswer.status() == 200 ? 1 : 0;
+        served[1][i % 5 == 0 ? 1 : 0] += ajpAnswer.status() == 200 ? 1 : 0;
       }
     }
-    assertEquals(6 * 2 * wide, answers);
-    String all = Arrays.deepToString(served) + " refused " + refused;
-    assertTrue(refused > 0, "it is a rush: " + all);
-    for (int worth = 0; worth < 2; worth++) {
-      int most = Math.max(served[0][worth], served[1][worth]);
-      int least = Math.min(served[0][worth], served[1][worth]);
-      assertTrue(least > 0 && 2 * least >= most, all);
+    assertEquals(6 * 2 * requestsPerFront, answers);
+    String summary = Arrays.deepToString(served) + " rejected " + rejected;
+    assertTrue(rejected > 0, "nothing was rejected, so there was no overload: " + summary);
+    for (int kind = 0; kind < 2; kind++) {
+      int max = Math.max(served[0][kind], served[1][kind]);
+      int min = Math.min(served[0][kind], served[1][kind]);
+      assertTrue(min > 0 && 2 * min >= max, summary);
     }
     assertTrue(
-        served[0][1] + served[1][1] > 0.5 * 6 * 2 * wide / 5, "orders are worth more: " + all);
+        served[0][1] + served[1][1] > 0.5 * 6 * 2 * requestsPerFront / 5,
+        "orders have the higher priority weight: " + summary);
     pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
-    for (GatewayConnection till : ajp) {
-      till.close();
+    for (GatewayConnection connection : ajp) {
+      connection.close();
     }
   }
 }
--- a/src/test/java/mothwing/server/UpgradeTest.java
+++ b/src/test/java/mothwing/server/UpgradeTest.java
@@ -27,122 +27,134 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** An upgrade with two real processes that share the address of clients, under traffic. */
+/** An upgrade with two real processes that share the address for clients, under traffic. */
 class UpgradeTest {
-  private static final int MOST_OF_CROWD = 400;
-  private static final int WIDE = 3; // callers of each kind
-  private static final Pattern BEHIND = Pattern.compile(" rejected-behind=(\\d+)");
-  private static final int UNAVOIDABLE =
-      2; // what connects between the last look at the queue and its close
+  private static final int MAX_OPEN_CONNECTIONS = 400;
+
+  /** Clients that open a connection per request, and as many that reuse one. */
+  private static final int CLIENTS_PER_KIND = 3;
+
+  private static final Pattern REJECTED_BEHIND = Pattern.compile(" rejected-behind=(\\d+)");
+
+  /** Clients that connect between the last accept from the backlog and its close. */
+  private static final int MAX_UNAVOIDABLE_LOSSES = 2;
 
   @TempDir private Path folder;
-  private final AtomicInteger asked = new AtomicInteger();
-  private final AtomicInteger answered = new AtomicInteger();
-  private final AtomicInteger resent = new AtomicInteger();
+  private final AtomicInteger sentRequests = new AtomicInteger();
+  private final AtomicInteger answeredRequests = new AtomicInteger();
+  private final AtomicInteger resentRequests = new AtomicInteger();
   private final List<String> lost = Collections.synchronizedList(new ArrayList<>());
-  private final List<String> sentAway =
-      Collections.synchronizedList(new ArrayList<>()); // with advice, which is heeded
-  private volatile boolean over;
+
+  /** Requests rejected with a delay, which the client observes before it retries. */
+  private final List<String> rejectedWithDelay = Collections.synchronizedList(new ArrayList<>());
+
+  private volatile boolean stopped;
 
   /**
-   * Asks one thing after the other, each on a connection of its own or all on one as long as it
-   * lives.
+   * Sends one request after another, each on a connection of its own, or all on one connection for
+   * as long as it is open.
    */
-  private void ask(InetSocketAddress to, boolean anew) {
-    GatewayConnection till = null;
-    while (!over) {
-      String id = BrokerFixture.id(asked.incrementAndGet());
-      for (int tries = 0; tries < 2; tries++) {
-        boolean first = till == null;
+  private void sendRequests(InetSocketAddress to, boolean newConnectionEach) {
+    GatewayConnection connection = null;
+    while (!stopped) {
+      String id = BrokerFixture.id(sentRequests.incrementAndGet());
+      for (int attempt = 0; attempt < 2; attempt++) {
+        boolean isNew = connection == null;
         try {
-          till = first ? new GatewayConnection(new Gateway.FastCgi(), to) : till;
-          till.ask(1, BrokerFixture.ORDER, id, id.getBytes(StandardCharsets.UTF_8));
-          Answer answer = till.answer();
-          String advice = answer.fields().get("Hold-Off-Ms");
-          if (answer.status() == 503 && advice != null) {
-            sentAway.add(id);
-            Thread.sleep(Long.parseLong(advice));
+          connection = isNew ? new GatewayConnection(new Gateway.FastCgi(), to) : connection;
+          connection.ask(1, BrokerFixture.ORDER, id, id.getBytes(StandardCharsets.UTF_8));
+          Answer answer = connection.answer();
+          String retryDelayMillis = answer.fields().get("Hold-Off-Ms");
+          if (answer.status() == 503 && retryDelayMillis != null) {
+            rejectedWithDelay.add(id);
+            Thread.sleep(Long.parseLong(retryDelayMillis));
           } else {
-            answered.incrementAndGet();
+            answeredRequests.incrementAndGet();
           }
           if (answer.status() != 200 && answer.status() != 503) {
             lost.add(id + " " + answer.status() + " " + answer.fields());
           }
-          tries = 2;
+          attempt = 2;
         } catch (InterruptedException ended) {
           return;
         } catch (IOException closed) {
-          till = null;
-          resent.incrementAndGet();
-          if (first
-              || tries > 0) { // on an idle connection it crossed the close, and is sent once more
+          connection = null;
+          resentRequests.incrementAndGet();
+          // On an open connection the request may have crossed the close, and is sent once more.
+          if (isNew || attempt > 0) {
             lost.add(id + " " + closed);
-            tries = 2;
+            attempt = 2;
           }
         }
-        if (anew && till != null) {
-          close(till);
-          till = null;
+        if (newConnectionEach && connection != null) {
+          close(connection);
+          connection = null;
         }
       }
     }
   }
 
-  /** How many requests a process that has ended counted as refused since it was behind. */
-  private static int behind(ServerProcess ended) {
+  /** Returns how many requests an ended process has rejected because it was behind. */
+  private static int rejectedBehind(ServerProcess ended) {
     String counts =
         ended.lines.stream().filter(line -> line.contains(" counts ")).findFirst().orElseThrow();
-    Matcher found = BEHIND.matcher(counts);
+    Matcher found = REJECTED_BEHIND.matcher(counts);
     return found.find() ? Integer.parseInt(found.group(1)) : 0;
   }
 
-  private static void close(GatewayConnection till) {
+  private static void close(GatewayConnection connection) {
     try {
-      till.close();
+      connection.close();
     } catch (IOException closed) {
-      // it was
+      // it is closed already
     }
   }
 
-  private void await(int more) {
-    for (int until = answered.get() + more; answered.get() < until; ) {
+  private void awaitAnswers(int count) {
+    for (int until = answeredRequests.get() + count; answeredRequests.get() < until; ) {
       Thread.onSpinWait();
     }
   }
 
   /**
-   * Guards against what an upgrade may lose: at the door, in the queue, on an idle connection, or
-   * by running twice.
+   * Guards against an upgrade that loses requests at the accept, in the backlog or on an idle
+   * connection, or that runs them twice.
    */
   @Test
-  void handsOverToTheNextProcessWithoutLosingOrRepeating() throws Exception {
+  void handsOverToNextProcessWithoutLosingOrRepeatingRequests() throws Exception {
     List<Thread> callers = new ArrayList<>();
-    try (SocketChannel port = ServerProcess.port();
-        SocketChannel one = ServerProcess.port();
-        SocketChannel two = ServerProcess.port();
+    try (SocketChannel clientPort = ServerProcess.port();
+        SocketChannel firstAdminPort = ServerProcess.port();
+        SocketChannel secondAdminPort = ServerProcess.port();
         StandInPool first = new StandInPool(2);
         StandInPool second = new StandInPool(2);
         ServerProcess old =
             new ServerProcess(
-                folder, ServerProcess.number(port), ServerProcess.number(one), first)) {
+                folder,
+                ServerProcess.number(clientPort),
+                ServerProcess.number(firstAdminPort),
+                first)) {
       InetSocketAddress to =
-          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(clientPort));
       old.awaitYes();
-      for (int i = 0; i < 2 * WIDE; i++) {
-        boolean anew = i < WIDE;
-        callers.add(new Thread(() -> ask(to, anew)));
+      for (int i = 0; i < 2 * CLIENTS_PER_KIND; i++) {
+        boolean newConnectionEach = i < CLIENTS_PER_KIND;
+        callers.add(new Thread(() -> sendRequests(to, newConnectionEach)));
       }
       callers.forEach(Thread::start);
-      await(100);
+      awaitAnswers(100);
       try (ServerProcess next =
           new ServerProcess(
-              folder, ServerProcess.number(port), ServerProcess.number(two), second)) {
+              folder,
+              ServerProcess.number(clientPort),
+              ServerProcess.number(secondAdminPort),
+              second)) {
         next.awaitYes();
-        await(100);
+        awaitAnswers(100);
         old.leave();
         assertEquals(0, old.await(), old.lines::toString);
-        await(100);
-        over = true;
+        awaitAnswers(100);
+        stopped = true;
         for (Thread caller : callers) {
           caller.join();
         }
@@ -152,100 +164,113 @@
         assertTrue(
             old.lines.stream().anyMatch(line -> line.contains(" shutdown-complete pending=0")),
             old.lines::toString);
-        assertTrue(lost.size() <= UNAVOIDABLE, () -> lost + "\n" + old.lines + "\n" + next.lines);
+        assertTrue(
+            lost.size() <= MAX_UNAVOIDABLE_LOSSES,
+            () -> lost + "\n" + old.lines + "\n" + next.lines);
         Map<String, Integer> runs = first.spawns();
         second.spawns().forEach((id, times) -> runs.merge(id, times, Integer::sum));
-        assertTrue(runs.values().stream().allMatch(times -> times == 1), "something ran twice");
+        assertTrue(runs.values().stream().allMatch(times -> times == 1), "a request ran twice");
         assertTrue(!second.spawns().isEmpty() && !first.spawns().isEmpty());
         assertTrue(
             next.call("DUMP")
                 .contains(
                     "\"completed\":{\"stock-check\":0,\"place-order\":" + second.spawns().size()),
-            "its figures are those of its own runs");
+            "the statistics must count the process's own runs only");
         next.leave();
         assertEquals(0, next.await(), next.lines::toString);
         assertEquals(
-            behind(old) + behind(next),
-            sentAway.size(),
-            "nobody is sent away but by a process short of"
-                + " processor time, as a busy machine makes it: "
+            rejectedBehind(old) + rejectedBehind(next),
+            rejectedWithDelay.size(),
+            "only a process short of processor time, as on a busy machine,"
+                + " may reject requests: "
                 + old.lines
                 + "\n"
                 + next.lines);
-        assertTrue(sentAway.stream().noneMatch(runs::containsKey), "what was refused ran");
+        assertTrue(
+            rejectedWithDelay.stream().noneMatch(runs::containsKey), "a rejected request ran");
       }
     } finally {
-      over = true;
+      stopped = true;
     }
   }
 
   /**
-   * Guards against a crowd that makes each of the two processes hold as many connections as both
-   * may together.
+   * Guards against many clients that make each of the two processes hold as many connections as
+   * both may hold together.
    */
   @Test
-  void bothProcessesTogetherStayUnderTheBoundOfOne() throws Exception {
-    int most = 256 - 64; // descriptors of one, less those that are not for clients
-    int apart = 24; // sockets of both that are not clients'
-    List<GatewayConnection> crowd = new ArrayList<>();
-    try (SocketChannel port = ServerProcess.port();
-        SocketChannel one = ServerProcess.port();
-        SocketChannel two = ServerProcess.port();
+  void keepsBothProcessesWithinTheLimitOfOne() throws Exception {
+    // The descriptors of one process, less those that are not for clients.
+    int maxClients = 256 - 64;
+    // Sockets of both processes that do not belong to clients.
+    int otherSockets = 24;
+    List<GatewayConnection> connections = new ArrayList<>();
+    try (SocketChannel clientPort = ServerProcess.port();
+        SocketChannel firstAdminPort = ServerProcess.port();
+        SocketChannel secondAdminPort = ServerProcess.port();
         StandInPool first = new StandInPool(2);
         StandInPool second = new StandInPool(2);
         ServerProcess old =
             new ServerProcess(
-                folder, ServerProcess.number(port), ServerProcess.number(one), first)) {
+                folder,
+                ServerProcess.number(clientPort),
+                ServerProcess.number(firstAdminPort),
+                first)) {
       InetSocketAddress to =
-          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(port));
+          new InetSocketAddress(InetAddress.getLoopbackAddress(), ServerProcess.number(clientPort));
       old.awaitYes();
-      while (sockets(old) < most * 3 / 4) { // alone it may have all
-        come(crowd, to, 1);
+      while (sockets(old) < maxClients * 3 / 4) { // alone it may use the whole limit
+        openConnections(connections, to, 1);
       }
       try (ServerProcess next =
           new ServerProcess(
-              folder, ServerProcess.number(port), ServerProcess.number(two), second)) {
-        int high = 0;
-        for (int more = 0; more < most || sockets(next) < most / 3; more++) {
-          come(crowd, to, 1);
-          high = Math.max(high, sockets(old) + sockets(next));
+              folder,
+              ServerProcess.number(clientPort),
+              ServerProcess.number(secondAdminPort),
+              second)) {
+        int peak = 0;
+        for (int opened = 0; opened < maxClients || sockets(next) < maxClients / 3; opened++) {
+          openConnections(connections, to, 1);
+          peak = Math.max(peak, sockets(old) + sockets(next));
         }
-        assertTrue(high <= most + apart, "both had " + high);
+        assertTrue(peak <= maxClients + otherSockets, "both together had " + peak);
         assertTrue(
-            sockets(old) <= most / 2 + apart && sockets(next) <= most / 2 + apart, "half each");
+            sockets(old) <= maxClients / 2 + otherSockets
+                && sockets(next) <= maxClients / 2 + otherSockets,
+            "one process has more than half of the limit");
         old.leave();
         assertEquals(0, old.await());
-        while (sockets(next) < most * 3 / 4) { // alone again
-          come(crowd, to, 1);
+        while (sockets(next) < maxClients * 3 / 4) { // alone again
+          openConnections(connections, to, 1);
         }
-        assertTrue(sockets(next) <= most + apart);
+        assertTrue(sockets(next) <= maxClients + otherSockets);
       }
     } finally {
-      crowd.forEach(UpgradeTest::close);
+      connections.forEach(UpgradeTest::close);
     }
   }
 
-  /** Gateways that ask for something once and stay. */
-  private static void come(List<GatewayConnection> crowd, InetSocketAddress to, int many)
-      throws IOException {
-    for (int i = 0; i < many; i++) {
-      GatewayConnection till = new GatewayConnection(new Gateway.FastCgi(), to);
-      crowd.add(till);
+  /** Opens gateway connections that send one request and stay open. */
+  private static void openConnections(
+      List<GatewayConnection> connections, InetSocketAddress to, int count) throws IOException {
+    for (int i = 0; i < count; i++) {
+      GatewayConnection connection = new GatewayConnection(new Gateway.FastCgi(), to);
+      connections.add(connection);
       try {
-        till.ask(1, "/ping", "", new byte[0]);
-        till.answer();
+        connection.ask(1, "/ping", "", new byte[0]);
+        connection.answer();
       } catch (IOException closed) {
-        // it gave way to another
+        // it was evicted
       }
-      if (crowd.size() > MOST_OF_CROWD) { // the oldest have given way long ago
-        close(crowd.remove(0));
+      if (connections.size() > MAX_OPEN_CONNECTIONS) { // the oldest were evicted long ago
+        close(connections.remove(0));
       }
     }
   }
 
-  private static int sockets(ServerProcess one) {
-    try (var all = Files.list(Path.of("/proc/" + one.pid() + "/fd"))) {
-      return (int) all.filter(UpgradeTest::isSocket).count();
+  private static int sockets(ServerProcess process) {
+    try (var descriptors = Files.list(Path.of("/proc/" + process.pid() + "/fd"))) {
+      return (int) descriptors.filter(UpgradeTest::isSocket).count();
     } catch (IOException gone) {
       return 0;
     }
@@ -260,34 +285,37 @@
   }
 
   /**
-   * Guards against a new process that cannot listen and says that all went well, or takes the old
-   * one with it.
+   * Guards against a new process that cannot listen and yet exits with success, or makes the old
+   * process end too.
    */
   @Test
-  void aNewProcessThatFailsToStartLeavesTheOldOneServing() throws Exception {
-    try (SocketChannel port = ServerProcess.port();
-        SocketChannel one = ServerProcess.port();
+  void keepsOldProcessServingWhenNewOneFailsToStart() throws Exception {
+    try (SocketChannel clientPort = ServerProcess.port();
+        SocketChannel firstAdminPort = ServerProcess.port();
         StandInPool first = new StandInPool(1);
         StandInPool second = new StandInPool(1);
         ServerProcess old =
             new ServerProcess(
-                folder, ServerProcess.number(port), ServerProcess.number(one), first)) {
+                folder,
+                ServerProcess.number(clientPort),
+                ServerProcess.number(firstAdminPort),
+                first)) {
       old.awaitYes();
       try (ServerProcess next =
           new ServerProcess(
               folder,
-              ServerProcess.number(port),
-              ServerProcess.number(one),
-              second)) { // its door is taken
+              ServerProcess.number(clientPort),
+              ServerProcess.number(firstAdminPort), // this admin address is in use
+              second)) {
         assertNotEquals(0, next.await());
       }
-      try (GatewayConnection till =
+      try (GatewayConnection connection =
           new GatewayConnection(
               new Gateway.FastCgi(),
               new InetSocketAddress(
-                  InetAddress.getLoopbackAddress(), ServerProcess.number(port)))) {
-        till.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[1]);
-        assertEquals(200, till.answer().status());
+                  InetAddress.getLoopbackAddress(), ServerProcess.number(clientPort)))) {
+        connection.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[1]);
+        assertEquals(200, connection.answer().status());
       }
       old.leave();
       assertEquals(0, old.await());
