--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -93,7 +93,7 @@
         new LoadReporter(
             connector(config.announce()),
             config.name(),
-            () -> !broker.isDraining() && !broker.outOfRotation(),
+            () -> !broker.isDraining() && !broker.isOutOfRotation(),
             scheduler,
             counters,
             log);
@@ -111,12 +111,12 @@
    * @throws InvalidInputException if the server's name is not valid for a member
    */
   public void join(Site.Fleet fleet) throws InvalidInputException {
-    if (!Site.Fleet.mayBeCalled(config.name())) {
+    if (!Site.Fleet.isValidName(config.name())) {
       throw new InvalidInputException(
           "field name: \""
               + config.name()
               + "\" is not a valid name of a fleet member: "
-              + Site.Fleet.NAMED
+              + Site.Fleet.NAME_FORMAT
               + " required");
     }
     peer =
