--- a/src/bench/java/mothwing/net/IdleConnections.java
+++ b/src/bench/java/mothwing/net/IdleConnections.java
@@ -54,7 +54,9 @@
   public void scan() {
     now += STEP;
     for (Idle one : new ArrayList<>(all)) {
-      if (one.timeoutReason(now, PATIENCE) != null || !one.isQuiet() || now - one.since >= SPAN) {
+      if (one.timeoutReason(now, PATIENCE) != null
+          || !one.isClosable()
+          || now - one.since >= SPAN) {
         closed++;
       }
     }
--- a/src/main/java/mothwing/net/AcceptingChannel.java
+++ b/src/main/java/mothwing/net/AcceptingChannel.java
@@ -14,7 +14,9 @@
  * it closes.
  */
 final class AcceptingChannel extends NioServerSocketChannel {
-  /** Consecutive accepts that may fail or find no connection before the result counts as final. */
+  /**
+   * Consecutive failed accepts, for the backlog also empty ones, after which the result is final.
+   */
   private static final int MAX_FAILED_ACCEPTS = 10;
 
   private final Consumer<String> counter;
@@ -36,7 +38,7 @@
    * Accepts one connection. If no file descriptor is left, which may happen below the connection
    * limit, one connection is evicted, and the waiting client is accepted one second later, since
    * Netty pauses accepting for that long after a failure. After any other transient failure the
-   * next turn of the event loop tries again.
+   * next turn of the event loop tries again, up to {@link #MAX_FAILED_ACCEPTS} failures in a row.
    */
   @Override
   protected int doReadMessages(List<Object> accepted) throws Exception {
--- a/src/main/java/mothwing/net/Connection.java
+++ b/src/main/java/mothwing/net/Connection.java
@@ -68,7 +68,7 @@
   /**
    * Returns whether no request is open on the connection.
    *
-   * @return true if it may be closed
+   * @return true if no request is open
    */
   public boolean isIdle() {
     return true;
@@ -86,10 +86,10 @@
 
   /**
    * Returns whether the connection may be closed: no request is open, no part of a message has been
-   * received, and the peer reads what is sent to it. A peer that does not read is not read from, so
-   * its socket may hold an unread request.
+   * received, nothing awaits the read budget, and the peer reads what is sent to it. A peer that
+   * does not read is not read from, so its socket may hold an unread request.
    */
-  final boolean isQuiet() {
+  final boolean isClosable() {
     return isIdle() && timeouts.isSettled() && !awaitingBudget;
   }
 
@@ -99,11 +99,11 @@
   }
 
   /** Sets the read budget, which is shared with other connections. */
-  final void limitReads(ReadBudget budget) {
+  final void setReadBudget(ReadBudget budget) {
     readBudget = budget;
   }
 
-  /** Resumes decoding and reading when the read budget allows it. */
+  /** Decodes the bytes that awaited the read budget, and reads on if it is not used up again. */
   final void resumeReading() {
     awaitingBudget = false;
     if (isClosed()) {
@@ -119,12 +119,12 @@
    * Sets the clock and starts the timeouts.
    *
    * @param scheduler the clock
-   * @param listener called when bytes were received or sent, or the connection's state changed
+   * @param onActivity called when bytes were received or sent, or the connection's state changed
    */
-  final void startTimeouts(Scheduler scheduler, Runnable listener) {
+  final void startTimeouts(Scheduler scheduler, Runnable onActivity) {
     clock = scheduler;
     timeouts.opened(scheduler.now());
-    activityListener = listener;
+    activityListener = onActivity;
   }
 
   /**
@@ -153,9 +153,9 @@
         : timeouts.reason(now, timeout, incompleteRequestSince());
   }
 
-  /** Returns when the connection times out, or {@link #NEVER} if the peer is not awaited. */
+  /** Returns when the connection times out, or {@link #NEVER} if nothing is awaited. */
   final long timeoutAt(long timeout) {
-    return timeouts.expiresAt(timeout, !closing && !awaitingBudget, incompleteRequestSince());
+    return timeouts.timeoutAt(timeout, !closing && !awaitingBudget, incompleteRequestSince());
   }
 
   /**
@@ -178,7 +178,7 @@
   }
 
   /**
-   * Sends bytes, or discards them if this side has closed the connection.
+   * Sends bytes, or discards them if the connection is closing.
    *
    * @param bytes the bytes; this class releases them
    */
@@ -336,7 +336,7 @@
     }
   }
 
-  /** Closes the connection without flushing what was sent. */
+  /** Closes the connection at once; output that is not flushed is lost. */
   final void closeNow(CloseReason closeReason) {
     if (!closing) {
       closing = true;
--- a/src/main/java/mothwing/net/ConnectionTable.java
+++ b/src/main/java/mothwing/net/ConnectionTable.java
@@ -58,7 +58,8 @@
     }
 
     /**
-     * Updates the deadlines after bytes were received or sent, or the connection's state changed.
+     * Updates the deadlines and the state after bytes were received or sent, or the connection's
+     * state changed.
      */
     void onActivity() {
       if (connection.isLingering()) {
@@ -66,14 +67,14 @@
         return;
       }
       long now = scheduler.now();
-      idleSince = connection.isQuiet() ? now : Connection.NEVER;
+      idleSince = connection.isClosable() ? now : Connection.NEVER;
       if (shouldCloseAfterAnswer(now)) {
         closeScheduled = true;
         scheduler.schedule(
             now,
             () -> {
               closeScheduled = false;
-              closeIfQuiet();
+              closeIfClosable();
             });
       }
       if (unidentified.remove(connection) != null && connection.isUnidentified()) {
@@ -88,7 +89,7 @@
      */
     private boolean shouldCloseAfterAnswer(long now) {
       return idleReason == CloseReason.DRAIN
-          && connection.isQuiet()
+          && connection.isClosable()
           && !connection.isUnidentified()
           && !stalled
           && !hasStalled(now)
@@ -103,11 +104,11 @@
       }
     }
 
-    /** Closes the connection, unless its socket holds a request, which is read first. */
-    private void closeIfQuiet() {
-      if (tracked.containsKey(connection) && connection.isQuiet()) {
+    /** Reads the socket, and closes the connection if it holds no request. */
+    private void closeIfClosable() {
+      if (tracked.containsKey(connection) && connection.isClosable()) {
         connection.readNow();
-        if (connection.isQuiet()) {
+        if (connection.isClosable()) {
           connection.close(idleReason, "");
         }
       }
@@ -125,12 +126,12 @@
         connection.closeNow(timeout);
       } else if (timeout != null) {
         connection.close(timeout, "");
-      } else if (!connection.isQuiet()) {
+      } else if (!connection.isClosable()) {
         idleSince = Connection.NEVER;
       } else if (idleSince == Connection.NEVER) {
         idleSince = now;
       } else if (now - idleSince >= idleAllowance()) {
-        closeIfQuiet();
+        closeIfClosable();
       }
       if (tracked.containsKey(connection)) {
         arm(now);
@@ -202,8 +203,8 @@
    * Closes the connection whose loss does the least harm: the least recently active one that never
    * sent a complete request, else the one that has been idle for longest. A client that writes
    * slowly thus outlives one that has stopped. A connection that awaits the read budget is never
-   * closed, since its request has arrived and this process is behind. If every candidate turns out
-   * to have sent something, none is closed.
+   * closed, since its request has arrived and this process is behind. If the first {@link
+   * #MAX_EVICTION_CHECKS} candidates all turn out to have sent something, none is closed.
    */
   void evict() {
     for (int i = 0; i < MAX_EVICTION_CHECKS; i++) {
@@ -228,7 +229,7 @@
     }
     TrackedConnection longestIdle = null;
     for (TrackedConnection entry : tracked.values()) {
-      boolean quiet = !entry.connection.isClosed() && entry.connection.isQuiet();
+      boolean quiet = !entry.connection.isClosed() && entry.connection.isClosable();
       if (quiet && (longestIdle == null || entry.idleSince < longestIdle.idleSince)) {
         longestIdle = entry;
       }
@@ -241,8 +242,8 @@
    * process, when a connection that seems idle may have an unread request in its socket. A change
    * of limit or reason checks every connection once; otherwise only those that are due are checked.
    *
-   * @param limit microseconds for which a connection may be idle; 0 closes all without an open
-   *     request
+   * @param limit microseconds for which a connection may be idle; 0 closes all without an open or
+   *     incomplete request
    * @param reason why idle connections are closed; with {@link CloseReason#DRAIN} they are closed
    *     right after their last answer
    */
--- a/src/main/java/mothwing/net/ConnectionTimeouts.java
+++ b/src/main/java/mothwing/net/ConnectionTimeouts.java
@@ -31,7 +31,10 @@
     messageStartedAt = Connection.NEVER;
   }
 
-  /** Records that the peer does not read what is sent to it; the earliest time counts. */
+  /**
+   * Records that output awaits the peer: it does not read, or the connection is being closed. The
+   * earliest time counts.
+   */
   void writeBlocked(long now) {
     writeBlockedSince = Math.min(writeBlockedSince, now);
   }
@@ -64,7 +67,7 @@
    * @param requestStartedAt when the oldest incomplete request began, or {@link Connection#NEVER}
    * @return a time, or {@link Connection#NEVER} if nothing is awaited
    */
-  long expiresAt(long timeout, boolean expectsInput, long requestStartedAt) {
+  long timeoutAt(long timeout, boolean expectsInput, long requestStartedAt) {
     long since = writeBlockedSince;
     if (expectsInput) {
       since = Math.min(since, inputAwaitedSince(requestStartedAt));
--- a/src/main/java/mothwing/net/FrontRequest.java
+++ b/src/main/java/mothwing/net/FrontRequest.java
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Writes the answer. Only the first answer may be sent.
+   * Writes the answer. Does nothing if an answer was written before.
    *
    * @param status the status
    * @param headers the header fields
@@ -115,8 +115,8 @@
   }
 
   @Override
-  public final void sendRejection(boolean last, long retryAfterMillis) {
-    answer(UNAVAILABLE, Headers.rejection(last, retryAfterMillis), NO_CONTENT);
+  public final void sendRejection(boolean noOtherServer, long retryAfterMillis) {
+    answer(UNAVAILABLE, Headers.rejection(noOtherServer, retryAfterMillis), NO_CONTENT);
   }
 
   @Override
--- a/src/main/java/mothwing/net/Headers.java
+++ b/src/main/java/mothwing/net/Headers.java
@@ -10,7 +10,7 @@
   private static final String RETRY_AFTER_MILLIS = "Hold-Off-Ms";
 
   /** Name on the wire of the flag that no other server should be tried. */
-  private static final String DO_NOT_RETRY = "No-Other-Server";
+  private static final String NO_OTHER_SERVER = "No-Other-Server";
 
   /** Name on the wire of the free value, by which gateways balance load. */
   private static final String FREE_VALUE = "Feedback";
@@ -25,17 +25,17 @@
   /**
    * Returns the header fields of a rejection.
    *
-   * @param last whether no other server should be tried
+   * @param noOtherServer whether no other server should be tried
    * @param retryAfterMillis milliseconds after which the gateway may retry, or 0 for no advice
    * @return the fields
    */
-  public static List<Header> rejection(boolean last, long retryAfterMillis) {
+  public static List<Header> rejection(boolean noOtherServer, long retryAfterMillis) {
     List<Header> headers = new ArrayList<>();
     if (retryAfterMillis > 0) {
       headers.add(new Header(RETRY_AFTER_MILLIS, Long.toString(retryAfterMillis)));
     }
-    if (last) {
-      headers.add(new Header(DO_NOT_RETRY, "1"));
+    if (noOtherServer) {
+      headers.add(new Header(NO_OTHER_SERVER, "1"));
     }
     return headers;
   }
--- a/src/main/java/mothwing/net/Listener.java
+++ b/src/main/java/mothwing/net/Listener.java
@@ -91,7 +91,7 @@
    *
    * @param budget the budget, shared by all listeners of an event loop
    */
-  public void limitReads(ReadBudget budget) {
+  public void setReadBudget(ReadBudget budget) {
     readBudget = budget;
   }
 
@@ -235,7 +235,7 @@
       return;
     }
     Connection connection = factory.get();
-    connection.limitReads(readBudget);
+    connection.setReadBudget(readBudget);
     table.add(connection);
     accepted.closeFuture().addListener(closed -> table.remove(connection));
     accepted.pipeline().addLast(connection);
@@ -264,7 +264,7 @@
    * Closes connections that have been idle for too long, and those whose peer has timed out. Must
    * be called every few milliseconds.
    *
-   * @param idleLimit microseconds; 0 closes all without an open request
+   * @param idleLimit microseconds; 0 closes all without an open or incomplete request
    * @param reason why idle connections are closed
    */
   public void closeExpired(long idleLimit, CloseReason reason) {
--- a/src/main/java/mothwing/net/ReadBudget.java
+++ b/src/main/java/mothwing/net/ReadBudget.java
@@ -9,9 +9,9 @@
  * processor time finds hundreds of requests in its sockets at each turn; if all were read first,
  * ends of runs would go unnoticed and cores would be idle. Therefore, when the budget of a turn is
  * used up, connections with remaining input wait in arrival order and read nothing further while
- * events of the pool and timers are served. If some connection always waits, reading requests and
- * deciding on them alone exceed the capacity: then a growing share of requests is rejected at the
- * least cost. Used on its event loop's thread only.
+ * events of the pool and timers are served. If connections wait without interruption, reading and
+ * deciding alone exceed the capacity of this process: then a growing share of requests is rejected
+ * at the least cost. Used on its event loop's thread only.
  */
 public final class ReadBudget {
   /** Time for reading requests in one turn, enough for some tens of requests. */
@@ -23,8 +23,11 @@
    */
   static final long GRACE_MICROS = 150_000;
 
-  /** Gap between two turns, in which all other due events are served. */
-  private static final long TURN_GAP_MICROS = 500;
+  /**
+   * Delay from the start of a turn to the next one. Other events that are due by then are served
+   * first.
+   */
+  private static final long NEXT_TURN_DELAY_MICROS = 500;
 
   /** Time constant of the rise of the shed ratio: short, because queues grow in the meantime. */
   private static final double SHED_RISE_MICROS = 250_000;
@@ -33,7 +36,8 @@
   private static final double SHED_FALL_MICROS = 1_000_000;
 
   /**
-   * Longest interval of one rise: a gap in which the process stalled is no evidence of its load.
+   * Longest interval that one update counts, since a stall of the process says nothing about its
+   * load.
    */
   private static final long MAX_RISE_STEP_MICROS = 100_000;
 
@@ -59,13 +63,13 @@
 
   /**
    * Returns whether a connection may decode another message now; otherwise it must {@link
-   * #enqueue}.
+   * #enqueue}. The first call begins a turn.
    */
   boolean hasBudget() {
     if (!turnStarted) { // the first message of this turn
       turnStarted = true;
       turnEndsAt = scheduler.now() + TURN_MICROS;
-      scheduler.schedule(scheduler.now() + TURN_GAP_MICROS, this::runTurn);
+      scheduler.schedule(scheduler.now() + NEXT_TURN_DELAY_MICROS, this::runTurn);
       return true;
     }
     return (resumingQueue || waiting.isEmpty()) && scheduler.now() < turnEndsAt;
@@ -82,7 +86,7 @@
    *
    * @return true for the share of requests that exceeds the capacity of this process
    */
-  public boolean isOverloaded() {
+  public boolean shedNext() {
     shedCredit += shedRatio;
     if (shedCredit < 1) {
       return false;
--- a/src/main/java/mothwing/net/SharedPortQuota.java
+++ b/src/main/java/mothwing/net/SharedPortQuota.java
@@ -19,7 +19,7 @@
   private long polledAt = NEVER;
   private boolean hasPolled;
   private boolean otherListens;
-  private boolean admitted;
+  private boolean mayAccept;
   private int otherConnections;
 
   /**
@@ -54,44 +54,45 @@
   /**
    * Updates the quota from the result of a poll.
    *
-   * @param at when the poll began: the result describes that moment or a later one
+   * @param pollStartedAt when the poll began: the result describes that moment or a later one
    * @param otherListens whether another process listens at the address
    * @param connections connections at the address that belong to other processes
    */
-  void update(long at, boolean otherListens, int connections) {
+  void update(long pollStartedAt, boolean otherListens, int connections) {
     boolean isFirstPoll = !hasPolled;
     hasPolled = true;
-    polledAt = at;
+    polledAt = pollStartedAt;
     this.otherListens = otherListens;
     otherConnections = Math.max(0, connections);
-    // By then the other process has noticed that this one listens.
-    boolean otherHasPolled = at - startedAt >= FRESH_MICROS;
-    admitted |=
+    // After this time the other process has polled and seen that this one listens.
+    boolean otherHasPolled = pollStartedAt - startedAt >= FRESH_MICROS;
+    mayAccept |=
         !otherListens
             || (isFirstPoll && otherConnections <= pollThreshold())
             || (otherHasPolled && otherConnections <= halfLimit());
   }
 
   /**
-   * Sets the quota of a process that is alone at its address, because the socket table cannot be
+   * Assumes that no other process listens at the address. For systems whose socket table cannot be
    * read.
    */
   void assumeAlone() {
     hasPolled = true;
-    admitted = true;
+    mayAccept = true;
   }
 
   /**
-   * Returns how many of the open connections are to be evicted. An outdated poll alone evicts none.
+   * Returns how many of the open connections are to be evicted. An outdated poll that saw no other
+   * listener evicts none.
    */
   int excess(long now, int open) {
     boolean isCurrent = otherListens || now - polledAt <= FRESH_MICROS;
-    return admitted && isCurrent ? Math.max(0, open - limit(now)) : 0;
+    return mayAccept && isCurrent ? Math.max(0, open - limit(now)) : 0;
   }
 
   /** Returns how many connections may be open now, or 0 if none is to be accepted yet. */
   int limit(long now) {
-    if (!admitted) {
+    if (!mayAccept) {
       return 0;
     } else if (polledAt == NEVER) {
       return maxConnections;
--- a/src/main/java/mothwing/net/TimingWheel.java
+++ b/src/main/java/mothwing/net/TimingWheel.java
@@ -6,7 +6,7 @@
  * A hashed timing wheel: adds, moves and removes entries with due times at a cost that does not
  * depend on their number. An entry due beyond one revolution of the wheel is skipped once per
  * revolution. Times are microseconds of one clock that never goes back; an entry fires at the first
- * advance at or after its due time, up to one tick late.
+ * advance at or after its due time.
  */
 final class TimingWheel {
   /** An entry, in at most one slot of one wheel. */
@@ -90,9 +90,9 @@
     // One revolution covers all slots.
     long firstTick = Math.max(currentTick, lastTick - slots.length + 1);
     // A list of its own, so that entries added by the handler are not visited.
-    Entry due = new Entry();
-    due.previous = due;
-    due.next = due;
+    Entry dueEntries = new Entry();
+    dueEntries.previous = dueEntries;
+    dueEntries.next = dueEntries;
     for (long tick = firstTick; tick <= lastTick; tick++) {
       Entry head = slots[(int) (tick & (slots.length - 1))];
       for (Entry entry = head.next; entry != head; ) {
@@ -101,17 +101,17 @@
           long dueAt = entry.due;
           entry.unlink();
           entry.due = dueAt;
-          entry.previous = due.previous;
-          entry.next = due;
-          due.previous.next = entry;
-          due.previous = entry;
+          entry.previous = dueEntries.previous;
+          entry.next = dueEntries;
+          dueEntries.previous.next = entry;
+          dueEntries.previous = entry;
         }
         entry = following;
       }
     }
     currentTick = lastTick;
-    while (due.next != due) {
-      Entry entry = due.next;
+    while (dueEntries.next != dueEntries) {
+      Entry entry = dueEntries.next;
       remove(entry);
       handler.accept(entry);
     }
--- a/src/main/java/mothwing/server/ClientFronts.java
+++ b/src/main/java/mothwing/server/ClientFronts.java
@@ -16,7 +16,8 @@
 /**
  * The listeners for clients: binds them, at once or when the server is ready, and tracks which of
  * them are bound. A stop waits for binds in progress, since a client that connects at that moment
- * must be answered too. Used on the event loop's thread, except for the methods that a start calls.
+ * must be answered too. Used on the event loop's thread, except {@link #listen}, {@link #bind}, and
+ * the setup before them.
  */
 final class ClientFronts {
   private final EventLoop loop;
@@ -52,8 +53,8 @@
   }
 
   /** Sets the read budget that all fronts share. */
-  void limitReads(ReadBudget budget) {
-    fronts.forEach(front -> front.listener().limitReads(budget));
+  void setReadBudget(ReadBudget budget) {
+    fronts.forEach(front -> front.listener().setReadBudget(budget));
   }
 
   /** Allows another process to listen at the same addresses. */
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -27,7 +27,7 @@
  * @param announce the address of the discovery service
  * @param ledger the address of the dependency, or null if there is none
  * @param management the address for operators, or null if there is none
- * @param stopMs milliseconds from the drain request until the process stops
+ * @param stopMs most milliseconds from the drain request until the process stops
  * @param sockets most file descriptors of the process
  * @param settings the settings of the site
  * @param source the JSON fields of the configuration
@@ -127,7 +127,7 @@
    * Returns the names of the fields that differ in a new configuration and need a restart,
    * separated by commas.
    */
-  String restartRequiredFor(Config next) {
+  String fieldsRequiringRestart(Config next) {
     List<String> fields = new ArrayList<>();
     if (!name.equals(next.name)) {
       fields.add("name");
--- a/src/main/java/mothwing/server/DnsService.java
+++ b/src/main/java/mothwing/server/DnsService.java
@@ -26,7 +26,7 @@
   private static final long STOP_AFTER_MILLIS = 5000;
   private static final int SHUTDOWN_POLL_MILLIS = 20;
 
-  private final Path settings;
+  private final Path siteScript;
   private final EventLog log;
   private final NioEventLoopGroup group = new NioEventLoopGroup(1);
   private final EventLoop loop = group.next();
@@ -41,16 +41,16 @@
   /**
    * Creates a server that is not started yet.
    *
-   * @param settings the site script
+   * @param siteScript the site script
    * @param log the event log
    * @throws IOException if the script cannot be read or configures no DNS server
    */
-  public DnsService(Path settings, EventLog log) throws IOException {
-    this.settings = settings;
+  public DnsService(Path siteScript, EventLog log) throws IOException {
+    this.siteScript = siteScript;
     this.log = log;
     front =
         new DnsFront(
-            dns(settings),
+            dns(siteScript),
             loop,
             PooledByteBufAllocator.DEFAULT,
             timers,
@@ -60,10 +60,10 @@
             log);
   }
 
-  private static Site.Dns dns(Path settings) throws IOException {
-    Site.Dns dns = SiteScript.read(settings).dns();
+  private static Site.Dns dns(Path siteScript) throws IOException {
+    Site.Dns dns = SiteScript.read(siteScript).dns();
     if (dns == null) {
-      throw new InvalidInputException(settings + ": dns(listen = ...) is missing");
+      throw new InvalidInputException(siteScript + ": dns(listen = ...) is missing");
     }
     return dns;
   }
@@ -87,14 +87,14 @@
   }
 
   /**
-   * Rereads the settings, keys and zone files. May be called from any thread. Settings, keys and
+   * Rereads the site script, keys and zone files. May be called from any thread. Settings, keys and
    * zones that cannot be read remain as they are.
    */
   public void reload() {
     reader.execute(
         () -> {
           try {
-            front.reload(dns(settings));
+            front.reload(dns(siteScript));
           } catch (IOException | RuntimeException failure) {
             log.write("reload-failed what=\"" + failure.getMessage() + "\"");
           }
--- a/src/main/java/mothwing/server/FileDescriptorBudget.java
+++ b/src/main/java/mothwing/server/FileDescriptorBudget.java
@@ -15,7 +15,10 @@
   private static final String OPEN_FILES = "Max open files";
   private static final int MAX_RESERVED = 64;
 
-  /** Reserve for other connections, connects in progress, listeners, and lingering connections. */
+  /**
+   * Reserve for connections that are not clients', connects in progress, listeners, and lingering
+   * connections.
+   */
   private static final int MIN_RESERVED = 24;
 
   private static final int DEFAULT_OPEN = 16;
--- a/src/main/java/mothwing/server/GracefulShutdown.java
+++ b/src/main/java/mothwing/server/GracefulShutdown.java
@@ -90,7 +90,7 @@
    * Begins the shutdown.
    *
    * @param clientListeners the listeners of clients
-   * @param shared whether another process may listen at the address of the first one
+   * @param shared whether another process may listen at the address of the first listener
    * @param config the configuration in force
    */
   void begin(List<Listener> clientListeners, boolean shared, Config config) {
@@ -138,7 +138,7 @@
 
   /**
    * Evaluates a probe. A transient failure to create the socket gives no evidence of another
-   * process, so the probe is repeated.
+   * process, so the probe is repeated; after the last attempt it counts as refused.
    */
   private void probeFinished(
       ChannelFuture connected,
@@ -148,17 +148,17 @@
       int attempts) {
     boolean timedOut = connected.cause() instanceof ConnectTimeoutException;
     boolean refused = connected.cause() instanceof ConnectException && !timedOut;
-    boolean unknown = connected.cause() != null && !refused && !timedOut;
+    boolean inconclusive = connected.cause() != null && !refused && !timedOut;
     if (connected.isSuccess()) {
       connected.channel().close();
     }
-    if (unknown && attempts > 1) {
+    if (inconclusive && attempts > 1) {
       loop.schedule(
           () -> probe(address, requestedAt, config, attempts - 1),
           PROBE_RETRY_MILLIS,
           TimeUnit.MILLISECONDS);
     } else {
-      drain(requestedAt, !refused && !unknown, config);
+      drain(requestedAt, !refused && !inconclusive, config);
     }
   }
 
--- a/src/main/java/mothwing/server/Server.java
+++ b/src/main/java/mothwing/server/Server.java
@@ -115,9 +115,9 @@
       throw new InvalidInputException(
           "field name: \""
               + config.name()
-              + "\" is not a valid name of a fleet member: "
+              + "\" is not a valid name of a fleet member ("
               + Site.Fleet.NAME_FORMAT
-              + " required");
+              + ")");
     }
     peer =
         new PeerTransport(fleet, config.name(), loop, scheduler, new SecureRandom(), counters, log);
@@ -174,8 +174,8 @@
           ajp);
     }
     ReadBudget budget = new ReadBudget(scheduler);
-    broker.setOverloadCheck(budget::isOverloaded);
-    fronts.limitReads(budget);
+    broker.setOverloadCheck(budget::shedNext);
+    fronts.setReadBudget(budget);
   }
 
   private Listener clientListener(String side, Supplier<Connection> factory, int maxConnections) {
@@ -256,13 +256,13 @@
           reloads.countSuccess();
           Config before = config;
           config = before.withReloaded(next);
-          logReload(config.restartRequiredFor(next));
+          logReload(config.fieldsRequiringRestart(next));
           applySettings(before);
           reconnect(before);
         });
   }
 
-  private void logReload(String restartRequiredFor) {
+  private void logReload(String restartFields) {
     String classes =
         config.settings().classes().stream()
             .map(RequestClass::name)
@@ -276,7 +276,7 @@
             + config.stopMs()
             + " classes="
             + classes
-            + (restartRequiredFor.isEmpty() ? "" : " needs-restart=" + restartRequiredFor));
+            + (restartFields.isEmpty() ? "" : " needs-restart=" + restartFields));
   }
 
   private void applySettings(Config before) {
--- a/src/test/java/mothwing/net/ConnectionTableTest.java
+++ b/src/test/java/mothwing/net/ConnectionTableTest.java
@@ -84,7 +84,7 @@
       byte[] ping = new Gateway.FastCgi().request(1, "/ping", "", Map.of(), new byte[0]);
       fixture.send(channel, new Gateway.FastCgi(), ping);
       table.closeExpired(20_000, reason);
-      fixture.pass(3 * SECOND); // a stall: no pass in this time
+      fixture.pass(3 * SECOND); // a stall: closeExpired is not called in this time
       table.closeExpired(20_000, reason);
       assertTrue(
           channel.isOpen(), "closed right after the stall, although its socket may hold a request");
--- a/src/test/java/mothwing/net/ConnectionTimeoutsTest.java
+++ b/src/test/java/mothwing/net/ConnectionTimeoutsTest.java
@@ -11,21 +11,21 @@
 
   private final ConnectionTimeouts timeouts = new ConnectionTimeouts();
 
-  private long expiresAt() {
-    return timeouts.expiresAt(TIMEOUT, true, NEVER);
+  private long timeoutAt() {
+    return timeouts.timeoutAt(TIMEOUT, true, NEVER);
   }
 
   @Test
   void expiresPeerUntilItIsIdentified() {
     timeouts.opened(10);
-    assertEquals(110, expiresAt());
+    assertEquals(110, timeoutAt());
     assertEquals(CloseReason.SILENT, timeouts.reason(111, TIMEOUT, NEVER));
     assertEquals(
         NEVER,
-        timeouts.expiresAt(TIMEOUT, false, NEVER),
+        timeouts.timeoutAt(TIMEOUT, false, NEVER),
         "expires although this process holds up its input");
     timeouts.identified();
-    assertEquals(NEVER, expiresAt());
+    assertEquals(NEVER, timeoutAt());
   }
 
   /** Guards against a message that is sent byte by byte and never expires. */
@@ -34,11 +34,11 @@
     timeouts.identified();
     timeouts.bytesReceived(20);
     timeouts.bytesReceived(90);
-    assertEquals(120, expiresAt());
+    assertEquals(120, timeoutAt());
     assertEquals(CloseReason.HALF_SENT, timeouts.reason(121, TIMEOUT, NEVER));
-    assertEquals(105, timeouts.expiresAt(TIMEOUT, true, 5), "an older incomplete request");
+    assertEquals(105, timeouts.timeoutAt(TIMEOUT, true, 5), "an older incomplete request");
     timeouts.bufferEmptied();
-    assertEquals(NEVER, expiresAt());
+    assertEquals(NEVER, timeoutAt());
   }
 
   @Test
@@ -46,9 +46,9 @@
     timeouts.identified();
     timeouts.writeBlocked(30);
     timeouts.writeBlocked(60);
-    assertEquals(130, timeouts.expiresAt(TIMEOUT, false, NEVER));
+    assertEquals(130, timeouts.timeoutAt(TIMEOUT, false, NEVER));
     assertEquals(CloseReason.NOT_READ, timeouts.reason(131, TIMEOUT, NEVER));
     timeouts.writeResumed();
-    assertEquals(NEVER, expiresAt());
+    assertEquals(NEVER, timeoutAt());
   }
 }
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -48,7 +48,7 @@
   private static final long STOP_MICROS = 3_200_000;
   private static final long GRACE_MICROS = 2 * SECOND;
   private static final long WINDOW_MICROS = 2 * SECOND;
-  private static final String GUARDED = "deposit";
+  private static final String KEYED_CLASS = "deposit";
 
   /** A pool whose commands and notices may be lost with its connection. */
   private final class PoolModel implements WorkerPool {
@@ -173,7 +173,7 @@
   /** A request as its gateway sees it, from its first byte. */
   private static final class SentRequest {
     final String id;
-    final boolean order;
+    final boolean runsOnce;
 
     /** The idempotency key, common to all attempts of the same request, or null. */
     final String key;
@@ -188,9 +188,9 @@
     boolean abandoned;
     int answers;
 
-    SentRequest(String id, boolean order, String key, byte[] bytes) {
+    SentRequest(String id, boolean runsOnce, String key, byte[] bytes) {
       this.id = id;
-      this.order = order;
+      this.runsOnce = runsOnce;
       this.key = key;
       this.bytes = bytes;
     }
@@ -235,7 +235,7 @@
         return;
       }
       if (incompleteId == 0) {
-        boolean order = step % 2 == 0;
+        boolean runsOnce = step % 2 == 0;
         String key = step % 4 == 0 ? "key" + step / 4 % 3 : null;
         String id = BrokerFixture.id(++createdRequests);
         incompleteId = ++lastId;
@@ -247,14 +247,14 @@
             incompleteId,
             new SentRequest(
                 id,
-                order,
+                runsOnce,
                 key,
                 gateway.request(
                     incompleteId,
                     "/call/"
                         + (key != null
-                            ? GUARDED
-                            : order ? BrokerFixture.ORDER : BrokerFixture.LOOK),
+                            ? KEYED_CLASS
+                            : runsOnce ? BrokerFixture.ORDER : BrokerFixture.LOOK),
                     "",
                     fields,
                     new byte[key != null ? 1 : step % 100])));
@@ -296,7 +296,7 @@
             request.completedAt <= fixture.now(),
             request.id + " is answered before it was sent completely");
         assertTrue(
-            answer.status() != 503 || !request.order || !pool.runs.containsKey(request.id),
+            answer.status() != 503 || !request.runsOnce || !pool.runs.containsKey(request.id),
             request.id + " ran and is rejected");
         if (answer.status() == 200) {
           assertTrue(
@@ -354,7 +354,7 @@
                     : OverloadController::new,
                 ignored -> pool)
             .bound();
-    fixture.broker.applySettings(guarded(BrokerFixture.settings(4.5, 2)));
+    fixture.broker.applySettings(withKeyedClass(BrokerFixture.settings(4.5, 2)));
     table = new ConnectionTable(60 * SECOND, fixture);
     allRequests = new ArrayList<>();
     createdRequests = 0;
@@ -366,17 +366,17 @@
     }
   }
 
-  private static Settings guarded(Settings settings) {
+  private static Settings withKeyedClass(Settings settings) {
     List<RequestClass> classes = new ArrayList<>(settings.classes());
     classes.add(
         new RequestClass(
-            GUARDED, SECOND, 3 * SECOND, 4, 0, Idempotency.WITH_KEY, WINDOW_MICROS, false, 0));
+            KEYED_CLASS, SECOND, 3 * SECOND, 4, 0, Idempotency.WITH_KEY, WINDOW_MICROS, false, 0));
     return SettingsVariants.parts(settings, classes, settings.tenants());
   }
 
   private static Settings settings(int step) {
     Settings settings =
-        guarded(
+        withKeyedClass(
             BrokerFixture.settings((double) (step % 2 == 0 ? 3 : MAX_DEADLINE_MICROS / SECOND), 2));
     return step % 5 > 0
         ? settings
@@ -389,11 +389,11 @@
       table.closeExpired(
           draining ? 20_000 : 30 * SECOND, draining ? CloseReason.DRAIN : CloseReason.IDLE);
       pool.processMessages();
-      check();
+      assertInvariants();
     }
   }
 
-  private void check() {
+  private void assertInvariants() {
     clients.forEach(ClientConnection::read);
     for (SentRequest request : allRequests) {
       assertTrue(
@@ -403,7 +403,8 @@
               || request.completedAt == Long.MAX_VALUE,
           request.id + " is overdue");
       assertTrue(
-          !request.order || pool.runs.getOrDefault(request.id, 0) <= 1, request.id + " ran twice");
+          !request.runsOnce || pool.runs.getOrDefault(request.id, 0) <= 1,
+          request.id + " ran twice");
       assertTrue(
           request.key == null
               || !pool.runs.containsKey(request.id)
@@ -455,7 +456,7 @@
         case 18 -> advance(step * 10L);
         default -> table.evict();
       }
-      check();
+      assertInvariants();
       if (i == drainStep) {
         draining = true;
         drainRequestedAt = fixture.now();
@@ -476,12 +477,12 @@
         advance(50_000);
       }
       fixture.broker.failPending();
-      check();
+      assertInvariants();
     } else {
       advance(MAX_DEADLINE_MICROS + 2 * SLACK_MICROS);
     }
     fixture.pass(1);
-    check();
+    assertInvariants();
     allRequests.forEach(
         request ->
             assertTrue(
--- a/src/test/java/mothwing/net/ReadBudgetTest.java
+++ b/src/test/java/mothwing/net/ReadBudgetTest.java
@@ -44,17 +44,17 @@
     }
 
     @Override
-    public void schedule(long at, Runnable work) {
-      due.add(work);
+    public void schedule(long at, Runnable task) {
+      due.add(task);
     }
 
     boolean runNext() {
-      Runnable work = due.poll();
-      if (work != null) {
+      Runnable task = due.poll();
+      if (task != null) {
         now += 500;
-        work.run();
+        task.run();
       }
-      return work != null;
+      return task != null;
     }
   }
 
@@ -84,7 +84,7 @@
 
   private EmbeddedChannel openWith(String input) {
     ByteConnection connection = new ByteConnection();
-    connection.limitReads(budget);
+    connection.setReadBudget(budget);
     EmbeddedChannel channel = new EmbeddedChannel(connection);
     channel.writeInbound(Unpooled.copiedBuffer(input, StandardCharsets.US_ASCII));
     return channel;
@@ -95,7 +95,7 @@
    * that is left undecoded afterwards.
    */
   @Test
-  void decodesOneBudgetPerTurnInArrivalOrder() {
+  void decodesOneBudgetPerTurnAndLeavesNothing() {
     var first = openWith("a".repeat(20));
     var second = openWith("b".repeat(20));
     assertEquals(List.of("a"), decoded.stream().distinct().toList());
@@ -125,7 +125,7 @@
     List<EmbeddedChannel> channels = new ArrayList<>();
     for (ByteConnection connection : List.of(busy, waiting)) {
       table.add(connection);
-      connection.limitReads(budget);
+      connection.setReadBudget(budget);
       EmbeddedChannel channel = new EmbeddedChannel(connection);
       channel.writeInbound(
           Unpooled.copiedBuffer("a".repeat(2 * MESSAGES_PER_TURN), StandardCharsets.US_ASCII));
@@ -162,7 +162,7 @@
             }
           };
       connection.index = i;
-      connection.limitReads(budget);
+      connection.setReadBudget(budget);
       table.add(connection);
       channels.add(new EmbeddedChannel(connection));
     }
@@ -209,7 +209,7 @@
   private int countShed(int requests) {
     int shed = 0;
     for (int i = 0; i < requests; i++) {
-      shed += budget.isOverloaded() ? 1 : 0;
+      shed += budget.shedNext() ? 1 : 0;
     }
     return shed;
   }
--- a/src/test/java/mothwing/net/SharedPortQuotaTest.java
+++ b/src/test/java/mothwing/net/SharedPortQuotaTest.java
@@ -19,7 +19,10 @@
   private static final int MAX_CONNECTIONS = 800;
   private static final long STEP_MICROS = 10_000;
 
-  /** Fewer than an eighth of the limit may arrive while a poll is valid. */
+  /**
+   * Most arrivals, starts and ends per step: at most an eighth of the limit arrives while a poll is
+   * valid.
+   */
   private static final int MAX_CHANGES_PER_STEP = 2;
 
   @TempDir private Path folder;
@@ -81,8 +84,8 @@
    */
   @Test
   void keepsBothProcessesWithinTheLimitOfOne() {
-    int nearLimit = 0;
-    int moreThanHalf = 0;
+    int seedsNearLimit = 0;
+    int seedsAboveHalf = 0;
     for (int seed = 0; seed < 300; seed++) {
       random = new Random(seed);
       processes.clear();
@@ -107,15 +110,15 @@
         assertTrue(total <= MAX_CONNECTIONS, "seed " + seed + " at " + now + ": " + total);
         stepsNearLimit += total > MAX_CONNECTIONS * 7 / 8 ? 1 : 0;
       }
-      nearLimit += stepsNearLimit > 100 ? 1 : 0;
-      moreThanHalf += processes.get(1).open() > MAX_CONNECTIONS / 2 ? 1 : 0;
+      seedsNearLimit += stepsNearLimit > 100 ? 1 : 0;
+      seedsAboveHalf += processes.get(1).open() > MAX_CONNECTIONS / 2 ? 1 : 0;
     }
     assertTrue(
-        nearLimit > 200 && moreThanHalf > 200,
-        "of 300 "
-            + nearLimit
+        seedsNearLimit > 200 && seedsAboveHalf > 200,
+        "of 300 seeds "
+            + seedsNearLimit
             + " came near the limit, and "
-            + moreThanHalf
+            + seedsAboveHalf
             + " had more than half at the end");
   }
 
--- a/src/test/java/mothwing/server/ClientFrontsTest.java
+++ b/src/test/java/mothwing/server/ClientFrontsTest.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** Stopping the listeners, and the binds that the stop waits for. */
+/** A stop of the fronts, and the binds that it waits for. */
 class ClientFrontsTest {
   private final AtomicInteger stops = new AtomicInteger();
   private final ClientFronts fronts =
@@ -28,6 +28,6 @@
     fronts.bindFinished();
     fronts.stop(stops::incrementAndGet);
     assertEquals(1, stops.get());
-    assertTrue(fronts.isListening(), "not listening although every front is bound");
+    assertTrue(fronts.isListening(), "without fronts it must count as listening");
   }
 }
--- a/src/test/java/mothwing/server/ServerRaceTest.java
+++ b/src/test/java/mothwing/server/ServerRaceTest.java
@@ -322,7 +322,7 @@
 
   /**
    * Guards against losing or repeating a run whose start or end is in flight between server and
-   * pool when a shutdown is requested, twice.
+   * pool when a shutdown is requested twice.
    */
   @Test
   void runsRequestInFlightOnceDuringGracefulShutdown() throws Exception {
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -159,7 +159,7 @@
    * of a request that must run once.
    */
   @Test
-  void losesNoEndAndRepeatsNoRunWhenPoolConnectionBreaks() throws Exception {
+  void losesNoRunEndAndRepeatsNoRunWhenPoolConnectionBreaks() throws Exception {
     startReady(-1, 60);
     try (GatewayConnection fastCgi = connect(new Gateway.FastCgi());
         GatewayConnection ajp = connect(new Gateway.Ajp())) {
@@ -411,7 +411,7 @@
 
   /**
    * Guards against a front that starves under overload: half of the requests come over each front,
-   * and requests of equal priority weight must get equal service.
+   * and requests of equal priority weight must get equal service within a factor of 2.
    */
   @Test
   void servesEqualPriorityWeightsEquallyOverBothFrontsUnderOverload() throws Exception {
@@ -459,7 +459,7 @@
     }
     assertTrue(
         served[0][1] + served[1][1] > 0.5 * 6 * 2 * requestsPerFront / 5,
-        "orders have the higher priority weight: " + summary);
+        "too few orders were served although they have the higher priority weight: " + summary);
     pool.spawns().forEach((id, times) -> assertEquals(1, times, id));
     for (GatewayConnection connection : ajp) {
       connection.close();
--- a/src/test/java/mothwing/server/UpgradeTest.java
+++ b/src/test/java/mothwing/server/UpgradeTest.java
@@ -42,10 +42,10 @@
   @TempDir private Path folder;
   private final AtomicInteger sentRequests = new AtomicInteger();
   private final AtomicInteger answeredRequests = new AtomicInteger();
-  private final AtomicInteger resentRequests = new AtomicInteger();
+  private final AtomicInteger failedAttempts = new AtomicInteger();
   private final List<String> lost = Collections.synchronizedList(new ArrayList<>());
 
-  /** Requests rejected with a delay, which the client observes before it retries. */
+  /** Requests rejected with a delay, which the client waits before its next request. */
   private final List<String> rejectedWithDelay = Collections.synchronizedList(new ArrayList<>());
 
   private volatile boolean stopped;
@@ -79,8 +79,9 @@
           return;
         } catch (IOException closed) {
           connection = null;
-          resentRequests.incrementAndGet();
-          // On an open connection the request may have crossed the close, and is sent once more.
+          failedAttempts.incrementAndGet();
+          // A request on a reused connection may have crossed the close and is sent once more;
+          // any other failure is a loss.
           if (isNew || attempt > 0) {
             lost.add(id + " " + closed);
             attempt = 2;
