--- a/src/main/java/mothwing/membership/AntiEntropyExchange.java
+++ b/src/main/java/mothwing/membership/AntiEntropyExchange.java
@@ -5,8 +5,8 @@
 import mothwing.membership.MembershipMessage.Kind;
 
 /**
- * Full exchanges of all records: with a seed until one has answered, with a random member now and
- * then, and with members that return from the dead.
+ * Exchanges all records with a seed until one has responded, with a random member periodically, and
+ * with members that return after their removal.
  */
 final class AntiEntropyExchange {
   private static final long INITIAL_BACKOFF_MICROS = 200_000;
@@ -35,7 +35,7 @@
     return !seeds.isEmpty();
   }
 
-  /** Whether a full exchange has been answered since the start, or none is needed. */
+  /** Whether a sync request has been answered since the start, or there are no seeds. */
   boolean isJoined() {
     return joined;
   }
@@ -44,7 +44,10 @@
     joined = true;
   }
 
-  /** Asks a seed, with backoff, until one has answered and this member is not isolated. */
+  /**
+   * Sends sync requests to random seeds, with backoff, until one has responded and this member is
+   * not isolated.
+   */
   void join(IsolationDetector isolation) {
     if (self.isDisplaced() || seeds.isEmpty() || (joined && !isolation.isIsolated())) {
       return;
@@ -64,8 +67,9 @@
   }
 
   /**
-   * Exchanges all records with a member that has returned, behind which there may be the other side
-   * of a partition. Only some of the members do so, and each not often, to spare the returned one.
+   * Exchanges all records with a member that has returned, because it may lead to the other side of
+   * a partition that has healed. Only a random few of the members do so, each at most once in a
+   * random probe interval, to limit the load on the returned member.
    */
   void exchangeWithReturned(Member member) {
     if (self.now() >= nextReturnExchangeMicros
@@ -75,7 +79,7 @@
     }
   }
 
-  /** Sends a dead member its record: behind a partition that has healed it refutes it. */
+  /** Sends a random dead member its record, which it refutes if a partition has healed. */
   void contactDeadMember() {
     List<Member> dead = members.inState(MemberState.DEAD);
     if (!dead.isEmpty()) {
@@ -84,7 +88,7 @@
     }
   }
 
-  /** Answers an exchange with all records. */
+  /** Responds to a sync request with all records. */
   void respond(MembershipMessage request) {
     dissemination.stream(
         Kind.SYNC_RESPONSE, request.sender().address(), request.sequence(), members.records());
--- a/src/main/java/mothwing/membership/Dissemination.java
+++ b/src/main/java/mothwing/membership/Dissemination.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import mothwing.membership.MembershipMessage.Kind;
 
-/** Sends messages, and spreads records by gossip: piggybacked on every datagram. */
+/** Sends messages, and disseminates records by gossip that is piggybacked on every datagram. */
 final class Dissemination {
   private static final long PUSH_INTERVAL_MICROS = 20_000;
   private static final int PUSH_FANOUT = 2;
@@ -27,7 +27,7 @@
     queue.add(record);
   }
 
-  /** Sends a datagram, filled up with gossip to its largest size. */
+  /** Sends a datagram, and fills it up to the maximum size with gossip. */
   void send(
       Kind kind, String address, long sequence, String pingTarget, List<MemberRecord> records) {
     MembershipMessage withoutGossip = message(kind, sequence, pingTarget, records);
@@ -42,7 +42,7 @@
     send(kind, address, sequence, "", records);
   }
 
-  /** Sends a ping whose answer is not awaited. */
+  /** Sends a ping whose acknowledgement is not awaited. */
   void sendUnawaitedPing(String address, List<MemberRecord> records) {
     send(Kind.PING, address, self.nextSequence(), records);
   }
@@ -78,7 +78,7 @@
   private void push() {
     pushScheduled = false;
     nextPushMicros = self.now() + PUSH_INTERVAL_MICROS;
-    for (int i = 0; i < PUSH_FANOUT && !self.isDisplaced() && !ring.all().isEmpty(); i++) {
+    for (int i = 0; i < PUSH_FANOUT && !self.isDisplaced() && !ring.members().isEmpty(); i++) {
       sendUnawaitedPing(ring.random().address(), List.of());
     }
   }
--- a/src/main/java/mothwing/membership/FailureDetector.java
+++ b/src/main/java/mothwing/membership/FailureDetector.java
@@ -8,8 +8,8 @@
 import mothwing.membership.MembershipMessage.Kind;
 
 /**
- * SWIM's failure detector: a direct ping, then indirect pings through other members together with
- * one on a stream, then suspicion.
+ * Detects failures by the probes of SWIM: a direct ping, then indirect pings through other members
+ * together with one on a stream, then suspicion.
  */
 final class FailureDetector {
   private final LocalMember self;
@@ -44,7 +44,7 @@
     ring.nextShuffled().ifPresent(this::probe);
   }
 
-  /** Drops the probes of this process: after it was stopped, a missing answer proves nothing. */
+  /** Drops this process's probes: after it was paused, a missing acknowledgement proves nothing. */
   void abandonOwnProbes(MemberTable members) {
     probes.values().removeIf(probe -> !probe.isOnBehalfOfAnother());
     members.all().forEach(Member::clearOutstandingProbe);
@@ -81,10 +81,12 @@
   }
 
   private void requestPings(Probe probe) {
-    int wanted = self.settings().indirectProbeMembers();
+    int helperCount = self.settings().indirectProbeMembers();
     Set<Member> excluded = new HashSet<>(Set.of(probe.target()));
-    boolean anyPresent = !ring.all().isEmpty();
-    for (int i = 0; i < 2 * wanted && probe.indirectRequests() < wanted && anyPresent; i++) {
+    boolean anyPresent = !ring.members().isEmpty();
+    for (int i = 0;
+        i < 2 * helperCount && probe.indirectRequests() < helperCount && anyPresent;
+        i++) {
       Member helper = ring.random();
       if (helper.state() == MemberState.ALIVE && excluded.add(helper)) {
         probe.countIndirectRequest();
@@ -116,7 +118,7 @@
     }
   }
 
-  /** Takes an acknowledgement; late and repeated ones are ignored. */
+  /** Handles an acknowledgement; late and repeated ones are ignored. */
   void onAck(long sequence) {
     Probe probe = probes.get(sequence);
     if (probe == null) {
@@ -135,7 +137,7 @@
     }
   }
 
-  /** Takes the word of a member that was asked for a ping that it reaches the target no more. */
+  /** Counts the nack of a helper that did not reach the target in time. */
   void onNack(long sequence) {
     Probe probe = probes.get(sequence);
     if (probe != null) {
@@ -143,7 +145,10 @@
     }
   }
 
-  /** Pings a member on behalf of another one, and answers with an ack or, in time, a nack. */
+  /**
+   * Pings a member on behalf of another one, and responds with an ack or, after half of the
+   * indirect ack timeout, a nack.
+   */
   void onPingRequest(MembershipMessage request, Member target) {
     Probe probe =
         Probe.onBehalfOf(request.sender(), request.sequence(), self.nextSequence(), target);
--- a/src/main/java/mothwing/membership/FailureDetectorSettings.java
+++ b/src/main/java/mothwing/membership/FailureDetectorSettings.java
@@ -1,28 +1,30 @@
 package mothwing.membership;
 
 /**
- * Intervals and bounds of the membership protocol. Times are microseconds.
+ * Intervals and limits of the membership protocol. Times are microseconds.
  *
- * @param probeIntervalMicros between probes of the successors on the ring
- * @param ringSuccessors how many successors on the ring a member probes
- * @param randomProbeIntervalMicros between probes of a random member
- * @param ackTimeoutMicros from a direct ping to the indirect ones
- * @param indirectAckTimeoutMicros from the indirect pings to the suspicion
- * @param indirectProbeMembers how many members are asked for an indirect ping
- * @param minSuspicionMicros from suspicion to death with enough independent accusers
+ * @param probeIntervalMicros interval between probes of the successors on the ring
+ * @param ringSuccessors the number of successors on the ring that a member probes
+ * @param randomProbeIntervalMicros interval between probes of a random member
+ * @param ackTimeoutMicros time from a direct ping to the indirect ones
+ * @param indirectAckTimeoutMicros time from the indirect pings to the suspicion
+ * @param indirectProbeMembers the number of members that are asked for an indirect ping
+ * @param minSuspicionMicros time from suspicion to death with enough independent accusers
  * @param maxSuspicionMicros the same with a single accuser
- * @param suspicionConfirmations further accusers after which the minimum applies
- * @param gossipedSuspicionMultiplier of the maximum, where this member is not an accuser
- * @param retransmitMultiplier transmissions of a record, by the logarithm of the member count
- * @param maxDatagramBytes the largest datagram
- * @param tombstoneMicros for which a removed member is remembered
- * @param antiEntropyIntervalMicros between full exchanges, for each hundred members
- * @param isolationTimeoutMicros without enough members heard, after which this one is isolated
- * @param massFailureRatio of the members; where more fail within {@code massFailureHoldMicros},
- *     deaths are held back
- * @param massFailureHoldMicros how much longer a suspicion has to last then
- * @param maxLocalHealthMultiplier the highest local health score: each step adds one to the factor
- *     of timeouts
+ * @param suspicionConfirmations the number of further accusers from which the minimum applies
+ * @param gossipedSuspicionMultiplier factor of the maximum if this member is not an accuser
+ * @param retransmitMultiplier transmissions of a record per binary digit of the member count
+ * @param maxDatagramBytes the maximum size of a datagram
+ * @param tombstoneMicros time for which a removed member is remembered
+ * @param antiEntropyIntervalMicros interval between full exchanges; it grows by this for each
+ *     hundred members
+ * @param isolationTimeoutMicros time without messages of enough members after which this one is
+ *     isolated
+ * @param massFailureRatio fraction of the members; if more fail within {@code
+ *     massFailureHoldMicros}, declarations of death are held back
+ * @param massFailureHoldMicros time by which a declaration of death is then delayed
+ * @param maxLocalHealthMultiplier the maximum local health score; each step adds one to the factor
+ *     of the timeouts
  */
 public record FailureDetectorSettings(
     long probeIntervalMicros,
@@ -44,20 +46,20 @@
     long massFailureHoldMicros,
     int maxLocalHealthMultiplier) {
 
-  /** For machines of one site, which answer within milliseconds. */
+  /** Defaults for machines at one site, which respond within milliseconds. */
   public static final FailureDetectorSettings DEFAULTS = new Builder().build();
 
-  /** The same without local health, to measure its effect. */
+  /** Returns a copy that disables local health, to measure its effect. */
   public FailureDetectorSettings withoutLocalHealth() {
     return new Builder(this).maxLocalHealthMultiplier(0).build();
   }
 
-  /** A builder that begins with the defaults. */
+  /** Creates a builder that starts with the defaults. */
   public static Builder builder() {
     return new Builder(DEFAULTS);
   }
 
-  /** Sets components by name. */
+  /** Builds settings, with components set by name. */
   public static final class Builder {
     private static final long MILLI_MICROS = 1000;
     private static final long SECOND_MICROS = 1000 * MILLI_MICROS;
@@ -116,7 +118,7 @@
       return this;
     }
 
-    /** The settings. */
+    /** Creates the settings. */
     public FailureDetectorSettings build() {
       return new FailureDetectorSettings(
           probeIntervalMicros,
--- a/src/main/java/mothwing/membership/FlapDetector.java
+++ b/src/main/java/mothwing/membership/FlapDetector.java
@@ -8,15 +8,21 @@
 import java.util.TreeSet;
 
 /**
- * Finds members that die and return again and again. Each death adds one to a score that decays
+ * Detects members that repeatedly die and return. Each death adds one to a score that decays
  * exponentially; flapping begins at a high score and ends at a low one. Times are microseconds of
  * the monotonic clock.
  */
 final class FlapDetector {
   private static final double HALF_LIFE_MICROS = 60e6;
-  private static final double BEGIN_SCORE = 2.5; // three deaths within some 20 s, or four in 60 s
+
+  /** Reached by three deaths within about 20 s, or four within 60 s. */
+  private static final double BEGIN_SCORE = 2.5;
+
   private static final double END_SCORE = 0.75;
-  private static final double MAX_SCORE = 6; // so that it ends within three half-lives
+
+  /** Lets flapping end within three half-lives of the last death. */
+  private static final double MAX_SCORE = 6;
+
   private static final double NEGLIGIBLE_SCORE = 0.05;
 
   private final Map<String, Score> scores = new TreeMap<>();
@@ -31,7 +37,7 @@
     }
   }
 
-  /** Counts a death; true where the member is flapping from now on. */
+  /** Counts a death; returns true if the member begins to flap. */
   boolean recordDeath(String name, long nowMicros) {
     Score score = scores.computeIfAbsent(name, unused -> new Score());
     score.value = Math.min(MAX_SCORE, score.at(nowMicros) + 1);
--- a/src/main/java/mothwing/membership/GossipQueue.java
+++ b/src/main/java/mothwing/membership/GossipQueue.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Records that wait for gossip, the least transmitted first; at most one for each member. */
+/** Records to be gossiped, the least transmitted first; at most one for each member. */
 final class GossipQueue {
   private final Map<String, Integer> transmissions = new LinkedHashMap<>();
   private final TreeMap<Integer, LinkedHashMap<String, MemberRecord>> byTransmissions =
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Takes records for one message.
+   * Takes the records for one message, and counts their transmission.
    *
-   * @param capacityBytes their most bytes as encoded
-   * @param maxTransmissions after how many a record is dropped
+   * @param capacityBytes the maximum of their total encoded size
+   * @param maxTransmissions the number of transmissions after which a record is dropped
    */
   List<MemberRecord> take(int capacityBytes, int maxTransmissions) {
     List<MemberRecord> taken = select(capacityBytes);
--- a/src/main/java/mothwing/membership/IsolationDetector.java
+++ b/src/main/java/mothwing/membership/IsolationDetector.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Finds out whether this process hears too few of the members that should contact it. */
+/** Detects that this process receives messages from too few of the members. */
 final class IsolationDetector {
   private final LocalMember self;
   private final MemberTable members;
@@ -26,7 +26,7 @@
     lastHeardMicros.put(name, self.now());
   }
 
-  /** Leaves out a time in which this process was stopped. */
+  /** Excludes a pause of this process from the timeout. */
   void postpone(long spanMicros) {
     connectedAtMicros += spanMicros;
   }
@@ -35,7 +35,7 @@
     return isolated;
   }
 
-  /** Looks again; true where the answer has changed. */
+  /** Updates the state; returns true if it has changed. */
   boolean update(long nowMicros) {
     long timeout = self.settings().isolationTimeoutMicros();
     lastHeardMicros.values().removeIf(at -> at < nowMicros - timeout);
--- a/src/main/java/mothwing/membership/LocalHealth.java
+++ b/src/main/java/mothwing/membership/LocalHealth.java
@@ -1,8 +1,8 @@
 package mothwing.membership;
 
 /**
- * Lifeguard's local health: a score that rises while this process itself seems slow, and makes its
- * timeouts longer.
+ * The local health score of Lifeguard: it rises while this process itself appears slow, and extends
+ * its timeouts.
  */
 final class LocalHealth {
   private final int maxScore;
--- a/src/main/java/mothwing/membership/LocalMember.java
+++ b/src/main/java/mothwing/membership/LocalMember.java
@@ -31,7 +31,8 @@
     this.scheduler = scheduler;
     this.random = random;
     this.host = host;
-    sequence = random.nextLong() >>> 1; // differs from that of an earlier process of this name
+    // Random, so that it differs from the sequence of an earlier process of this name.
+    sequence = random.nextLong() >>> 1;
   }
 
   String cluster() {
@@ -78,7 +79,7 @@
     return viewVersion;
   }
 
-  /** Whether another process has taken this name, after which this one sends nothing. */
+  /** Whether another process has taken over this name: this one sends nothing from then on. */
   boolean isDisplaced() {
     return displaced;
   }
--- a/src/main/java/mothwing/membership/Member.java
+++ b/src/main/java/mothwing/membership/Member.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What this process knows of another member. */
+/** Another member: its latest record, and the local state of its suspicion and probe. */
 final class Member {
   private static final long HASH_SEED = 7;
   private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -19,7 +19,7 @@
     ringPosition = ringPosition(record.name());
   }
 
-  /** The place of a name on the hash ring: the same at every member. */
+  /** The position of a name on the hash ring, which is the same at every member. */
   static long ringPosition(String name) {
     long hash = HASH_SEED;
     for (int i = 0; i < name.length(); i++) {
--- a/src/main/java/mothwing/membership/MemberRecord.java
+++ b/src/main/java/mothwing/membership/MemberRecord.java
@@ -1,14 +1,14 @@
 package mothwing.membership;
 
 /**
- * The state of a member as somebody reports it. Records may arrive late, repeated and in any order:
- * which of two holds depends on their contents alone.
+ * The state of a member as reported by some member. Records may arrive late, repeatedly and in any
+ * order: which of two supersedes the other depends on their contents alone.
  *
  * @param name its name
- * @param instanceId the random id of its process: a later process of the same name has another
- * @param address where it receives messages
+ * @param instanceId the random id of its process; a later process of the same name has another
+ * @param address the address at which it receives messages
  * @param zone its zone
- * @param incarnation raised by the member alone, to refute; never decreases
+ * @param incarnation raised only by the member itself, to refute; never decreases
  * @param state the state that is reported
  * @param reportedBy the name of the member that reports it
  */
@@ -20,11 +20,12 @@
     long incarnation,
     MemberState state,
     String reportedBy) {
-  private static final int FIXED_BYTES = 36; // numbers, keys and lengths as encoded
+  /** The encoded size of numbers, keys and length prefixes. */
+  private static final int FIXED_BYTES = 36;
 
   /**
-   * Whether this holds against another record of the same name: by incarnation, then state, then
-   * instance.
+   * Whether this supersedes another record of the same name: by incarnation, then state, then
+   * instance id.
    */
   public boolean supersedes(MemberRecord other) {
     if (incarnation != other.incarnation) {
@@ -44,7 +45,7 @@
     return new MemberRecord(name, instanceId, address, zone, nextIncarnation, state, reportedBy);
   }
 
-  /** An upper bound of its size as encoded. */
+  /** An upper bound of the encoded size. */
   public int maxEncodedBytes() {
     return FIXED_BYTES + name.length() + address.length() + zone.length() + reportedBy.length();
   }
--- a/src/main/java/mothwing/membership/MemberState.java
+++ b/src/main/java/mothwing/membership/MemberState.java
@@ -1,13 +1,13 @@
 package mothwing.membership;
 
 /**
- * The state of a member. Of two records with the same incarnation the one with the later state in
- * this order holds.
+ * The state of a member. Of two records with the same incarnation, the one whose state is later in
+ * this order supersedes the other.
  */
 public enum MemberState {
-  /** It answers. */
+  /** It answers probes. */
   ALIVE,
-  /** It did not answer somebody, and has not refuted that yet. */
+  /** It did not answer the probes of some member, and has not refuted the suspicion. */
   SUSPECT,
   /** It did not refute the suspicion in time. */
   DEAD,
--- a/src/main/java/mothwing/membership/Membership.java
+++ b/src/main/java/mothwing/membership/Membership.java
@@ -9,9 +9,9 @@
 import mothwing.membership.MembershipMessage.Kind;
 
 /**
- * One member of a cluster: it wires failure detector, suspicion, dissemination and anti-entropy,
- * and holds the view that they lead to. All calls belong to the thread of its scheduler; only the
- * monotonic clock counts.
+ * One member of a cluster: connects failure detector, suspicion, dissemination and anti-entropy,
+ * and maintains the resulting view. To be called on the thread of its scheduler only; it depends on
+ * the monotonic clock alone.
  */
 public final class Membership {
   private static final int MEMBERS_PER_SYNC_INTERVAL = 100;
@@ -34,15 +34,15 @@
   private long nextAntiEntropyMicros;
 
   /**
-   * Makes a member that has not started.
+   * Creates a member that has not started.
    *
-   * @param cluster the name of its cluster; messages of others are ignored
-   * @param self its own record: name, id of this process, address and zone
+   * @param cluster the name of its cluster; messages of other clusters are ignored
+   * @param self its own record, with a random instance id of this process
    * @param seeds addresses of members to join through; its own may be among them
-   * @param settings intervals and bounds of the protocol
-   * @param scheduler the monotonic clock
-   * @param random chooses whom to probe
-   * @param host sends messages and takes events
+   * @param settings intervals and limits of the protocol
+   * @param scheduler the monotonic clock, and delayed work
+   * @param random chooses members to contact, and delays
+   * @param host sends messages and receives events
    */
   public Membership(
       String cluster,
@@ -65,7 +65,7 @@
     nameConflicts = new NameConflicts(this.self, dissemination, health, antiEntropy::isJoined);
   }
 
-  /** Joins through the seeds, and begins to probe. */
+  /** Joins through the seeds, and starts to probe. */
   public void start() {
     long now = self.now();
     isolation.start(now);
@@ -77,7 +77,7 @@
     self.schedule(tickDueMicros, this::tick);
   }
 
-  /** Announces that this member leaves. It answers until its process ends. */
+  /** Announces that this member leaves. It still answers messages afterwards. */
   public void leave() {
     MemberRecord own = self.record();
     self.setRecord(
@@ -90,7 +90,7 @@
         .forEach(member -> dissemination.sendUnawaitedPing(member.address(), List.of()));
   }
 
-  /** The records that are held now, this member's own among them. */
+  /** The current view of all members, including this one. */
   public MembershipView view() {
     TreeMap<String, MemberRecord> records = new TreeMap<>();
     members.all().forEach(member -> records.put(member.name(), member.record()));
@@ -104,7 +104,7 @@
 
   private void tick() {
     long now = self.now();
-    forgiveOwnStall(now - tickDueMicros);
+    compensateForStall(now - tickDueMicros);
     tickDueMicros = now + settings.probeIntervalMicros();
     self.schedule(tickDueMicros, this::tick);
     if (self.isDisplaced()) {
@@ -125,8 +125,11 @@
     updateIsolation(now);
   }
 
-  /** After a stall of this process the answers that are missing are no evidence against others. */
-  private void forgiveOwnStall(long lateMicros) {
+  /**
+   * Extends timeouts after a stall of this process: acknowledgements that it missed are no evidence
+   * against other members.
+   */
+  private void compensateForStall(long lateMicros) {
     if (lateMicros <= settings.probeIntervalMicros()) {
       return;
     }
@@ -156,7 +159,7 @@
   }
 
   /**
-   * Takes a message, whether it came as a datagram or on a stream.
+   * Handles a message, received as a datagram or on a stream.
    *
    * @param message the message; one of another cluster is ignored
    */
@@ -215,7 +218,7 @@
     }
   }
 
-  /** Gossips a record that holds from now on, and follows the change of state that it brings. */
+  /** Gossips the new record of a member, and applies the change of state that it brings. */
   private void accept(Member member, Optional<MemberState> previous) {
     dissemination.enqueue(member.record());
     boolean wasPresent = previous.filter(MemberState::isPresent).isPresent();
--- a/src/main/java/mothwing/membership/MembershipEvent.java
+++ b/src/main/java/mothwing/membership/MembershipEvent.java
@@ -1,14 +1,14 @@
 package mothwing.membership;
 
 /**
- * One change of a member's view. The events of one member are in one order.
+ * One change of a member's view. The events of one member are ordered by their versions.
  *
- * @param version of the view from this event on
- * @param type what has changed
+ * @param version the version of the view from this event on
+ * @param type the kind of change
  * @param record the record that led to it, of the member that it concerns
  */
 public record MembershipEvent(long version, Type type, MemberRecord record) {
-  /** What can change. */
+  /** The kind of change. */
   public enum Type {
     /** A member is new, or has returned. */
     JOINED,
@@ -20,15 +20,15 @@
     DECLARED_DEAD,
     /** It left on its own. */
     LEFT,
-    /** It died and returned again and again. */
+    /** It has repeatedly died and returned. */
     FLAPPING,
     /** It no longer counts as flapping. */
     STABLE,
-    /** This process hears too few members. */
+    /** This process receives messages from too few members. */
     ISOLATED,
-    /** This process hears enough members again. */
+    /** This process receives messages from enough members again. */
     CONNECTED,
-    /** Another process has taken this one's name: this one sends nothing from now on. */
+    /** Another process has taken over this one's name: this one sends nothing from now on. */
     DISPLACED
   }
 }
--- a/src/main/java/mothwing/membership/MembershipHost.java
+++ b/src/main/java/mothwing/membership/MembershipHost.java
@@ -1,25 +1,25 @@
 package mothwing.membership;
 
-/** The network and the listener of one member. No call may re-enter the member. */
+/** The network and the event listener of one member. No call may re-enter the member. */
 public interface MembershipHost {
   /**
-   * Sends a datagram: it may be lost, late or repeated.
+   * Sends a datagram; it may be lost, delayed or duplicated.
    *
-   * @param address the receiver
+   * @param address the address of the receiver
    * @param message the message
    */
   void sendDatagram(String address, MembershipMessage message);
 
   /**
-   * Sends on a stream of its own, which takes any size; failures are not reported.
+   * Sends a message of any size on a stream of its own; failures are not reported.
    *
-   * @param address the receiver
+   * @param address the address of the receiver
    * @param message the message
    */
   void sendStream(String address, MembershipMessage message);
 
   /**
-   * The view has changed.
+   * Called after each change of the view.
    *
    * @param event the change
    */
--- a/src/main/java/mothwing/membership/MembershipMessage.java
+++ b/src/main/java/mothwing/membership/MembershipMessage.java
@@ -3,12 +3,12 @@
 import java.util.List;
 
 /**
- * A message between members. It is identified by its contents, never by its source address; it may
- * be lost, late, repeated or of an earlier process.
+ * A message between members. The sender is identified by the contents, never by the source address.
+ * A message may be lost, delayed or duplicated, or stem from an earlier process of its sender.
  *
  * @param cluster the cluster that it belongs to
- * @param kind its purpose
- * @param sequence ties a response to its request; numbered by the requester
+ * @param kind the purpose of the message
+ * @param sequence matches a response to its request; assigned by the requester
  * @param pingTarget the member that a {@link Kind#PING_REQUEST} concerns, else empty
  * @param sender the sender's own record
  * @param records records of other members
@@ -20,21 +20,22 @@
     String pingTarget,
     MemberRecord sender,
     List<MemberRecord> records) {
-  private static final int FIXED_BYTES = 32; // frame, version, kind and numbers as encoded
+  /** The encoded size of frame, version, kind and numbers. */
+  private static final int FIXED_BYTES = 32;
 
   /** The purpose of a message. */
   public enum Kind {
-    /** Wants an acknowledgement. */
+    /** Requests an acknowledgement. */
     PING,
     /** Acknowledges a ping. */
     ACK,
     /** Asks the receiver to ping another member, and to pass on its acknowledgement. */
     PING_REQUEST,
-    /** The member of a ping request did not answer the sender, which itself is alive. */
+    /** Reports that the target of a ping request did not answer, and that the sender is alive. */
     NACK,
-    /** Carries all records of the sender, and asks for those of the receiver. */
+    /** Carries all records of the sender, and requests those of the receiver. */
     SYNC_REQUEST,
-    /** Carries all records of the receiver of a sync request. */
+    /** Carries all records of the sender, in response to a sync request. */
     SYNC_RESPONSE
   }
 
@@ -43,7 +44,7 @@
     records = List.copyOf(records);
   }
 
-  /** An upper bound of its size as encoded. */
+  /** An upper bound of the encoded size. */
   public int maxEncodedBytes() {
     return FIXED_BYTES
         + cluster.length()
--- a/src/main/java/mothwing/membership/MembershipView.java
+++ b/src/main/java/mothwing/membership/MembershipView.java
@@ -4,15 +4,15 @@
 import java.util.SortedMap;
 
 /**
- * What one member holds of all at one moment. Others may hold something else, for as long as a
- * partition lasts.
+ * One member's view of all members at one moment. The views of other members may differ, for as
+ * long as a partition lasts.
  *
- * @param version raised with each event
- * @param members the records by name, its own among them; removed members until their tombstone
- *     expires
- * @param flapping the names of members that died and returned again and again: they should get no
- *     new duties
- * @param isolated whether this member hears too few to act for others
+ * @param version increased by each event
+ * @param members the records by name, including its own, and those of removed members until their
+ *     tombstones expire
+ * @param flapping the names of members that have repeatedly died and returned, and should not be
+ *     given new tasks
+ * @param isolated whether this member receives messages from too few others to act on their behalf
  */
 public record MembershipView(
     long version,
--- a/src/main/java/mothwing/membership/NameConflicts.java
+++ b/src/main/java/mothwing/membership/NameConflicts.java
@@ -7,9 +7,9 @@
 import mothwing.membership.MembershipMessage.Kind;
 
 /**
- * Records that others hold under the name of this process: false ones are refuted with a higher
- * incarnation. Of two live processes of one name the one with the higher incarnation stays, or with
- * equal ones the one with the higher instance id.
+ * Resolves conflicting records under the name of this process. A false record of this process is
+ * refuted with a higher incarnation. Of two live processes with one name, the one with the higher
+ * incarnation remains, or with equal ones the one with the higher instance id.
  */
 final class NameConflicts {
   private final LocalMember self;
@@ -27,7 +27,7 @@
     this.joined = joined;
   }
 
-  /** Takes a record of this name that may be old or gossiped. */
+  /** Handles a record of this name, which may be outdated or gossiped. */
   void onRecord(MemberRecord record) {
     MemberRecord own = self.record();
     if (record.instanceId() == own.instanceId()) {
@@ -37,7 +37,8 @@
     } else if (!joined.getAsBoolean()
         || !record.state().isPresent()
         || record.address().equals(own.address())) {
-      raiseIncarnation(record.incarnation() + 1); // an earlier process, whose name is taken over
+      // The record is of an earlier process, whose name this one takes over.
+      raiseIncarnation(record.incarnation() + 1);
     } else if (challengedInstances.add(record.instanceId())) {
       challenge(record);
     }
@@ -71,8 +72,8 @@
   }
 
   /**
-   * Takes a message of another process of this name. It may be old: only the answer to a challenge
-   * proves that the process lives.
+   * Handles a message of another process with this name. It may be outdated: only the
+   * acknowledgement of a challenge proves that the process is alive.
    */
   void onMessage(MembershipMessage message) {
     MemberRecord other = message.sender();
--- a/src/main/java/mothwing/membership/Probe.java
+++ b/src/main/java/mothwing/membership/Probe.java
@@ -57,7 +57,10 @@
     return indirectRequests;
   }
 
-  /** Whether none of the members that were asked answered at all, which points at this process. */
+  /**
+   * Whether no helper sent even a nack, which suggests that the fault is at this process. Always
+   * false without helpers.
+   */
   boolean isWithoutNacks() {
     return indirectRequests > 0 && nacks == 0;
   }
--- a/src/main/java/mothwing/membership/ProbeRing.java
+++ b/src/main/java/mothwing/membership/ProbeRing.java
@@ -8,8 +8,8 @@
 import java.util.Random;
 
 /**
- * The order of probes: the present members on a ring by the hash of their names, each of which
- * probes its successors, and a shuffled pass over all for random probes.
+ * The order of probes: a ring of the present members by the hash of their names, on which each
+ * member probes its successors, and a shuffled pass over all of them for random probes.
  */
 final class ProbeRing {
   private static final Comparator<Member> RING_ORDER =
@@ -30,13 +30,13 @@
     random = self.random();
   }
 
-  /** Discards the order after a member has come or gone. */
+  /** Discards the order after a member has become present or was removed. */
   void invalidate() {
     ring = List.of();
   }
 
   /** All present members in the order of the ring. */
-  List<Member> all() {
+  List<Member> members() {
     if (ring.isEmpty()) {
       List<Member> sorted = members.present();
       sorted.sort(RING_ORDER);
@@ -47,21 +47,21 @@
 
   /** The members that follow this one on the ring. */
   List<Member> successors() {
-    List<Member> all = all();
-    int first = firstBehindSelf(all);
+    List<Member> ordered = members();
+    int first = firstAfterSelf(ordered);
     List<Member> successors = new ArrayList<>();
-    for (int i = 0; i < Math.min(successorCount, all.size()); i++) {
-      successors.add(all.get((first + i) % all.size()));
+    for (int i = 0; i < Math.min(successorCount, ordered.size()); i++) {
+      successors.add(ordered.get((first + i) % ordered.size()));
     }
     return successors;
   }
 
-  private int firstBehindSelf(List<Member> all) {
+  private int firstAfterSelf(List<Member> ordered) {
     int low = 0;
-    int high = all.size();
+    int high = ordered.size();
     while (low < high) {
       int middle = (low + high) >>> 1;
-      if (all.get(middle).ringPosition() <= ownPosition) {
+      if (ordered.get(middle).ringPosition() <= ownPosition) {
         low = middle + 1;
       } else {
         high = middle;
@@ -70,10 +70,10 @@
     return low;
   }
 
-  /** A random present member; there has to be one. */
+  /** A random present member. There must be at least one. */
   Member random() {
-    List<Member> all = all();
-    return all.get(random.nextInt(all.size()));
+    List<Member> ordered = members();
+    return ordered.get(random.nextInt(ordered.size()));
   }
 
   /** The next of a shuffled pass over all present members. */
--- a/src/main/java/mothwing/membership/Suspicion.java
+++ b/src/main/java/mothwing/membership/Suspicion.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** The suspicion of one member: when it began, and which members hold it independently. */
+/** The suspicion of one member: its start, and the members that reported it independently. */
 final class Suspicion {
   private final Set<String> accusers = new HashSet<>();
   private long startedAtMicros;
@@ -12,7 +12,7 @@
     this.startedAtMicros = startedAtMicros;
   }
 
-  /** Adds an accuser; false where it was counted already. */
+  /** Adds an accuser; returns false if it was already counted. */
   boolean addAccuser(String name) {
     return accusers.add(name);
   }
@@ -21,7 +21,7 @@
     return accusers.contains(name);
   }
 
-  int accusers() {
+  int accuserCount() {
     return accusers.size();
   }
 
@@ -41,8 +41,8 @@
    * The time from its start to the declaration of death (Lifeguard): it falls from the maximum to
    * the minimum with the logarithm of the number of accusers.
    *
-   * @param self the name of the member that waits: one that has not failed to reach the suspect
-   *     itself waits for a multiple of the maximum
+   * @param self the name of the member that waits; unless it is an accuser itself, it waits for a
+   *     multiple of the maximum
    * @param healthMultiplier the local health multiplier, at least 1
    */
   long timeoutMicros(String self, FailureDetectorSettings settings, int healthMultiplier) {
--- a/src/main/java/mothwing/membership/SuspicionTable.java
+++ b/src/main/java/mothwing/membership/SuspicionTable.java
@@ -5,8 +5,9 @@
 import java.util.function.Consumer;
 
 /**
- * Suspicion and its timeouts: a suspect that does not refute in time is declared dead. While many
- * are suspected at once the fault is likely near this process, and deaths are held back for longer.
+ * Tracks suspicions and their timeouts: a suspect that does not refute in time is declared dead.
+ * While many members are suspected at once, the fault is likely near this process, and declarations
+ * of death are held back.
  */
 final class SuspicionTable {
   private static final int MIN_MASS_FAILURE = 2;
@@ -51,7 +52,7 @@
     scheduleTimeout(member);
   }
 
-  /** Takes over a suspicion that was gossiped. */
+  /** Adopts a suspicion that was gossiped. */
   void adopt(Member member) {
     member.beginSuspicion(self.now());
     member.suspicion().addAccuser(member.record().reportedBy());
@@ -59,21 +60,24 @@
     scheduleTimeout(member);
   }
 
-  /** Counts a further accuser of the incarnation that is suspected, as far as one is of use. */
+  /**
+   * Counts a further accuser of the suspected incarnation, unless the timeout is at its minimum
+   * already.
+   */
   void confirm(Member member, MemberRecord record) {
     boolean same =
         record.state() == MemberState.SUSPECT
             && member.state() == MemberState.SUSPECT
             && record.incarnation() == member.record().incarnation();
     if (same
-        && member.suspicion().accusers() <= self.settings().suspicionConfirmations()
+        && member.suspicion().accuserCount() <= self.settings().suspicionConfirmations()
         && member.suspicion().addAccuser(record.reportedBy())) {
       dissemination.enqueue(record);
       scheduleTimeout(member);
     }
   }
 
-  /** Extends all suspicions by a time in which this process was stopped. */
+  /** Extends all suspicions by a pause of this process. */
   void postponeAll(long spanMicros) {
     members.all().forEach(member -> member.suspicion().postpone(spanMicros));
   }
--- a/src/test/java/mothwing/membership/FailureDetectorTest.java
+++ b/src/test/java/mothwing/membership/FailureDetectorTest.java
@@ -20,23 +20,24 @@
           fixture.health);
 
   @Test
-  void anUnansweredProbeGoesThroughOthersAndEndsInSuspicion() {
+  void probesIndirectlyThenSuspectsUnansweringMember() {
     Member target = fixture.addPresent("target");
     detector.probeRing();
     detector.probeRing();
-    assertEquals(List.of(Kind.PING), fixture.sentKinds(), "one probe of a member at a time");
+    assertEquals(
+        List.of(Kind.PING), fixture.sentKinds(), "at most one outstanding probe per member");
     fixture.addPresent("helper");
     fixture.advance(settings.ackTimeoutMicros());
     assertEquals(List.of(Kind.PING, Kind.PING_REQUEST, Kind.PING), fixture.sentKinds());
     assertEquals("target", fixture.sent.get(1).pingTarget());
     fixture.advance(settings.indirectAckTimeoutMicros());
     assertEquals(MemberState.SUSPECT, target.state());
-    assertEquals(2, fixture.health.multiplier(), "not even the helper sent a nack");
+    assertEquals(2, fixture.health.multiplier(), "local health degrades if no helper sends a nack");
     assertNull(target.outstandingProbe());
   }
 
   @Test
-  void anAckEndsAProbeAndANackSparesTheLocalHealth() {
+  void endsProbeOnAckAndKeepsLocalHealthOnNack() {
     Member target = fixture.addPresent("target");
     detector.probeRing();
     detector.onAck(fixture.sent.get(0).sequence());
@@ -53,7 +54,7 @@
   }
 
   @Test
-  void aPingRequestIsAnsweredWithItsOwnSequence() {
+  void respondsToPingRequestWithSequenceOfRequester() {
     Member target = fixture.addPresent("target");
     MembershipMessage request =
         new MembershipMessage(
--- a/src/test/java/mothwing/membership/GossipQueueTest.java
+++ b/src/test/java/mothwing/membership/GossipQueueTest.java
@@ -7,7 +7,7 @@
 
 class GossipQueueTest {
   @Test
-  void takesTheLeastTransmittedFirstAndDropsWhatWasSentOftenEnough() {
+  void takesLeastTransmittedFirstAndDropsAfterMaxTransmissions() {
     GossipQueue queue = new GossipQueue();
     MemberRecord first = ProtocolFixture.record("first", MemberState.ALIVE);
     MemberRecord second = ProtocolFixture.record("other", MemberState.ALIVE);
--- a/src/test/java/mothwing/membership/MembershipPartsTest.java
+++ b/src/test/java/mothwing/membership/MembershipPartsTest.java
@@ -10,12 +10,12 @@
 import mothwing.membership.MembershipMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The small parts of a member: ring, isolation, anti-entropy and flaps. */
+/** Probe ring, isolation detector, anti-entropy exchange and flap detector. */
 class MembershipPartsTest {
   private final ProtocolFixture fixture = new ProtocolFixture();
 
   @Test
-  void theRingHasTheSameSuccessorsUntilPresenceChangesAndAPassVisitsEachOnce() {
+  void keepsSuccessorsOnRingAndVisitsEachMemberOncePerShuffledPass() {
     for (int i = 0; i < 6; i++) {
       fixture.addPresent("m" + i);
     }
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aMemberThatHearsTooFewIsIsolatedUntilItHearsAgain() {
+  void isIsolatedFromTimeoutUntilNextMessage() {
     IsolationDetector isolation = new IsolationDetector(fixture.self, fixture.members, true);
     long timeout = ProtocolFixture.SETTINGS.isolationTimeoutMicros();
     isolation.start(0);
@@ -44,22 +44,22 @@
   }
 
   @Test
-  void joinAsksSeedsAgainUntilOneHasResponded() {
+  void retriesJoinUntilSeedResponds() {
     AntiEntropyExchange exchange =
         new AntiEntropyExchange(
             fixture.self, fixture.members, fixture.dissemination, List.of("seed:1"));
     exchange.join(new IsolationDetector(fixture.self, fixture.members, true));
     fixture.advance(5_000_000);
-    int asked = fixture.sent.size();
-    assertTrue(asked > 1);
+    int requests = fixture.sent.size();
+    assertTrue(requests > 1);
     assertEquals(Set.of(Kind.SYNC_REQUEST), Set.copyOf(fixture.sentKinds()));
     exchange.onResponse();
     fixture.advance(30_000_000);
-    assertEquals(asked, fixture.sent.size());
+    assertEquals(requests, fixture.sent.size());
   }
 
   @Test
-  void flappingBeginsWithTheThirdQuickDeathAndEndsAfterRest() {
+  void beginsFlappingAtThirdQuickDeathAndEndsItAfterDecay() {
     FlapDetector flaps = new FlapDetector();
     assertFalse(flaps.recordDeath("m", 0));
     assertFalse(flaps.recordDeath("m", 1_000_000));
--- a/src/test/java/mothwing/membership/NameConflictsTest.java
+++ b/src/test/java/mothwing/membership/NameConflictsTest.java
@@ -13,7 +13,7 @@
   private final NameConflicts conflicts =
       new NameConflicts(fixture.self, fixture.dissemination, fixture.health, () -> true);
 
-  private static MemberRecord other(long instanceId) {
+  private static MemberRecord otherProcess(long instanceId) {
     return new MemberRecord("self", instanceId, "other:1", "zone", 3, MemberState.ALIVE, "self");
   }
 
@@ -24,26 +24,26 @@
   }
 
   @Test
-  void aSuspicionIsRefutedWithAHigherIncarnation() {
+  void refutesSuspicionWithHigherIncarnation() {
     conflicts.onRecord(fixture.self.record().withState(MemberState.SUSPECT, "x"));
     assertEquals(4, fixture.self.record().incarnation());
     conflicts.onRecord(ProtocolFixture.record("self", MemberState.DEAD));
-    assertEquals(4, fixture.self.record().incarnation(), "an older one is refuted already");
+    assertEquals(4, fixture.self.record().incarnation(), "an older record needs no refutation");
   }
 
   @Test
-  void ofTwoLiveProcessesTheOneWithTheHigherInstanceStays() {
-    answerChallenge(other(0));
+  void keepsLiveProcessWithHigherInstanceId() {
+    answerChallenge(otherProcess(0));
     assertFalse(fixture.self.isDisplaced());
     assertEquals(4, fixture.self.record().incarnation());
-    answerChallenge(other(9).withIncarnation(4));
+    answerChallenge(otherProcess(9).withIncarnation(4));
     assertTrue(fixture.self.isDisplaced());
     assertEquals(List.of(MembershipEvent.Type.DISPLACED), fixture.events);
   }
 
   @Test
-  void aSilentProcessIsSupersededAfterTheChallenge() {
-    conflicts.onRecord(other(9));
+  void supersedesProcessThatDoesNotAnswerChallenge() {
+    conflicts.onRecord(otherProcess(9));
     assertEquals(3, fixture.self.record().incarnation());
     fixture.advance(1_000_000);
     assertEquals(4, fixture.self.record().incarnation());
--- a/src/test/java/mothwing/membership/ProtocolFixture.java
+++ b/src/test/java/mothwing/membership/ProtocolFixture.java
@@ -7,7 +7,7 @@
 import mothwing.broker.Scheduler;
 import mothwing.membership.MembershipMessage.Kind;
 
-/** One member on a clock that the test moves, and what it sends. */
+/** One member on a manual clock; records the messages that it sends and its events. */
 final class ProtocolFixture implements Scheduler, MembershipHost {
   static final FailureDetectorSettings SETTINGS = FailureDetectorSettings.DEFAULTS;
 
--- a/src/test/java/mothwing/membership/SuspicionTest.java
+++ b/src/test/java/mothwing/membership/SuspicionTest.java
@@ -21,7 +21,7 @@
           record -> dead.add(record.name()));
 
   @Test
-  void theTimeoutShrinksWithAccusersAndGrowsWithPoorLocalHealth() {
+  void shortensTimeoutWithAccusersAndExtendsItWithPoorLocalHealth() {
     Suspicion suspicion = new Suspicion(0);
     assertTrue(suspicion.addAccuser("self"));
     assertFalse(suspicion.addAccuser("self"));
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void aSuspectDiesAfterTheTimeoutUnlessItRefutes() {
+  void declaresSuspectDeadAfterTimeoutUnlessItRefutes() {
     Member silent = fixture.addPresent("silent");
     Member refuting = fixture.addPresent("refuting");
     suspicions.suspect(silent);
@@ -49,7 +49,7 @@
   }
 
   @Test
-  void deathsAreHeldBackWhileMostAreSuspected() {
+  void holdsBackDeathsWhileMostMembersAreSuspected() {
     for (int i = 0; i < 4; i++) {
       suspicions.suspect(fixture.addPresent("m" + i));
     }
