--- a/src/main/java/mothwing/override/AntiEntropy.java
+++ b/src/main/java/mothwing/override/AntiEntropy.java
@@ -11,321 +11,345 @@
 import java.util.TreeMap;
 
 /**
- * One server's part in the sharing of overrides: what is new is told at once, what differs is found
- * by digests, what is wanted is asked for. Pure: messages and the clock go in, {@link OverrideHost}
- * carries out. Messages may be lost, late, repeated, reordered or of a former start; all of them
- * are hints but an answer to a question that is open here.
+ * Replicates overrides between servers: new ones are announced at once, differences are found by
+ * digests, and missing ones are requested. Does no I/O: messages and the clock are passed in, and
+ * {@link OverrideHost} carries out the effects. Messages may be lost, delayed, duplicated,
+ * reordered, or sent before a restart of their sender. Each is only a hint, except a response to a
+ * request that is open here. Times are microseconds of the local monotonic clock.
  */
 public final class AntiEntropy {
-  private static final long PERIOD = 1_000_000; // microseconds between digests to one other server
-  private static final int MOST_QUESTIONS =
-      256; // open at once; the oldest gives way, and is asked again by the next digest
-  private static final int MOST_IDS = 64; // in one message: it is to fit a frame
-  private static final int TOLD_ROUNDS =
-      5; // periods in which what is not on enough disks is told again
+  /** Mean interval between digests; each goes to one random peer. */
+  private static final long DIGEST_INTERVAL_MICROS = 1_000_000;
 
-  private record Question(String to, long at) {}
+  /** Beyond this the oldest request is dropped; the next digest leads to a new one. */
+  private static final int MAX_OPEN_REQUESTS = 256;
 
-  private static final class Wanted {
-    final Set<String> disks = new LinkedHashSet<>();
-    int rounds;
+  /** Keeps a request within one frame. */
+  private static final int MAX_IDS_PER_REQUEST = 64;
+
+  /** Digest intervals in which an update is announced again to peers that have not persisted it. */
+  private static final int MAX_ANNOUNCEMENT_ROUNDS = 5;
+
+  private record OpenRequest(String peer, long sentAtMicros) {}
+
+  /**
+   * The servers that have persisted an update made here, and the rounds in which it was repeated.
+   */
+  private static final class UpdateProgress {
+    final Set<String> persistedOn = new LinkedHashSet<>();
+    int announcementRounds;
   }
 
   private final String self;
-  private final OverrideTable book;
+  private final OverrideTable table;
   private final OverrideHost host;
   private final Random random;
-  private final long start;
-  private final long startedAt;
-  private final Map<Long, Question> questions = new LinkedHashMap<>();
-  private final Map<String, Wanted> disks = new TreeMap<>();
-  private final Set<String> onDisk = new LinkedHashSet<>();
-  private long made;
-  private long nextDigest;
+  private final long epoch;
+  private final long startedAtMicros;
+  private final Map<Long, OpenRequest> openRequests = new LinkedHashMap<>();
+  private final Map<String, UpdateProgress> localUpdates = new TreeMap<>();
+  private final Set<String> persistedIds = new LinkedHashSet<>();
+  private long createdCount;
+  private long nextDigestMicros;
   private boolean recovering;
 
   /**
-   * Makes it for one start of a server.
+   * Creates the replication of one start of a server.
    *
-   * @param self its name
-   * @param start the number of this start, forced before this is made
-   * @param book what it knows: what its disk had is loaded
-   * @param startedAt the clock at this start
-   * @param recovering whether it is back from a start, until {@link #endRecovery}
-   * @param random its random numbers
-   * @param host carries out
+   * @param self the name of this server
+   * @param epoch the number of this start, which has been persisted before
+   * @param table the overrides known here; those on disk have been loaded
+   * @param startedAtMicros the time of this start
+   * @param recovering whether this server may have missed updates while it was down; ended by
+   *     {@link #endRecovery}
+   * @param random chooses peers, request numbers and delays
+   * @param host carries out the effects
    */
   public AntiEntropy(
       String self,
-      long start,
-      OverrideTable book,
-      long startedAt,
+      long epoch,
+      OverrideTable table,
+      long startedAtMicros,
       boolean recovering,
       Random random,
       OverrideHost host) {
     this.self = self;
-    this.start = start;
-    this.book = book;
-    this.startedAt = startedAt;
+    this.epoch = epoch;
+    this.table = table;
+    this.startedAtMicros = startedAtMicros;
     this.recovering = recovering;
     this.random = random;
     this.host = host;
   }
 
-  /** From now on it is one that ran through what others slept through. */
+  /** Ends the recovery: from now on unconfirmed states of other replicas are ignored. */
   public void endRecovery() {
     recovering = false;
   }
 
   /**
-   * The version of the next override that is made here.
+   * The version for the next override created here.
    *
-   * @return it; each is given once
+   * @return a version that has not been returned before
    */
   public Version nextVersion() {
-    return new Version(start, self, ++made);
+    return new Version(epoch, self, ++createdCount);
   }
 
   /**
-   * Makes an override. It acts here at once, and elsewhere once it is heard of.
+   * Creates an override. It takes effect here at once, and elsewhere as soon as it arrives there.
    *
-   * @param now the clock
-   * @param value it, with a version of {@link #nextVersion}
-   * @return how it was taken
+   * @param nowMicros the current time
+   * @param value the override, with a version from {@link #nextVersion}
+   * @return the effect on the table
    */
-  public OverrideTable.UpdateResult create(long now, TrafficOverride value) {
-    OverrideTable.UpdateResult taken = book.create(now, value);
-    if (taken == OverrideTable.UpdateResult.APPLIED) {
-      tell(now, value.id());
+  public OverrideTable.UpdateResult create(long nowMicros, TrafficOverride value) {
+    OverrideTable.UpdateResult result = table.create(nowMicros, value);
+    if (result == OverrideTable.UpdateResult.APPLIED) {
+      announce(nowMicros, value.id());
     }
-    return taken;
+    return result;
   }
 
   /**
-   * Takes an override back.
+   * Revokes an override.
    *
-   * @param now the clock
+   * @param nowMicros the current time
    * @param id its id
-   * @return how it was taken
+   * @return the effect on the table
    */
-  public OverrideTable.UpdateResult revoke(long now, String id) {
-    OverrideTable.UpdateResult taken = book.revoke(now, id);
-    if (taken == OverrideTable.UpdateResult.APPLIED) {
-      tell(now, id);
+  public OverrideTable.UpdateResult revoke(long nowMicros, String id) {
+    OverrideTable.UpdateResult result = table.revoke(nowMicros, id);
+    if (result == OverrideTable.UpdateResult.APPLIED) {
+      announce(nowMicros, id);
     }
-    return taken;
+    return result;
   }
 
-  private void tell(long now, String id) {
-    disks.put(id, new Wanted());
-    changed(now, id);
-    OverrideMessage.Inventory known =
-        new OverrideMessage.Inventory(List.of(has(book.replicaState(now, id))), true);
-    host.peers().forEach(one -> host.send(one, known));
+  private void announce(long nowMicros, String id) {
+    localUpdates.put(id, new UpdateProgress());
+    onUpdate(nowMicros, id);
+    OverrideMessage.Inventory inventory =
+        new OverrideMessage.Inventory(List.of(entry(table.replicaState(nowMicros, id))), true);
+    host.peers().forEach(peer -> host.send(peer, inventory));
   }
 
-  private void changed(long now, String id) {
-    onDisk.remove(id);
+  private void onUpdate(long nowMicros, String id) {
+    persistedIds.remove(id);
     host.onChange();
-    host.persist(book.replicaState(now, id));
+    host.persist(table.replicaState(nowMicros, id));
   }
 
   /**
-   * What was to be kept is forced.
+   * Records that a state is on disk, and acknowledges it to all peers.
    *
-   * @param now the clock
-   * @param told what was given to {@link OverrideHost#persist}
+   * @param nowMicros the current time
+   * @param state the state that was passed to {@link OverrideHost#persist}
    */
-  public void onPersisted(long now, ReplicaState told) {
-    ReplicaState known = book.replicaState(now, told.id());
-    if (known == null
-        || known.status() != told.status()
-        || !Objects.equals(known.version(), told.version())) {
-      return; // it has changed since, and is on its way to the disk again
+  public void onPersisted(long nowMicros, ReplicaState state) {
+    ReplicaState current = table.replicaState(nowMicros, state.id());
+    if (current == null
+        || current.status() != state.status()
+        || !Objects.equals(current.version(), state.version())) {
+      return; // it has changed since, and the newer state is being persisted
     }
-    onDisk.add(told.id());
-    Wanted here = disks.get(told.id());
-    if (here != null) {
-      here.disks.add(self);
+    persistedIds.add(state.id());
+    UpdateProgress progress = localUpdates.get(state.id());
+    if (progress != null) {
+      progress.persistedOn.add(self);
     }
     host.peers()
         .forEach(
-            one ->
+            peer ->
                 host.send(
-                    one, new OverrideMessage.Stored(told.id(), told.version(), told.status())));
+                    peer, new OverrideMessage.Stored(state.id(), state.version(), state.status())));
   }
 
   /**
-   * On how many disks something that was made or taken back here is known to be forced.
+   * The servers that are known to have persisted a recent update that was made here.
    *
-   * @param id its id
-   * @return the names of the servers
+   * @param id the id of the override that was created or revoked
+   * @return the names of the servers; empty once the update is no longer announced
    */
   public Set<String> durableReplicas(String id) {
-    Wanted here = disks.get(id);
-    return here == null ? Set.of() : Set.copyOf(here.disks);
+    UpdateProgress progress = localUpdates.get(id);
+    return progress == null ? Set.of() : Set.copyOf(progress.persistedOn);
   }
 
-  private static OverrideMessage.InventoryEntry has(ReplicaState told) {
-    return new OverrideMessage.InventoryEntry(told.id(), told.version(), told.status());
+  private static OverrideMessage.InventoryEntry entry(ReplicaState state) {
+    return new OverrideMessage.InventoryEntry(state.id(), state.version(), state.status());
   }
 
   /**
-   * What its loop does now and then: at least ten times a second.
+   * Does the periodic work: expiry, digests and repeated announcements. To be called at least ten
+   * times a second.
    *
-   * @param now the clock
+   * @param nowMicros the current time
    */
-  public void tick(long now) {
-    long before = book.revision();
-    book.expire(now);
-    if (book.revision() != before) {
+  public void tick(long nowMicros) {
+    long revisionBefore = table.revision();
+    table.expire(nowMicros);
+    if (table.revision() != revisionBefore) {
       host.onChange();
     }
-    if (now < nextDigest) {
+    if (nowMicros < nextDigestMicros) {
       return;
     }
-    nextDigest = now + PERIOD / 2 + (long) (random.nextDouble() * PERIOD);
-    List<String> others = host.peers();
-    if (others.isEmpty()) {
+    nextDigestMicros =
+        nowMicros
+            + DIGEST_INTERVAL_MICROS / 2
+            + (long) (random.nextDouble() * DIGEST_INTERVAL_MICROS);
+    List<String> peers = host.peers();
+    if (peers.isEmpty()) {
       return;
     }
-    String one = others.get(random.nextInt(others.size()));
-    host.send(one, new OverrideMessage.Digest(hash(now)));
-    List<String> unsure =
-        book.replicaStates(now).stream()
-            .filter(told -> told.status() == OverrideStatus.UNCONFIRMED)
+    String peer = peers.get(random.nextInt(peers.size()));
+    host.send(peer, new OverrideMessage.Digest(hash(nowMicros)));
+    List<String> unconfirmed =
+        table.replicaStates(nowMicros).stream()
+            .filter(state -> state.status() == OverrideStatus.UNCONFIRMED)
             .map(ReplicaState::id)
-            .limit(MOST_IDS)
+            .limit(MAX_IDS_PER_REQUEST)
             .toList();
-    if (!unsure.isEmpty()) {
-      ask(now, one, unsure);
+    if (!unconfirmed.isEmpty()) {
+      request(nowMicros, peer, unconfirmed);
     }
     if (recovering) {
-      host.send(one, new OverrideMessage.Inventory(all(now, true), false));
+      host.send(peer, new OverrideMessage.Inventory(inventory(nowMicros, true), false));
     }
-    disks.values().removeIf(wanted -> ++wanted.rounds > TOLD_ROUNDS);
-    disks.forEach(
-        (id, wanted) -> {
-          ReplicaState told = book.replicaState(now, id);
-          if (told != null) {
-            others.stream()
-                .filter(other -> !wanted.disks.contains(other))
+    localUpdates
+        .values()
+        .removeIf(progress -> ++progress.announcementRounds > MAX_ANNOUNCEMENT_ROUNDS);
+    localUpdates.forEach(
+        (id, progress) -> {
+          ReplicaState state = table.replicaState(nowMicros, id);
+          if (state != null) {
+            peers.stream()
+                .filter(receiver -> !progress.persistedOn.contains(receiver))
                 .forEach(
-                    other ->
-                        host.send(other, new OverrideMessage.Inventory(List.of(has(told)), true)));
+                    receiver ->
+                        host.send(
+                            receiver, new OverrideMessage.Inventory(List.of(entry(state)), true)));
           }
         });
   }
 
-  /** A hash of what is known surely, alike wherever the same is known. */
-  private long hash(long now) {
+  /** A hash of all confirmed states, equal on replicas that hold the same. */
+  private long hash(long nowMicros) {
     long hash = 1;
-    for (ReplicaState one : book.replicaStates(now)) {
-      if (one.status() != OverrideStatus.UNCONFIRMED) {
+    for (ReplicaState state : table.replicaStates(nowMicros)) {
+      if (state.status() != OverrideStatus.UNCONFIRMED) {
         Version version =
-            one.status() == OverrideStatus.REVOKED ? new Version(0, "", 0) : one.version();
+            state.status() == OverrideStatus.REVOKED ? new Version(0, "", 0) : state.version();
         hash =
             31 * hash
                 + Objects.hash(
-                    one.id(),
+                    state.id(),
                     version.epoch(),
                     version.origin(),
                     version.sequence(),
-                    one.status().ordinal());
+                    state.status().ordinal());
       }
     }
     return hash;
   }
 
-  private List<OverrideMessage.InventoryEntry> all(long now, boolean unsure) {
-    List<OverrideMessage.InventoryEntry> all = new ArrayList<>();
-    for (ReplicaState one : book.replicaStates(now)) {
-      if (unsure || one.status() != OverrideStatus.UNCONFIRMED) {
-        all.add(has(one));
+  private List<OverrideMessage.InventoryEntry> inventory(
+      long nowMicros, boolean includeUnconfirmed) {
+    List<OverrideMessage.InventoryEntry> entries = new ArrayList<>();
+    for (ReplicaState state : table.replicaStates(nowMicros)) {
+      if (includeUnconfirmed || state.status() != OverrideStatus.UNCONFIRMED) {
+        entries.add(entry(state));
       }
     }
-    return all;
+    return entries;
   }
 
   /**
-   * A message has come.
+   * Handles a message of another server.
    *
-   * @param now the clock
-   * @param from the server that its sender says to be
-   * @param message it
+   * @param nowMicros the current time
+   * @param from the server that the message names as its sender
+   * @param message the message
    */
-  public void receive(long now, String from, OverrideMessage message) {
+  public void receive(long nowMicros, String from, OverrideMessage message) {
     if (message instanceof OverrideMessage.Digest digest) {
-      if (digest.hash() != hash(now)) {
-        host.send(from, new OverrideMessage.Inventory(all(now, false), false));
+      if (digest.hash() != hash(nowMicros)) {
+        host.send(from, new OverrideMessage.Inventory(inventory(nowMicros, false), false));
       }
-    } else if (message instanceof OverrideMessage.Inventory known) {
-      known(now, from, known);
-    } else if (message instanceof OverrideMessage.Request question) {
-      List<ReplicaState> all =
-          question.ids().stream()
-              .map(id -> book.replicaState(now, id))
+    } else if (message instanceof OverrideMessage.Inventory inventory) {
+      onInventory(nowMicros, from, inventory);
+    } else if (message instanceof OverrideMessage.Request request) {
+      List<ReplicaState> states =
+          request.ids().stream()
+              .map(id -> table.replicaState(nowMicros, id))
               .filter(Objects::nonNull)
               .toList();
-      host.send(from, new OverrideMessage.Response(question.number(), all));
-    } else if (message instanceof OverrideMessage.Response answer) {
-      answered(now, from, answer);
+      host.send(from, new OverrideMessage.Response(request.number(), states));
+    } else if (message instanceof OverrideMessage.Response response) {
+      onResponse(nowMicros, from, response);
     } else if (message instanceof OverrideMessage.Stored stored) {
-      ReplicaState here = book.replicaState(now, stored.id());
-      Wanted wanted = disks.get(stored.id());
-      if (wanted != null
-          && here != null
-          && here.status() == stored.status()
-          && Objects.equals(here.version(), stored.version())) {
-        wanted.disks.add(from);
+      ReplicaState current = table.replicaState(nowMicros, stored.id());
+      UpdateProgress progress = localUpdates.get(stored.id());
+      if (progress != null
+          && current != null
+          && current.status() == stored.status()
+          && Objects.equals(current.version(), stored.version())) {
+        progress.persistedOn.add(from);
       }
     }
   }
 
-  private void known(long now, String from, OverrideMessage.Inventory known) {
-    List<String> wanted = new ArrayList<>();
-    Set<String> named = new LinkedHashSet<>();
-    for (OverrideMessage.InventoryEntry one : known.entries()) {
-      named.add(one.id());
-      boolean takes = one.status() != OverrideStatus.UNCONFIRMED || recovering;
-      if (takes && book.isNewer(one.id(), one.version(), one.status())) {
-        wanted.add(one.id());
-      } else if (onDisk.contains(one.id()) && book.replicaState(now, one.id()) != null) {
-        ReplicaState here = book.replicaState(now, one.id());
-        host.send(from, new OverrideMessage.Stored(here.id(), here.version(), here.status()));
+  private void onInventory(long nowMicros, String from, OverrideMessage.Inventory inventory) {
+    List<String> missing = new ArrayList<>();
+    Set<String> listed = new LinkedHashSet<>();
+    for (OverrideMessage.InventoryEntry entry : inventory.entries()) {
+      listed.add(entry.id());
+      boolean acceptable = entry.status() != OverrideStatus.UNCONFIRMED || recovering;
+      if (acceptable && table.isNewer(entry.id(), entry.version(), entry.status())) {
+        missing.add(entry.id());
+      } else if (persistedIds.contains(entry.id())
+          && table.replicaState(nowMicros, entry.id()) != null) {
+        ReplicaState current = table.replicaState(nowMicros, entry.id());
+        host.send(
+            from, new OverrideMessage.Stored(current.id(), current.version(), current.status()));
       }
     }
-    for (int at = 0; at < wanted.size(); at += MOST_IDS) {
-      ask(now, from, wanted.subList(at, Math.min(wanted.size(), at + MOST_IDS)));
+    for (int start = 0; start < missing.size(); start += MAX_IDS_PER_REQUEST) {
+      int end = Math.min(missing.size(), start + MAX_IDS_PER_REQUEST);
+      request(nowMicros, from, missing.subList(start, end));
     }
-    if (!known.partial()) { // its sender lacks what it does not name
-      List<OverrideMessage.InventoryEntry> more =
-          all(now, false).stream().filter(one -> !named.contains(one.id())).toList();
-      if (!more.isEmpty()) {
-        host.send(from, new OverrideMessage.Inventory(more, true));
+    if (!inventory.partial()) { // its sender lacks all that it does not list
+      List<OverrideMessage.InventoryEntry> unlisted =
+          inventory(nowMicros, false).stream()
+              .filter(entry -> !listed.contains(entry.id()))
+              .toList();
+      if (!unlisted.isEmpty()) {
+        host.send(from, new OverrideMessage.Inventory(unlisted, true));
       }
     }
   }
 
-  private void ask(long now, String to, List<String> ids) {
+  private void request(long nowMicros, String peer, List<String> ids) {
     long number = random.nextLong();
-    questions.put(number, new Question(to, now));
-    if (questions.size() > MOST_QUESTIONS) {
-      questions.remove(questions.keySet().iterator().next());
+    openRequests.put(number, new OpenRequest(peer, nowMicros));
+    if (openRequests.size() > MAX_OPEN_REQUESTS) {
+      openRequests.remove(openRequests.keySet().iterator().next());
     }
-    host.send(to, new OverrideMessage.Request(number, List.copyOf(ids)));
+    host.send(peer, new OverrideMessage.Request(number, List.copyOf(ids)));
   }
 
-  private void answered(long now, String from, OverrideMessage.Response answer) {
-    Question question = questions.get(answer.number());
-    if (question == null || !question.to().equals(from)) {
+  private void onResponse(long nowMicros, String from, OverrideMessage.Response response) {
+    OpenRequest request = openRequests.get(response.number());
+    if (request == null || !request.peer().equals(from)) {
       return;
     }
-    questions.remove(answer.number());
-    for (ReplicaState one : answer.states()) {
-      if (book.merge(now, one, question.at(), recovering ? now - startedAt : Long.MAX_VALUE)
+    openRequests.remove(response.number());
+    for (ReplicaState state : response.states()) {
+      long uptimeMicros = recovering ? nowMicros - startedAtMicros : Long.MAX_VALUE;
+      if (table.merge(nowMicros, state, request.sentAtMicros(), uptimeMicros)
           == OverrideTable.UpdateResult.APPLIED) {
-        changed(now, one.id());
+        onUpdate(nowMicros, state.id());
       }
     }
   }
--- a/src/main/java/mothwing/override/EffectiveOverrides.java
+++ b/src/main/java/mothwing/override/EffectiveOverrides.java
@@ -8,114 +8,124 @@
 import java.util.Set;
 
 /**
- * What the overrides that act come to at one server, looked up by class and tenant: a value made
- * anew whenever that changes, so that a decision costs the same with one as with a thousand. It
- * holds until a time; who stood still makes a new one first.
+ * The overrides that apply at one server, indexed by class and tenant so that a lookup costs the
+ * same for one override as for a thousand. A snapshot: it is rebuilt whenever the overrides in
+ * effect change, and is valid only until a given time, so that a process that was paused rebuilds
+ * it before its next decision.
  */
 public final class EffectiveOverrides {
-  /** Nothing is overridden, whenever. */
+  /** No overrides, valid forever. */
   public static final EffectiveOverrides NONE =
       new EffectiveOverrides(List.of(), "", "", "", Long.MAX_VALUE);
 
-  private record About(String kind, String tenant) {}
+  private record Subject(String requestClass, String tenant) {}
 
-  private final Map<TrafficOverride.Action, Map<About, TrafficOverride>> table =
+  private final Map<TrafficOverride.Action, Map<Subject, TrafficOverride>> bySubject =
       new EnumMap<>(TrafficOverride.Action.class);
-  private final Set<String> without = new LinkedHashSet<>();
+  private final Set<String> disabledFeatures = new LinkedHashSet<>();
   private final TrafficOverride drain;
-  private final long until;
+  private final long validUntilMicros;
 
   /**
-   * Makes it.
+   * Selects the overrides that apply at one server.
    *
-   * @param acting what acts, the one that wins first, as {@link OverrideTable#inEffect} gives it
+   * @param inEffect the overrides in order of precedence, as {@link OverrideTable#inEffect} returns
+   *     them
    * @param server this server's name
    * @param zone its zone
    * @param hardware its hardware class
-   * @param until until when it holds, by {@link OverrideTable#inEffectUntil}
+   * @param validUntilMicros the time of {@link OverrideTable#inEffectUntil}
    */
   public EffectiveOverrides(
-      List<TrafficOverride> acting, String server, String zone, String hardware, long until) {
-    this.until = until;
-    TrafficOverride away = null;
-    for (TrafficOverride one : acting) {
-      if (!one.selector().matches(server, zone, hardware)) {
+      List<TrafficOverride> inEffect,
+      String server,
+      String zone,
+      String hardware,
+      long validUntilMicros) {
+    this.validUntilMicros = validUntilMicros;
+    TrafficOverride firstDrain = null;
+    for (TrafficOverride candidate : inEffect) {
+      if (!candidate.selector().matches(server, zone, hardware)) {
         continue;
       }
-      switch (one.action()) {
-        case DRAIN -> away = away == null ? one : away;
-        case WITHOUT -> without.add(one.target());
+      switch (candidate.action()) {
+        case DRAIN -> firstDrain = firstDrain == null ? candidate : firstDrain;
+        case WITHOUT -> disabledFeatures.add(candidate.target());
         default ->
-            table
-                .computeIfAbsent(one.action(), none -> new HashMap<>())
-                .putIfAbsent(new About(one.requestClass(), one.tenant()), one);
+            bySubject
+                .computeIfAbsent(candidate.action(), unused -> new HashMap<>())
+                .putIfAbsent(new Subject(candidate.requestClass(), candidate.tenant()), candidate);
       }
     }
-    drain = away;
+    drain = firstDrain;
   }
 
   /**
-   * Whether it still holds.
+   * Whether this snapshot is still valid.
    *
-   * @param now the clock of the book
-   * @return false once it has to be made anew before anything is decided by it
+   * @param nowMicros the clock of the table
+   * @return false if it has to be rebuilt before the next decision
    */
-  public boolean isValid(long now) {
-    return now < until;
+  public boolean isValid(long nowMicros) {
+    return nowMicros < validUntilMicros;
   }
 
   /**
-   * What a request is subject to.
+   * Finds the override of an action that applies to a request.
    *
-   * @param what refuse, limit or divert
-   * @param kind its class
-   * @param tenant its tenant
-   * @return the override that wins, or null
+   * @param action {@code REFUSE}, {@code LIMIT} or {@code DIVERT}
+   * @param requestClass the class of the request
+   * @param tenant the tenant of the request
+   * @return the matching override of the highest precedence, or null
    */
-  public TrafficOverride find(TrafficOverride.Action what, String kind, String tenant) {
-    Map<About, TrafficOverride> all = table.get(what);
-    if (all == null) {
+  public TrafficOverride find(TrafficOverride.Action action, String requestClass, String tenant) {
+    Map<Subject, TrafficOverride> overrides = bySubject.get(action);
+    if (overrides == null) {
       return null;
     }
-    TrafficOverride best = first(all.get(new About(kind, tenant)), all.get(new About("", tenant)));
-    return first(best, all.get(new About(kind, "")));
+    TrafficOverride best =
+        preferred(
+            overrides.get(new Subject(requestClass, tenant)),
+            overrides.get(new Subject("", tenant)));
+    return preferred(best, overrides.get(new Subject(requestClass, "")));
   }
 
-  private static TrafficOverride first(TrafficOverride one, TrafficOverride other) {
-    return one == null || (other != null && TrafficOverride.PRECEDENCE.compare(other, one) < 0)
-        ? other
-        : one;
+  private static TrafficOverride preferred(TrafficOverride first, TrafficOverride second) {
+    return first == null
+            || (second != null && TrafficOverride.PRECEDENCE.compare(second, first) < 0)
+        ? second
+        : first;
   }
 
   /**
-   * Whether a request is to be refused: alike for all tries of one draw.
+   * Finds the override that rejects a request. All attempts with the same draw get the same result.
    *
-   * @param kind its class
-   * @param tenant its tenant
-   * @param draw a number from 0 to under 1 that belongs to the request
-   * @return the override that says so, or null
+   * @param requestClass the class of the request
+   * @param tenant the tenant of the request
+   * @param draw a number from 0 to below 1 that belongs to the request
+   * @return the override that rejects it, or null
    */
-  public TrafficOverride refusalFor(String kind, String tenant, double draw) {
-    TrafficOverride one = find(TrafficOverride.Action.REFUSE, kind, tenant);
-    return one != null && draw < one.share() ? one : null;
+  public TrafficOverride refusalFor(String requestClass, String tenant, double draw) {
+    TrafficOverride refusal = find(TrafficOverride.Action.REFUSE, requestClass, tenant);
+    return refusal != null && draw < refusal.share() ? refusal : null;
   }
 
   /**
-   * Whether this server takes nothing new.
+   * The override that drains this server, so that it accepts nothing new.
    *
-   * @return the override that says so, or null
+   * @return the override, or null
    */
   public TrafficOverride drain() {
     return drain;
   }
 
   /**
-   * Whether a feature of the routing policy is left out.
+   * Whether a feature of the routing policy is disabled.
    *
-   * @param feature its name
-   * @return true if so
+   * @param feature the name of the feature
+   * @return true if an override disables it
    */
   public boolean isDisabled(String feature) {
-    return without.contains(feature);
+    return disabledFeatures.contains(feature);
   }
 }
--- a/src/main/java/mothwing/override/OverrideHost.java
+++ b/src/main/java/mothwing/override/OverrideHost.java
@@ -2,32 +2,31 @@
 
 import java.util.List;
 
-/** What the sharing of overrides acts through. */
+/** The network, the disk and the listener of one server's {@link AntiEntropy}. */
 public interface OverrideHost {
   /**
-   * Sends to a server; it may not come through.
+   * Sends a message to a server; it may be lost.
    *
    * @param to the server's name
-   * @param message what
+   * @param message the message
    */
   void send(String to, OverrideMessage message);
 
   /**
-   * The servers that are thought to be there, without this one. A hint: nothing that holds rests on
-   * it.
+   * The other servers that are believed to be present. A hint: correctness does not depend on it.
    *
-   * @return their names
+   * @return their names, without this server's
    */
   List<String> peers();
 
   /**
-   * Writes to the disk; {@link AntiEntropy#onPersisted} follows once that is forced, or never where
-   * it failed.
+   * Writes a state to disk; {@link AntiEntropy#onPersisted} follows once it is durable, or never if
+   * the write fails.
    *
-   * @param told what is to be kept
+   * @param state the state to persist
    */
-  void persist(ReplicaState told);
+  void persist(ReplicaState state);
 
-  /** What acts may have changed: it is to be looked at before the next decision. */
+  /** The overrides in effect may have changed: to be looked up again before the next decision. */
   void onChange();
 }
--- a/src/main/java/mothwing/override/OverrideLimits.java
+++ b/src/main/java/mothwing/override/OverrideLimits.java
@@ -1,13 +1,13 @@
 package mothwing.override;
 
 /**
- * The bounds of one book.
+ * Limits of one {@link OverrideTable}.
  *
- * @param maxLive most overrides in force or unsure
- * @param maxTombstones most that are over and remembered
- * @param maxTextChars most characters of the texts of those that are live
+ * @param maxLive the maximum number of active and unconfirmed overrides
+ * @param maxTombstones the number of further entries, for expired and revoked overrides
+ * @param maxTextChars the maximum total length of the texts of live overrides, in characters
  * @param maxTtlSeconds the longest lifetime
- * @param maxClockDriftRatio parts by which clocks may run fast or slow
+ * @param maxClockDriftRatio the fraction by which a clock may run fast or slow
  */
 public record OverrideLimits(
     int maxLive,
@@ -15,7 +15,7 @@
     int maxTextChars,
     int maxTtlSeconds,
     double maxClockDriftRatio) {
-  /** 1,000 of each, 64 KB, a day, 500 parts in a million. */
+  /** 1,000 live overrides and 1,000 tombstones, 64 Ki characters, one day, 500 ppm of drift. */
   public static final OverrideLimits DEFAULTS =
       new OverrideLimits(1000, 1000, 64 << 10, 86_400, 500e-6);
 }
--- a/src/main/java/mothwing/override/OverrideMessage.java
+++ b/src/main/java/mothwing/override/OverrideMessage.java
@@ -3,58 +3,58 @@
 import java.util.List;
 
 /**
- * What servers say to each other of overrides. Each may be lost, late, repeated, or from a start
- * long gone.
+ * A message between servers about overrides. It may be lost, delayed or duplicated, or stem from
+ * before a restart of its sender.
  */
 public sealed interface OverrideMessage {
   /**
-   * A hash of all that its sender knows surely; who knows something else answers with {@link
-   * Inventory}.
+   * A hash of all confirmed states of the sender. A receiver with another hash replies with an
+   * {@link Inventory}.
    *
    * @param hash the hash
    */
   record Digest(long hash) implements OverrideMessage {}
 
   /**
-   * What its sender has, so that others may ask for it. Ages are not in it: they would be as old as
-   * the message.
+   * The overrides that the sender has, so that the receiver can request those that it lacks. Ages
+   * are left out: they would be out of date by the unknown delay of the message.
    *
-   * @param entries one for each
-   * @param partial whether its sender knows more than these
+   * @param entries an entry for each override
+   * @param partial whether the sender has more overrides than these
    */
   record Inventory(List<InventoryEntry> entries, boolean partial) implements OverrideMessage {}
 
   /**
-   * One that a sender has.
+   * One override that the sender of an inventory has.
    *
-   * @param id its id
+   * @param id the id of the override
    * @param version its version, or null
-   * @param status how it stands there
+   * @param status its status at the sender
    */
   record InventoryEntry(String id, Version version, OverrideStatus status) {}
 
   /**
-   * A question.
+   * A request for the states of overrides.
    *
-   * @param number its number, drawn at random: none of a former start is like it
-   * @param ids what is asked for
+   * @param number a random number that tells it apart from requests before a restart
+   * @param ids the ids of the overrides
    */
   record Request(long number, List<String> ids) implements OverrideMessage {}
 
   /**
-   * The answer to a question.
+   * The response to a {@link Request}.
    *
-   * @param number that of the question
-   * @param states what is known of what was asked for
+   * @param number the number of the request
+   * @param states the states of those requested overrides that the sender knows
    */
   record Response(long number, List<ReplicaState> states) implements OverrideMessage {}
 
   /**
-   * Its sender has one on its disk, forced.
+   * Acknowledges that the sender has persisted a state.
    *
-   * @param id its id
-   * @param version its version
-   * @param status how it stands there
+   * @param id the id of the override
+   * @param version its version, or null
+   * @param status its status at the sender
    */
   record Stored(String id, Version version, OverrideStatus status) implements OverrideMessage {}
 }
--- a/src/main/java/mothwing/override/OverrideStatus.java
+++ b/src/main/java/mothwing/override/OverrideStatus.java
@@ -1,13 +1,13 @@
 package mothwing.override;
 
-/** How an override stands with one holder. */
+/** The status of an override at one replica. */
 public enum OverrideStatus {
-  /** It came off a disk, and its age is not known. */
+  /** Loaded from disk: its age is not known. */
   UNCONFIRMED,
-  /** It acts until its lifetime is over. */
+  /** In effect until its lifetime is over. */
   ACTIVE,
   /** Its lifetime is over. */
   EXPIRED,
-  /** It was taken back. */
+  /** Revoked; supersedes every other status. */
   REVOKED
 }
--- a/src/main/java/mothwing/override/OverrideTable.java
+++ b/src/main/java/mothwing/override/OverrideTable.java
@@ -7,10 +7,10 @@
 import java.util.TreeMap;
 
 /**
- * The overrides that one server knows, and how old they are by its own clock. Pure: the clock goes
- * in with each call, in microseconds that only grow. Ages are upper bounds of the true ones, so
- * that nothing acts past its end; what is merged from others may come in any order, any number of
- * times.
+ * The overrides that one server knows, and their ages by its own clock. Does no I/O: each call is
+ * passed the monotonic clock in microseconds. The age of an active override is an upper bound of
+ * the true one, so that none stays in effect past its end. States of other replicas may be merged
+ * in any order and any number of times.
  */
 public final class OverrideTable {
   private static final class Entry {
@@ -18,27 +18,28 @@
     Version version;
     OverrideStatus status;
     TrafficOverride value;
-    long age; // at the mark
-    long mark;
-    long forgottenAt;
-    long keptUntil; // where it is unsure: it acts no longer than its life after a start
+    long ageMicros; // at measuredAtMicros
+    long measuredAtMicros;
+    long forgetAtMicros;
+    // An unconfirmed override stays in effect for no longer than its lifetime after a start.
+    long unconfirmedUntilMicros;
 
     Entry(String id) {
       this.id = id;
     }
 
-    boolean live() {
+    boolean isLive() {
       return status == OverrideStatus.UNCONFIRMED || status == OverrideStatus.ACTIVE;
     }
   }
 
-  /** How a change was taken. */
+  /** The effect of an update on the table. */
   public enum UpdateResult {
-    /** It changed what is known. */
+    /** The table has changed. */
     APPLIED,
-    /** It was known, or is overtaken by what is known. */
+    /** The update is known, superseded or incomplete, and was ignored. */
     IGNORED,
-    /** A bound is full: it was not taken. */
+    /** A limit is reached, and the update was rejected. */
     FULL
   }
 
@@ -47,148 +48,162 @@
   private long revision;
 
   /**
-   * Makes an empty one.
+   * Creates an empty table.
    *
-   * @param limits its bounds
+   * @param limits its limits
    */
   public OverrideTable(OverrideLimits limits) {
     this.limits = limits;
   }
 
-  /** Time that has passed here, as long as it may have been in truth. */
-  private long stretched(long span) {
-    return (long) Math.ceil(span * (1 + limits.maxClockDriftRatio()));
+  /** The longest true duration of an interval of the local clock, given its drift. */
+  private long withDrift(long intervalMicros) {
+    return (long) Math.ceil(intervalMicros * (1 + limits.maxClockDriftRatio()));
   }
 
-  private long age(Entry entry, long now) {
-    return entry.age + stretched(now - entry.mark);
+  private long ageMicros(Entry entry, long nowMicros) {
+    return entry.ageMicros + withDrift(nowMicros - entry.measuredAtMicros);
   }
 
   /**
-   * Takes an override that is made here and now.
+   * Adds an override that is created here and now.
    *
-   * @param now the clock
-   * @param value it
-   * @return {@code IGNORED} where its id is in use or remembered
+   * @param nowMicros the current time
+   * @param value the override
+   * @return {@code IGNORED} if its id is in use or has a tombstone
    */
-  public UpdateResult create(long now, TrafficOverride value) {
-    expire(now);
+  public UpdateResult create(long nowMicros, TrafficOverride value) {
+    expire(nowMicros);
     if (entries.containsKey(value.id())) {
       return UpdateResult.IGNORED;
     }
-    return join(
-        now,
+    return apply(
+        nowMicros,
         new ReplicaState(value.id(), value.version(), OverrideStatus.ACTIVE, 0, value),
-        now,
+        nowMicros,
         0);
   }
 
   /**
-   * Takes an override back, known or not.
+   * Revokes an override, whether it is known or not.
    *
-   * @param now the clock
+   * @param nowMicros the current time
    * @param id its id
-   * @return how it was taken
+   * @return the effect on the table
    */
-  public UpdateResult revoke(long now, String id) {
-    expire(now);
+  public UpdateResult revoke(long nowMicros, String id) {
+    expire(nowMicros);
     Entry known = entries.get(id);
-    return join(
-        now,
+    return apply(
+        nowMicros,
         new ReplicaState(id, known == null ? null : known.version, OverrideStatus.REVOKED, 0, null),
-        now,
+        nowMicros,
         0);
   }
 
   /**
-   * Merges what another holder answered.
+   * Merges a state from a response of another replica.
    *
-   * @param now the clock
-   * @param told what it said
-   * @param askedAt when the question left, by this clock
-   * @param upFor microseconds since this server is back from a start, or {@link Long#MAX_VALUE}
-   *     once it has recovered: it takes what is unsure only while it has not run for as long as
-   *     that may last
-   * @return how it was taken
+   * @param nowMicros the current time
+   * @param state the state
+   * @param requestedAtMicros the time at which the request was sent, by this clock
+   * @param uptimeMicros the time since the start of this server, or {@link Long#MAX_VALUE} once it
+   *     has recovered: an unconfirmed override is accepted only while this is below its lifetime
+   * @return the effect on the table
    */
-  public UpdateResult merge(long now, ReplicaState told, long askedAt, long upFor) {
-    expire(now);
-    if (told.status() == OverrideStatus.UNCONFIRMED
-        && (told.value() == null || upFor >= told.value().ttlMicros())) {
-      return UpdateResult.IGNORED; // it ran through what the other one slept through
+  public UpdateResult merge(
+      long nowMicros, ReplicaState state, long requestedAtMicros, long uptimeMicros) {
+    expire(nowMicros);
+    if (state.status() == OverrideStatus.UNCONFIRMED
+        && (state.value() == null || uptimeMicros >= state.value().ttlMicros())) {
+      return UpdateResult.IGNORED; // this server was up while the other replica was down
     }
-    return join(now, told, askedAt, upFor);
+    return apply(nowMicros, state, requestedAtMicros, uptimeMicros);
   }
 
   /**
-   * Takes what this server's own disk has: claims of unknown age.
+   * Loads the states on this server's own disk. Overrides become unconfirmed, because the time
+   * since they were written is not known.
    *
-   * @param now the clock
-   * @param saved what was saved
+   * @param nowMicros the current time
+   * @param saved the states
    */
-  public void load(long now, Collection<ReplicaState> saved) {
-    for (ReplicaState one : saved) {
-      boolean live = one.value() != null;
-      join(
-          now,
+  public void load(long nowMicros, Collection<ReplicaState> saved) {
+    for (ReplicaState state : saved) {
+      boolean live = state.value() != null;
+      apply(
+          nowMicros,
           live
               ? new ReplicaState(
-                  one.id(), one.version(), OverrideStatus.UNCONFIRMED, one.age(), one.value())
-              : one,
-          now,
+                  state.id(),
+                  state.version(),
+                  OverrideStatus.UNCONFIRMED,
+                  state.age(),
+                  state.value())
+              : state,
+          nowMicros,
           0);
     }
   }
 
-  private UpdateResult join(long now, ReplicaState told, long askedAt, long upFor) {
+  private UpdateResult apply(
+      long nowMicros, ReplicaState update, long requestedAtMicros, long uptimeMicros) {
     boolean live =
-        told.status() == OverrideStatus.ACTIVE || told.status() == OverrideStatus.UNCONFIRMED;
-    if ((live && told.value() == null)
-        || (told.version() == null && told.status() != OverrideStatus.REVOKED)) {
-      return UpdateResult.IGNORED; // it says too little to be taken
+        update.status() == OverrideStatus.ACTIVE || update.status() == OverrideStatus.UNCONFIRMED;
+    if ((live && update.value() == null)
+        || (update.version() == null && update.status() != OverrideStatus.REVOKED)) {
+      return UpdateResult.IGNORED; // incomplete
     }
-    long age = told.age() + stretched(now - askedAt);
+    // The override may have aged by the whole round trip of the request.
+    long ageMicros = update.age() + withDrift(nowMicros - requestedAtMicros);
     OverrideStatus status =
-        live && age >= told.value().ttlMicros() ? OverrideStatus.EXPIRED : told.status();
-    Entry known = entries.get(told.id());
-    if (known != null && !over(told.version(), status, known)) {
-      if (live && known.live() && known.status == status && told.version().equals(known.version)) {
-        known.age =
+        live && ageMicros >= update.value().ttlMicros() ? OverrideStatus.EXPIRED : update.status();
+    Entry known = entries.get(update.id());
+    if (known != null && !supersedes(update.version(), status, known)) {
+      if (live
+          && known.isLive()
+          && known.status == status
+          && update.version().equals(known.version)) {
+        // Both ages of an active override are upper bounds. Unconfirmed ages are lower bounds: the
+        // override is older by the unknown time that it was on disk.
+        known.ageMicros =
             status == OverrideStatus.ACTIVE
-                ? Math.min(age, age(known, now)) // upper bounds of one age
-                : Math.max(
-                    age,
-                    age(known, now)); // off disks it is older than that, nobody knows by how much
-        known.mark = now;
+                ? Math.min(ageMicros, ageMicros(known, nowMicros))
+                : Math.max(ageMicros, ageMicros(known, nowMicros));
+        known.measuredAtMicros = nowMicros;
       }
       return UpdateResult.IGNORED;
     }
-    boolean grows = status == OverrideStatus.ACTIVE || status == OverrideStatus.UNCONFIRMED;
-    if (full(known, grows ? told.value() : null)) {
+    boolean liveNow = status == OverrideStatus.ACTIVE || status == OverrideStatus.UNCONFIRMED;
+    if (exceedsLimits(known, liveNow ? update.value() : null)) {
       return UpdateResult.FULL;
     }
-    Entry entry = known == null ? new Entry(told.id()) : known;
-    long life =
-        told.value() != null
-            ? told.value().ttlMicros()
+    Entry entry = known == null ? new Entry(update.id()) : known;
+    long ttlMicros =
+        update.value() != null
+            ? update.value().ttlMicros()
             : entry.value != null ? entry.value.ttlMicros() : limits.maxTtlSeconds() * 1_000_000L;
     entries.put(entry.id, entry);
-    entry.version = told.version() != null ? told.version() : entry.version;
+    entry.version = update.version() != null ? update.version() : entry.version;
     entry.status = status;
-    entry.value = grows ? told.value() : null;
-    entry.age = age;
-    entry.mark = now;
-    entry.keptUntil = status == OverrideStatus.UNCONFIRMED ? now + life - Math.max(age, upFor) : 0;
-    entry.forgottenAt = grows ? Long.MAX_VALUE : now + life + 2 * (stretched(life) - life);
+    entry.value = liveNow ? update.value() : null;
+    entry.ageMicros = ageMicros;
+    entry.measuredAtMicros = nowMicros;
+    entry.unconfirmedUntilMicros =
+        status == OverrideStatus.UNCONFIRMED
+            ? nowMicros + ttlMicros - Math.max(ageMicros, uptimeMicros)
+            : 0;
+    entry.forgetAtMicros =
+        liveNow ? Long.MAX_VALUE : nowMicros + ttlMicros + 2 * (withDrift(ttlMicros) - ttlMicros);
     revision++;
     return UpdateResult.APPLIED;
   }
 
   /**
-   * Whether something told is above what is known: revoked over all, sure over unsure, the higher
-   * version, ended.
+   * Whether an update takes precedence over a known entry: a revocation over all else, then a
+   * confirmed status over an unconfirmed one, then the higher version, then expired over active.
    */
-  private static boolean over(Version version, OverrideStatus status, Entry known) {
+  private static boolean supersedes(Version version, OverrideStatus status, Entry known) {
     if (known.status == OverrideStatus.REVOKED || status == OverrideStatus.REVOKED) {
       return known.status != OverrideStatus.REVOKED;
     }
@@ -199,148 +214,155 @@
     return order > 0 || (order == 0 && status.compareTo(known.status) > 0);
   }
 
-  private boolean full(Entry known, TrafficOverride value) {
+  private boolean exceedsLimits(Entry known, TrafficOverride value) {
     if (known == null && entries.size() >= limits.maxLive() + limits.maxTombstones()) {
       return true;
     } else if (value == null) {
-      return false; // what is known may always be taken back
+      return false; // a known override can always be revoked
     }
-    int text = value.text();
-    int live = 1;
-    for (Entry one : entries.values()) {
-      if (one.live() && one != known) {
-        text += one.value.text();
-        live++;
+    int textChars = value.textChars();
+    int liveCount = 1;
+    for (Entry entry : entries.values()) {
+      if (entry.isLive() && entry != known) {
+        textChars += entry.value.textChars();
+        liveCount++;
       }
     }
-    return live > limits.maxLive() || text > limits.maxTextChars();
+    return liveCount > limits.maxLive() || textChars > limits.maxTextChars();
   }
 
   /**
-   * Ends what is over, and forgets what has been over for long enough.
+   * Expires overrides whose lifetime is over, and drops tombstones that have been kept long enough.
    *
-   * @param now the clock
+   * @param nowMicros the current time
    */
-  public void expire(long now) {
-    for (Entry one : List.copyOf(entries.values())) {
-      if (one.live() && age(one, now) >= one.value.ttlMicros()) {
-        one.forgottenAt =
-            now
-                + one.value.ttlMicros()
-                + 2 * (stretched(one.value.ttlMicros()) - one.value.ttlMicros());
-        one.status = OverrideStatus.EXPIRED;
-        one.value = null;
+  public void expire(long nowMicros) {
+    for (Entry entry : List.copyOf(entries.values())) {
+      if (entry.isLive() && ageMicros(entry, nowMicros) >= entry.value.ttlMicros()) {
+        long ttlMicros = entry.value.ttlMicros();
+        entry.forgetAtMicros = nowMicros + ttlMicros + 2 * (withDrift(ttlMicros) - ttlMicros);
+        entry.status = OverrideStatus.EXPIRED;
+        entry.value = null;
         revision++;
-      } else if (!one.live() && now >= one.forgottenAt) {
-        entries.remove(one.id);
+      } else if (!entry.isLive() && nowMicros >= entry.forgetAtMicros) {
+        entries.remove(entry.id);
       }
     }
   }
 
   /**
-   * How an override stands now.
+   * The current status of an override.
    *
-   * @param now the clock
+   * @param nowMicros the current time
    * @param id its id
-   * @return its status, or null where it is not known
+   * @return its status, or null if it is not known
    */
-  public OverrideStatus status(long now, String id) {
-    expire(now);
-    Entry one = entries.get(id);
-    return one == null ? null : one.status;
+  public OverrideStatus status(long nowMicros, String id) {
+    expire(nowMicros);
+    Entry entry = entries.get(id);
+    return entry == null ? null : entry.status;
   }
 
   /**
-   * What acts now: what is in force, and what is unsure and says that it is to be kept.
+   * The overrides in effect: the active ones, and those unconfirmed ones that are to be kept.
    *
-   * @param now the clock
-   * @return the overrides, the one that wins first
+   * @param nowMicros the current time
+   * @return the overrides in order of precedence
    */
-  public List<TrafficOverride> inEffect(long now) {
-    expire(now);
-    List<TrafficOverride> all = new ArrayList<>();
-    for (Entry one : entries.values()) {
-      if (one.status == OverrideStatus.ACTIVE
-          || (one.status == OverrideStatus.UNCONFIRMED
-              && one.value.keepUnconfirmed()
-              && now < one.keptUntil)) {
-        all.add(one.value);
+  public List<TrafficOverride> inEffect(long nowMicros) {
+    expire(nowMicros);
+    List<TrafficOverride> overrides = new ArrayList<>();
+    for (Entry entry : entries.values()) {
+      if (entry.status == OverrideStatus.ACTIVE
+          || (entry.status == OverrideStatus.UNCONFIRMED
+              && entry.value.keepUnconfirmed()
+              && nowMicros < entry.unconfirmedUntilMicros)) {
+        overrides.add(entry.value);
       }
     }
-    all.sort(TrafficOverride.PRECEDENCE);
-    return all;
+    overrides.sort(TrafficOverride.PRECEDENCE);
+    return overrides;
   }
 
   /**
-   * Until when {@link #inEffect} stays as it is, if nothing comes.
+   * The time until which {@link #inEffect} returns the same, unless the table is updated.
    *
-   * @param now the clock
+   * @param nowMicros the current time
    * @return a time of this clock, or {@link Long#MAX_VALUE}
    */
-  public long inEffectUntil(long now) {
+  public long inEffectUntil(long nowMicros) {
     return entries.values().stream()
-        .filter(Entry::live)
+        .filter(Entry::isLive)
         .mapToLong(
-            one ->
-                one.status == OverrideStatus.UNCONFIRMED && now < one.keptUntil
-                    ? one.keptUntil
-                    : one.mark
+            entry ->
+                entry.status == OverrideStatus.UNCONFIRMED
+                        && nowMicros < entry.unconfirmedUntilMicros
+                    ? entry.unconfirmedUntilMicros
+                    : entry.measuredAtMicros
                         + (long)
-                            ((one.value.ttlMicros() - one.age) / (1 + limits.maxClockDriftRatio())))
+                            ((entry.value.ttlMicros() - entry.ageMicros)
+                                / (1 + limits.maxClockDriftRatio())))
         .min()
         .orElse(Long.MAX_VALUE);
   }
 
   /**
-   * All that is known, as it is told to others and to the disk.
+   * The states of all known overrides, for other replicas and for the disk.
    *
-   * @param now the clock
-   * @return in the order of ids
+   * @param nowMicros the current time
+   * @return the states in the order of their ids
    */
-  public List<ReplicaState> replicaStates(long now) {
-    expire(now);
+  public List<ReplicaState> replicaStates(long nowMicros) {
+    expire(nowMicros);
     return entries.values().stream()
         .map(
-            one ->
+            entry ->
                 new ReplicaState(
-                    one.id, one.version, one.status, one.live() ? age(one, now) : 0, one.value))
+                    entry.id,
+                    entry.version,
+                    entry.status,
+                    entry.isLive() ? ageMicros(entry, nowMicros) : 0,
+                    entry.value))
         .toList();
   }
 
   /**
-   * What is known of one id.
+   * The state of one override.
    *
-   * @param now the clock
-   * @param id it
-   * @return what is told of it, or null
+   * @param nowMicros the current time
+   * @param id the id of the override
+   * @return its state, or null if it is not known
    */
-  public ReplicaState replicaState(long now, String id) {
-    expire(now);
-    Entry one = entries.get(id);
-    return one == null
+  public ReplicaState replicaState(long nowMicros, String id) {
+    expire(nowMicros);
+    Entry entry = entries.get(id);
+    return entry == null
         ? null
         : new ReplicaState(
-            one.id, one.version, one.status, one.live() ? age(one, now) : 0, one.value);
+            entry.id,
+            entry.version,
+            entry.status,
+            entry.isLive() ? ageMicros(entry, nowMicros) : 0,
+            entry.value);
   }
 
   /**
-   * Whether what another holder says it has is above what is known here, so that it is to be asked
-   * for.
+   * Whether the override of another replica supersedes the entry here, and has to be requested.
    *
    * @param id its id
    * @param version its version, or null
-   * @param status how it stands there
-   * @return true if so
+   * @param status its status at the other replica
+   * @return true if it is unknown here or supersedes what is known
    */
   public boolean isNewer(String id, Version version, OverrideStatus status) {
     Entry known = entries.get(id);
-    return known == null || over(version, status, known);
+    return known == null || supersedes(version, status, known);
   }
 
   /**
-   * A number that grows with each change of what is known.
+   * A counter that increases whenever an override is added or changes its status or version.
    *
-   * @return it
+   * @return the counter
    */
   public long revision() {
     return revision;
--- a/src/main/java/mothwing/override/ReplicaState.java
+++ b/src/main/java/mothwing/override/ReplicaState.java
@@ -1,13 +1,13 @@
 package mothwing.override;
 
 /**
- * What a holder says of an override at one moment, in answer to a question or to its own disk.
+ * The state of an override at one replica at one moment, as sent in a response or written to disk.
  *
- * @param id its id
- * @param version the version, or null of a revocation of what its holder never knew
- * @param status how it stands
- * @param age microseconds that it has lasted at the most, where it is in force or unsure
- * @param value the override itself, or null where it is over
+ * @param id the id of the override
+ * @param version its version, or null if its replica revoked it without knowing it
+ * @param status its status
+ * @param age in microseconds: an upper bound if it is active, a lower bound if it is unconfirmed
+ * @param value the override itself, or null if it is expired or revoked
  */
 public record ReplicaState(
     String id, Version version, OverrideStatus status, long age, TrafficOverride value) {}
--- a/src/main/java/mothwing/override/TrafficOverride.java
+++ b/src/main/java/mothwing/override/TrafficOverride.java
@@ -5,23 +5,23 @@
 import java.util.Set;
 
 /**
- * A temporary change of what a fleet does with some of its traffic. Immutable; how old it is, each
- * holder knows for itself.
+ * A temporary change of how a fleet handles some of its traffic. Immutable; its age is tracked by
+ * each replica.
  *
- * @param id its name, 1 to 63 characters
- * @param version where it was made
- * @param action what it does
- * @param requestClass the class that it is about, or an empty word for all
- * @param tenant the tenant that it is about, or an empty word for all
+ * @param id its id, 1 to 63 characters
+ * @param version its version, assigned by the server that created it
+ * @param action its effect
+ * @param requestClass the class that it applies to, or an empty string for all
+ * @param tenant the tenant that it applies to, or an empty string for all
  * @param share the share of that traffic, 0 to 1
- * @param target the zone that a diverted request goes to, or the feature that is left out; else an
- *     empty word
- * @param selector the servers that it holds at
+ * @param target the zone to which requests are diverted, or the feature that is disabled; else an
+ *     empty string
+ * @param selector the servers that it applies at
  * @param ttlSeconds its lifetime, above 0
- * @param priority the higher one wins where two are about the same
- * @param keepUnconfirmed whether a server that has it from its disk alone goes by it
- * @param reason why it was made
- * @param author who made it
+ * @param priority the higher one wins if two overrides apply to the same traffic
+ * @param keepUnconfirmed whether a server applies it while it has it from its own disk only
+ * @param reason the reason for it, for operators
+ * @param author its creator, for operators
  */
 public record TrafficOverride(
     String id,
@@ -38,41 +38,41 @@
     String reason,
     String author) {
   /**
-   * Which of two that are about the same wins, the first one: priority, then narrowness, then
-   * version, then id.
+   * Orders overrides that apply to the same traffic, the winner first: by priority, then
+   * specificity, then version, then id, each descending.
    */
   public static final Comparator<TrafficOverride> PRECEDENCE =
       Comparator.comparingInt(TrafficOverride::priority)
-          .thenComparingInt(TrafficOverride::narrowness)
+          .thenComparingInt(TrafficOverride::specificity)
           .thenComparing(TrafficOverride::version)
           .thenComparing(TrafficOverride::id)
           .reversed();
 
-  private static final int MOST_NAME = 63;
+  private static final int MAX_ID_CHARS = 63;
 
-  /** What an override does. */
+  /** The effect of an override. */
   public enum Action {
-    /** Refuses a share of a class or tenant at read. */
+    /** Rejects a share of the requests of a class or tenant as they are read. */
     REFUSE,
-    /** Sends gateways away: nothing new is taken. */
+    /** Sends gateways to other servers: nothing new is accepted. */
     DRAIN,
-    /** Holds a class or tenant to a share. */
+    /** Limits a class or tenant to a share. */
     LIMIT,
-    /** Sends a class or tenant to a zone. */
+    /** Diverts a class or tenant to a zone. */
     DIVERT,
-    /** Leaves a feature of the routing policy out. */
+    /** Disables a feature of the routing policy. */
     WITHOUT
   }
 
   /**
-   * Servers: all that are in each of the sets that is not empty.
+   * Selects servers: those that are in each of the sets that is not empty.
    *
    * @param servers names of servers
    * @param zones names of zones
    * @param hardware names of hardware classes
    */
   public record Selector(Set<String> servers, Set<String> zones, Set<String> hardware) {
-    /** All servers. */
+    /** Selects all servers. */
     public static final Selector ALL = new Selector(Set.of(), Set.of(), Set.of());
 
     /** Copies the sets. */
@@ -83,28 +83,28 @@
     }
 
     /**
-     * Whether a server is among them.
+     * Whether a server is selected.
      *
      * @param name its name
      * @param zone its zone
-     * @param machine its hardware class
-     * @return true if so
+     * @param hardwareClass its hardware class
+     * @return true if each set that is not empty contains it
      */
-    public boolean matches(String name, String zone, String machine) {
+    public boolean matches(String name, String zone, String hardwareClass) {
       return (servers.isEmpty() || servers.contains(name))
           && (zones.isEmpty() || zones.contains(zone))
-          && (hardware.isEmpty() || hardware.contains(machine));
+          && (hardware.isEmpty() || hardware.contains(hardwareClass));
     }
 
-    private int narrowness() {
+    private int specificity() {
       return (servers.isEmpty() ? 0 : 4) + (hardware.isEmpty() ? 0 : 2) + (zones.isEmpty() ? 0 : 1);
     }
   }
 
-  /** Checks it. */
+  /** Validates the components. */
   public TrafficOverride {
-    if (id.isEmpty() || id.length() > MOST_NAME) {
-      throw new IllegalArgumentException("field id: 1 to " + MOST_NAME + " characters");
+    if (id.isEmpty() || id.length() > MAX_ID_CHARS) {
+      throw new IllegalArgumentException("field id: 1 to " + MAX_ID_CHARS + " characters");
     }
     if (!(share >= 0 && share <= 1)) {
       throw new IllegalArgumentException("field share: a number from 0 to 1");
@@ -116,7 +116,9 @@
         && requestClass.isEmpty()
         && tenant.isEmpty()) {
       throw new IllegalArgumentException(
-          "field class: " + action.name().toLowerCase(Locale.ROOT) + " wants a class or a tenant");
+          "field class: "
+              + action.name().toLowerCase(Locale.ROOT)
+              + " requires a class or a tenant");
     }
     if ((action == Action.DIVERT || action == Action.WITHOUT) && target.isEmpty()) {
       throw new IllegalArgumentException(
@@ -124,12 +126,12 @@
     }
   }
 
-  private int narrowness() {
-    return (tenant.isEmpty() ? 0 : 16) + (requestClass.isEmpty() ? 0 : 8) + selector.narrowness();
+  private int specificity() {
+    return (tenant.isEmpty() ? 0 : 16) + (requestClass.isEmpty() ? 0 : 8) + selector.specificity();
   }
 
-  /** Characters of its text, as they count against the bound of all. */
-  int text() {
+  /** The characters of its texts, as they count towards {@link OverrideLimits#maxTextChars}. */
+  int textChars() {
     return id.length()
         + requestClass.length()
         + tenant.length()
@@ -142,7 +144,7 @@
   }
 
   /**
-   * Its lifetime.
+   * The lifetime.
    *
    * @return microseconds
    */
--- a/src/main/java/mothwing/override/Version.java
+++ b/src/main/java/mothwing/override/Version.java
@@ -3,12 +3,12 @@
 import java.util.Comparator;
 
 /**
- * Where an override was made: higher stamps win over lower ones of the same id, and no two are
- * alike.
+ * The version of an override: of two with the same id the higher one wins. Versions are unique.
  *
- * @param epoch the number of the origin's start, forced on its disk before it says a word
- * @param origin the origin's name
- * @param sequence the number of the override in that start
+ * @param epoch the number of the origin's start, which is persisted before the origin sends
+ *     anything
+ * @param origin the name of the server that created the override
+ * @param sequence the number of the override within that epoch
  */
 public record Version(long epoch, String origin, long sequence) implements Comparable<Version> {
   private static final Comparator<Version> ORDER =
--- a/src/main/java/mothwing/override/package-info.java
+++ b/src/main/java/mothwing/override/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Temporary traffic overrides, pure: a replicated table whose entries carry an age instead of a
- * date and end on every replica, kept in step by anti-entropy.
+ * Temporary traffic overrides: a replicated table whose entries carry an age instead of an expiry
+ * date and expire on every replica by its own clock, kept consistent by anti-entropy. The package
+ * does no I/O.
  *
- * <p>Safety does not rest on synchronized clocks, on a view of the members, or on a message that
- * arrives exactly once. Nothing in a server uses it yet.
+ * <p>Safety depends neither on synchronized clocks, nor on a consistent view of the members, nor on
+ * exactly-once delivery of messages. No server uses the package yet.
  */
 package mothwing.override;
--- a/src/test/java/mothwing/override/EffectiveOverridesTest.java
+++ b/src/test/java/mothwing/override/EffectiveOverridesTest.java
@@ -13,136 +13,155 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What overrides come to, and the bounds of the book that has them. */
+/** The lookup of overrides in effect, and the limits of the table that holds them. */
 class EffectiveOverridesTest {
-  private static final long SECOND = 1_000_000;
-  private static final TrafficOverride.Action[] ABOUT = {
+  private static final long SECOND_MICROS = 1_000_000;
+  private static final TrafficOverride.Action[] LOOKUP_ACTIONS = {
     TrafficOverride.Action.REFUSE, TrafficOverride.Action.LIMIT
   };
 
-  private static TrafficOverride made(
+  private static TrafficOverride newOverride(
       int number,
-      TrafficOverride.Action what,
-      String kind,
+      TrafficOverride.Action action,
+      String requestClass,
       String tenant,
       int priority,
-      TrafficOverride.Selector on) {
+      TrafficOverride.Selector selector) {
     return new TrafficOverride(
         "o" + number,
         new Version(1, "n" + number % 3, number),
-        what,
-        kind,
+        action,
+        requestClass,
         tenant,
         1,
-        what == TrafficOverride.Action.WITHOUT ? "hedge" : "",
-        on,
+        action == TrafficOverride.Action.WITHOUT ? "hedge" : "",
+        selector,
         60,
         priority,
         false,
-        "why",
-        "who");
+        "reason",
+        "author");
   }
 
-  private static String some(Random random, String... all) {
-    return all[random.nextInt(all.length)];
+  private static String choose(Random random, String... choices) {
+    return choices[random.nextInt(choices.length)];
   }
 
   /**
-   * Guards against a look-up that finds another one than the ranking of all that match, in whatever
-   * order they came.
+   * Guards against a lookup that differs from the first of all matching overrides in the order of
+   * precedence, in whatever order they were added.
    */
   @Property(seed = "1764576031", tries = 300)
-  void theLookUpFindsTheOneThatRanksFirst(@ForAll int seed) {
+  void findsMatchingOverrideOfHighestPrecedence(@ForAll int seed) {
     Random random = new Random(seed);
-    OverrideTable book = new OverrideTable(OverrideLimits.DEFAULTS);
-    List<TrafficOverride> all = new ArrayList<>();
+    OverrideTable table = new OverrideTable(OverrideLimits.DEFAULTS);
+    List<TrafficOverride> overrides = new ArrayList<>();
     for (int i = 0; i < 1 + random.nextInt(30); i++) {
-      String kind = some(random, "", "look", "order");
-      String tenant = kind.isEmpty() ? some(random, "a", "b") : some(random, "", "a", "b");
-      TrafficOverride.Selector on =
+      String requestClass = choose(random, "", "look", "order");
+      String tenant =
+          requestClass.isEmpty() ? choose(random, "a", "b") : choose(random, "", "a", "b");
+      TrafficOverride.Selector selector =
           random.nextBoolean()
               ? TrafficOverride.Selector.ALL
               : new TrafficOverride.Selector(
-                  Set.of(some(random, "n1", "n2")), Set.of(some(random, "one", "two")), Set.of());
-      TrafficOverride one = made(i, ABOUT[random.nextInt(2)], kind, tenant, random.nextInt(3), on);
-      all.add(one);
-      assertEquals(OverrideTable.UpdateResult.APPLIED, book.create(5, one));
+                  Set.of(choose(random, "n1", "n2")),
+                  Set.of(choose(random, "one", "two")),
+                  Set.of());
+      TrafficOverride created =
+          newOverride(
+              i,
+              LOOKUP_ACTIONS[random.nextInt(2)],
+              requestClass,
+              tenant,
+              random.nextInt(3),
+              selector);
+      overrides.add(created);
+      assertEquals(OverrideTable.UpdateResult.APPLIED, table.create(5, created));
     }
-    EffectiveOverrides effect =
-        new EffectiveOverrides(book.inEffect(6), "n1", "one", "rack", book.inEffectUntil(6));
-    for (TrafficOverride.Action what : ABOUT) {
-      for (String kind : List.of("look", "order", "save")) {
+    EffectiveOverrides effective =
+        new EffectiveOverrides(table.inEffect(6), "n1", "one", "rack", table.inEffectUntil(6));
+    for (TrafficOverride.Action action : LOOKUP_ACTIONS) {
+      for (String requestClass : List.of("look", "order", "save")) {
         for (String tenant : List.of("a", "b", "c", "")) {
-          TrafficOverride wanted =
-              all.stream()
+          TrafficOverride expected =
+              overrides.stream()
                   .filter(
-                      one ->
-                          one.action() == what
-                              && one.selector().matches("n1", "one", "rack")
-                              && (one.requestClass().isEmpty() || one.requestClass().equals(kind))
-                              && (one.tenant().isEmpty() || one.tenant().equals(tenant)))
+                      candidate ->
+                          candidate.action() == action
+                              && candidate.selector().matches("n1", "one", "rack")
+                              && (candidate.requestClass().isEmpty()
+                                  || candidate.requestClass().equals(requestClass))
+                              && (candidate.tenant().isEmpty()
+                                  || candidate.tenant().equals(tenant)))
                   .min(TrafficOverride.PRECEDENCE)
                   .orElse(null);
-          assertEquals(wanted, effect.find(what, kind, tenant));
+          assertEquals(expected, effective.find(action, requestClass, tenant));
         }
       }
     }
-    assertTrue(effect.isValid(59 * SECOND));
-    assertFalse(effect.isValid(60 * SECOND + 5));
+    assertTrue(effective.isValid(59 * SECOND_MICROS));
+    assertFalse(effective.isValid(60 * SECOND_MICROS + 5));
   }
 
   @Example
-  void drainsAndLeavesOutWhereItIsToHold() {
-    TrafficOverride.Selector rooms =
+  void drainsAndDisablesFeaturesOnSelectedServersOnly() {
+    TrafficOverride.Selector racksInZoneOne =
         new TrafficOverride.Selector(Set.of(), Set.of("one"), Set.of("rack"));
-    List<TrafficOverride> all =
+    List<TrafficOverride> overrides =
         List.of(
-            made(1, TrafficOverride.Action.DRAIN, "", "", 0, rooms),
-            made(2, TrafficOverride.Action.WITHOUT, "", "", 0, rooms));
-    EffectiveOverrides here = new EffectiveOverrides(all, "n1", "one", "rack", Long.MAX_VALUE);
-    EffectiveOverrides there = new EffectiveOverrides(all, "n1", "one", "till-box", Long.MAX_VALUE);
-    assertEquals("o1", here.drain().id());
-    assertTrue(here.isDisabled("hedge") && !here.isDisabled("spill"));
-    assertEquals(null, there.drain());
-    assertFalse(there.isDisabled("hedge"));
+            newOverride(1, TrafficOverride.Action.DRAIN, "", "", 0, racksInZoneOne),
+            newOverride(2, TrafficOverride.Action.WITHOUT, "", "", 0, racksInZoneOne));
+    EffectiveOverrides selected =
+        new EffectiveOverrides(overrides, "n1", "one", "rack", Long.MAX_VALUE);
+    EffectiveOverrides unselected =
+        new EffectiveOverrides(overrides, "n1", "one", "till-box", Long.MAX_VALUE);
+    assertEquals("o1", selected.drain().id());
+    assertTrue(selected.isDisabled("hedge") && !selected.isDisabled("spill"));
+    assertEquals(null, unselected.drain());
+    assertFalse(unselected.isDisabled("hedge"));
     assertEquals(null, EffectiveOverrides.NONE.refusalFor("look", "a", 0));
   }
 
   /**
-   * Guards against a table that grows without an end, and against a live one that cannot be taken
-   * back as it is full.
+   * Guards against a table that grows without bound, and against an active override that cannot be
+   * revoked because the table is full.
    */
   @Example
-  void keepsToItsBoundsAndCanAlwaysTakeBack() {
-    OverrideLimits few = new OverrideLimits(3, 2, 100, 60, 0);
-    OverrideTable book = new OverrideTable(few);
+  void enforcesLimitsAndStillRevokesWhenFull() {
+    OverrideLimits limits = new OverrideLimits(3, 2, 100, 60, 0);
+    OverrideTable table = new OverrideTable(limits);
     for (int i = 0; i < 3; i++) {
       assertEquals(
           OverrideTable.UpdateResult.APPLIED,
-          book.create(
+          table.create(
               1,
-              made(i, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+              newOverride(
+                  i, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
     }
     assertEquals(
         OverrideTable.UpdateResult.FULL,
-        book.create(
+        table.create(
             1,
-            made(3, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+            newOverride(
+                3, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
     for (int i = 0; i < 3; i++) {
-      assertEquals(OverrideTable.UpdateResult.APPLIED, book.revoke(2, "o" + i));
+      assertEquals(OverrideTable.UpdateResult.APPLIED, table.revoke(2, "o" + i));
     }
     assertEquals(
         OverrideTable.UpdateResult.IGNORED,
-        book.create(
+        table.create(
             3,
-            made(0, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
-    assertEquals(OverrideTable.UpdateResult.APPLIED, book.revoke(3, "x1"));
-    assertEquals(OverrideTable.UpdateResult.APPLIED, book.revoke(3, "x2"));
-    assertEquals(OverrideTable.UpdateResult.FULL, book.revoke(3, "x3"));
-    assertEquals(OverrideStatus.REVOKED, book.status(60 * SECOND, "o1"));
-    assertEquals(null, book.status(60 * SECOND + 3, "o1"), "remembered for its lifetime");
+            newOverride(
+                0, TrafficOverride.Action.REFUSE, "look", "", 0, TrafficOverride.Selector.ALL)));
+    assertEquals(OverrideTable.UpdateResult.APPLIED, table.revoke(3, "x1"));
+    assertEquals(OverrideTable.UpdateResult.APPLIED, table.revoke(3, "x2"));
+    assertEquals(OverrideTable.UpdateResult.FULL, table.revoke(3, "x3"));
+    assertEquals(OverrideStatus.REVOKED, table.status(60 * SECOND_MICROS, "o1"));
+    assertEquals(
+        null, table.status(60 * SECOND_MICROS + 3, "o1"), "a tombstone is kept for the lifetime");
     assertThrows(
         IllegalArgumentException.class,
-        () -> made(9, TrafficOverride.Action.REFUSE, "", "", 0, TrafficOverride.Selector.ALL));
+        () ->
+            newOverride(9, TrafficOverride.Action.REFUSE, "", "", 0, TrafficOverride.Selector.ALL));
   }
 }
