--- a/src/main/java/mothwing/peer/MembershipMessageCodec.java
+++ b/src/main/java/mothwing/peer/MembershipMessageCodec.java
@@ -15,176 +15,182 @@
 import org.msgpack.core.MessageUnpacker;
 
 /**
- * Messages between servers as bytes: two bytes of magic, one of the version, a CRC-32C (RFC 3720)
- * of what follows, and a map of MessagePack with numbers for keys. Who meets a number that it does
- * not know skips its value, so that servers of different versions understand each other; a higher
- * version says that they would not.
+ * Encodes messages between servers: two magic bytes, one version byte, a CRC-32C (RFC 3720) of all
+ * other bytes, and a MessagePack map with integer keys. A reader skips the value of a key that it
+ * does not know, so that servers of different releases understand each other; an incompatible
+ * format has a higher version, and is rejected.
  */
 final class MembershipMessageCodec {
-  /** Bytes before the map. */
-  static final int HEAD = 7;
+  /** The length of the header before the map. */
+  static final int HEADER_BYTES = 7;
 
   private static final short MAGIC = 0x6d50; // "mP"
   private static final byte VERSION = 1;
-  private static final int MOST_TEXT = 255;
-  private static final int CRC_AT = 3;
+  private static final int MAX_STRING_CHARS = 255;
+  private static final int CRC_OFFSET = 3;
 
-  /** Bytes that are no message of a version that is understood; the message is a reason code. */
-  static final class Bad extends IOException {
+  /** Bytes that are no message of a known version; the exception's message is a reason code. */
+  static final class DecodeException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    Bad(String code) {
+    DecodeException(String code) {
       super(code);
     }
   }
 
   private MembershipMessageCodec() {}
 
+  /** Keys of the message's map, then those of a record's map. */
   private static final class Keys {
     static final int CLUSTER = 1;
     static final int KIND = 2;
-    static final int SEQ = 3;
-    static final int ABOUT = 4;
-    static final int SELF = 5;
-    static final int CLAIMS = 6;
+    static final int SEQUENCE = 3;
+    static final int PING_TARGET = 4;
+    static final int SENDER = 5;
+    static final int RECORDS = 6;
     static final int NAME = 1;
-    static final int START = 2;
+    static final int INSTANCE_ID = 2;
     static final int ADDRESS = 3;
     static final int ZONE = 4;
     static final int INCARNATION = 5;
     static final int STATE = 6;
-    static final int BY = 7;
+    static final int REPORTED_BY = 7;
   }
 
   static byte[] encode(MembershipMessage message) {
-    try (MessageBufferPacker out = MessagePack.newDefaultBufferPacker()) {
-      out.packMapHeader(6);
-      out.packInt(Keys.CLUSTER).packString(message.cluster());
-      out.packInt(Keys.KIND).packInt(message.kind().ordinal());
-      out.packInt(Keys.SEQ).packLong(message.sequence());
-      out.packInt(Keys.ABOUT).packString(message.pingTarget());
-      out.packInt(Keys.SELF);
-      claim(out, message.sender());
-      out.packInt(Keys.CLAIMS).packArrayHeader(message.records().size());
-      for (MemberRecord one : message.records()) {
-        claim(out, one);
+    try (MessageBufferPacker packer = MessagePack.newDefaultBufferPacker()) {
+      packer.packMapHeader(6);
+      packer.packInt(Keys.CLUSTER).packString(message.cluster());
+      packer.packInt(Keys.KIND).packInt(message.kind().ordinal());
+      packer.packInt(Keys.SEQUENCE).packLong(message.sequence());
+      packer.packInt(Keys.PING_TARGET).packString(message.pingTarget());
+      packer.packInt(Keys.SENDER);
+      encodeRecord(packer, message.sender());
+      packer.packInt(Keys.RECORDS).packArrayHeader(message.records().size());
+      for (MemberRecord record : message.records()) {
+        encodeRecord(packer, record);
       }
-      byte[] map = out.toByteArray();
-      ByteBuffer all =
-          ByteBuffer.allocate(HEAD + map.length).putShort(MAGIC).put(VERSION).put(HEAD, map);
-      return all.putInt(CRC_AT, crc(all.array())).array();
-    } catch (IOException never) {
-      throw new UncheckedIOException(never); // it writes to memory
+      byte[] map = packer.toByteArray();
+      ByteBuffer encoded =
+          ByteBuffer.allocate(HEADER_BYTES + map.length)
+              .putShort(MAGIC)
+              .put(VERSION)
+              .put(HEADER_BYTES, map);
+      return encoded.putInt(CRC_OFFSET, crc(encoded.array())).array();
+    } catch (IOException impossible) {
+      throw new UncheckedIOException(impossible); // the packer writes to memory
     }
   }
 
-  private static int crc(byte[] all) {
+  private static int crc(byte[] encoded) {
     CRC32C crc = new CRC32C();
-    crc.update(all, 0, CRC_AT);
-    crc.update(all, HEAD, all.length - HEAD);
+    crc.update(encoded, 0, CRC_OFFSET);
+    crc.update(encoded, HEADER_BYTES, encoded.length - HEADER_BYTES);
     return (int) crc.getValue();
   }
 
-  private static void claim(MessageBufferPacker out, MemberRecord one) throws IOException {
-    out.packMapHeader(7);
-    out.packInt(Keys.NAME).packString(one.name());
-    out.packInt(Keys.START).packLong(one.instanceId());
-    out.packInt(Keys.ADDRESS).packString(one.address());
-    out.packInt(Keys.ZONE).packString(one.zone());
-    out.packInt(Keys.INCARNATION).packLong(one.incarnation());
-    out.packInt(Keys.STATE).packInt(one.state().ordinal());
-    out.packInt(Keys.BY).packString(one.reportedBy());
+  private static void encodeRecord(MessageBufferPacker packer, MemberRecord record)
+      throws IOException {
+    packer.packMapHeader(7);
+    packer.packInt(Keys.NAME).packString(record.name());
+    packer.packInt(Keys.INSTANCE_ID).packLong(record.instanceId());
+    packer.packInt(Keys.ADDRESS).packString(record.address());
+    packer.packInt(Keys.ZONE).packString(record.zone());
+    packer.packInt(Keys.INCARNATION).packLong(record.incarnation());
+    packer.packInt(Keys.STATE).packInt(record.state().ordinal());
+    packer.packInt(Keys.REPORTED_BY).packString(record.reportedBy());
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @param all the bytes, nothing before or behind
+   * @param encoded the bytes of exactly one message
    * @return the message
-   * @throws Bad where they are none
+   * @throws DecodeException if the bytes are not a message of a known version
    */
-  static MembershipMessage decode(byte[] all) throws Bad {
-    ByteBuffer bytes = ByteBuffer.wrap(all);
-    if (all.length < HEAD || bytes.getShort() != MAGIC) {
-      throw new Bad("not-ours");
-    } else if (bytes.getInt(CRC_AT) != crc(all)) {
-      throw new Bad("checksum");
-    } else if (bytes.get() > VERSION) {
-      throw new Bad("newer-version");
+  static MembershipMessage decode(byte[] encoded) throws DecodeException {
+    ByteBuffer header = ByteBuffer.wrap(encoded);
+    if (encoded.length < HEADER_BYTES || header.getShort() != MAGIC) {
+      throw new DecodeException("not-ours");
+    } else if (header.getInt(CRC_OFFSET) != crc(encoded)) {
+      throw new DecodeException("checksum");
+    } else if (header.get() > VERSION) {
+      throw new DecodeException("newer-version");
     }
-    try (MessageUnpacker in = MessagePack.newDefaultUnpacker(all, HEAD, all.length - HEAD)) {
-      return decode(in);
-    } catch (MessagePackException | ArithmeticException | IOException bad) {
-      throw bad instanceof Bad one ? one : new Bad("malformed");
+    try (MessageUnpacker unpacker =
+        MessagePack.newDefaultUnpacker(encoded, HEADER_BYTES, encoded.length - HEADER_BYTES)) {
+      return decodeMessage(unpacker);
+    } catch (MessagePackException | ArithmeticException | IOException failure) {
+      throw failure instanceof DecodeException known ? known : new DecodeException("malformed");
     }
   }
 
-  private static MembershipMessage decode(MessageUnpacker in) throws IOException {
+  private static MembershipMessage decodeMessage(MessageUnpacker unpacker) throws IOException {
     String cluster = null;
     MembershipMessage.Kind kind = null;
-    long seq = 0;
-    String about = "";
-    MemberRecord self = null;
-    List<MemberRecord> claims = new ArrayList<>();
-    for (int left = in.unpackMapHeader(); left > 0; left--) {
-      switch (in.unpackInt()) {
-        case Keys.CLUSTER -> cluster = text(in);
-        case Keys.KIND -> kind = one(MembershipMessage.Kind.values(), in.unpackInt());
-        case Keys.SEQ -> seq = in.unpackLong();
-        case Keys.ABOUT -> about = text(in);
-        case Keys.SELF -> self = claim(in);
-        case Keys.CLAIMS -> {
-          for (int more = in.unpackArrayHeader(); more > 0; more--) {
-            claims.add(claim(in));
+    long sequence = 0;
+    String pingTarget = "";
+    MemberRecord sender = null;
+    List<MemberRecord> records = new ArrayList<>();
+    for (int pairs = unpacker.unpackMapHeader(); pairs > 0; pairs--) {
+      switch (unpacker.unpackInt()) {
+        case Keys.CLUSTER -> cluster = decodeString(unpacker);
+        case Keys.KIND -> kind = constantAt(MembershipMessage.Kind.values(), unpacker.unpackInt());
+        case Keys.SEQUENCE -> sequence = unpacker.unpackLong();
+        case Keys.PING_TARGET -> pingTarget = decodeString(unpacker);
+        case Keys.SENDER -> sender = decodeRecord(unpacker);
+        case Keys.RECORDS -> {
+          for (int remaining = unpacker.unpackArrayHeader(); remaining > 0; remaining--) {
+            records.add(decodeRecord(unpacker));
           }
         }
-        default -> in.skipValue();
+        default -> unpacker.skipValue();
       }
     }
-    if (cluster == null || kind == null || self == null || in.hasNext()) {
-      throw new Bad("malformed");
+    if (cluster == null || kind == null || sender == null || unpacker.hasNext()) {
+      throw new DecodeException("malformed");
     }
-    return new MembershipMessage(cluster, kind, seq, about, self, claims);
+    return new MembershipMessage(cluster, kind, sequence, pingTarget, sender, records);
   }
 
-  private static MemberRecord claim(MessageUnpacker in) throws IOException {
+  private static MemberRecord decodeRecord(MessageUnpacker unpacker) throws IOException {
     String name = "";
-    long start = 0;
+    long instanceId = 0;
     String address = "";
     String zone = "";
     long incarnation = -1;
     MemberState state = null;
-    String by = "";
-    for (int left = in.unpackMapHeader(); left > 0; left--) {
-      switch (in.unpackInt()) {
-        case Keys.NAME -> name = text(in);
-        case Keys.START -> start = in.unpackLong();
-        case Keys.ADDRESS -> address = text(in);
-        case Keys.ZONE -> zone = text(in);
-        case Keys.INCARNATION -> incarnation = in.unpackLong();
-        case Keys.STATE -> state = one(MemberState.values(), in.unpackInt());
-        case Keys.BY -> by = text(in);
-        default -> in.skipValue();
+    String reportedBy = "";
+    for (int pairs = unpacker.unpackMapHeader(); pairs > 0; pairs--) {
+      switch (unpacker.unpackInt()) {
+        case Keys.NAME -> name = decodeString(unpacker);
+        case Keys.INSTANCE_ID -> instanceId = unpacker.unpackLong();
+        case Keys.ADDRESS -> address = decodeString(unpacker);
+        case Keys.ZONE -> zone = decodeString(unpacker);
+        case Keys.INCARNATION -> incarnation = unpacker.unpackLong();
+        case Keys.STATE -> state = constantAt(MemberState.values(), unpacker.unpackInt());
+        case Keys.REPORTED_BY -> reportedBy = decodeString(unpacker);
+        default -> unpacker.skipValue();
       }
     }
     if (name.isEmpty() || address.isEmpty() || incarnation < 0 || state == null) {
-      throw new Bad("malformed");
+      throw new DecodeException("malformed");
     }
-    return new MemberRecord(name, start, address, zone, incarnation, state, by);
+    return new MemberRecord(name, instanceId, address, zone, incarnation, state, reportedBy);
   }
 
-  private static String text(MessageUnpacker in) throws IOException {
-    String text = in.unpackString();
-    if (text.length() > MOST_TEXT) {
-      throw new Bad("malformed");
+  private static String decodeString(MessageUnpacker unpacker) throws IOException {
+    String text = unpacker.unpackString();
+    if (text.length() > MAX_STRING_CHARS) {
+      throw new DecodeException("malformed");
     }
     return text;
   }
 
-  private static <T> T one(T[] all, int place) throws Bad {
-    if (place < 0 || place >= all.length) {
-      throw new Bad("malformed");
+  private static <T> T constantAt(T[] constants, int ordinal) throws DecodeException {
+    if (ordinal < 0 || ordinal >= constants.length) {
+      throw new DecodeException("malformed");
     }
-    return all[place];
+    return constants[ordinal];
   }
 }
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -41,29 +41,28 @@
 import mothwing.settings.Site;
 
 /**
- * The channel between servers, and the membership that it carries: datagrams for probes, a stream
- * for each exchange of everything, both at one port. What it sends leaves from the address at which
- * it listens; answers go to where the asker says that it wants them. It trusts its network. All of
- * it happens on one event loop.
+ * Runs this server's membership over the network: UDP datagrams for probes, and a TCP connection
+ * for each stream message such as a full exchange, both on one port. Messages leave from the listen
+ * address; responses go to the address that the sender advertises. Peers are not authenticated: the
+ * network is trusted. All work is done on one event loop.
  */
 public final class PeerTransport implements MembershipHost {
-  /** Most bytes of a message on a stream. */
-  static final int MOST_STREAM = 8 << 20;
+  private static final int MAX_STREAM_MESSAGE_BYTES = 8 << 20;
 
-  /** Most streams open at once, in either direction; what is more is dropped, as a network may. */
-  static final int MOST_STREAMS = 64;
+  /** In both directions together; more are dropped, as the protocol tolerates lost messages. */
+  private static final int MAX_OPEN_STREAMS = 64;
 
-  private static final int MOST_DATAGRAM = 2048;
-  private static final int LENGTH = 4;
-  private static final long MILLI = 1000;
-  private static final long STREAM_PATIENCE = 10_000 * MILLI;
-  private static final long BIND_AGAIN = 250 * MILLI;
-  private static final int CONNECT_MS = 2000;
+  private static final int MAX_DATAGRAM_BYTES = 2048;
+  private static final int LENGTH_PREFIX_BYTES = 4;
+  private static final long MILLI_MICROS = 1000;
+  private static final long STREAM_TIMEOUT_MICROS = 10_000 * MILLI_MICROS;
+  private static final long BIND_RETRY_MICROS = 250 * MILLI_MICROS;
+  private static final int CONNECT_TIMEOUT_MILLIS = 2000;
 
   private final Site.Fleet fleet;
   private final String name;
   private final EventLoop loop;
-  private final Scheduler timers;
+  private final Scheduler scheduler;
   private final Counters counters;
   private final EventLog log;
   private final Membership membership;
@@ -71,31 +70,31 @@
   private Channel datagrams;
   private Channel listener;
   private boolean leaving;
-  private boolean complained;
+  private boolean bindFailureLogged;
 
   /**
-   * Wires one that is not started yet.
+   * Creates a transport that has not started.
    *
-   * @param fleet what the settings say
+   * @param fleet the settings of the fleet
    * @param name this server's name
-   * @param loop the thread of it all
-   * @param timers the clocks
-   * @param random chooses whom to probe, and this start's id
-   * @param counters counts what happens
-   * @param log takes lines of the log
+   * @param loop the event loop of all channels
+   * @param scheduler the clocks, and delayed work on the same event loop
+   * @param random chooses the instance id of this process, and members to probe
+   * @param counters counts messages and events
+   * @param log receives the log lines
    */
   public PeerTransport(
       Site.Fleet fleet,
       String name,
       EventLoop loop,
-      Scheduler timers,
+      Scheduler scheduler,
       Random random,
       Counters counters,
       EventLog log) {
     this.fleet = fleet;
     this.name = name;
     this.loop = loop;
-    this.timers = timers;
+    this.scheduler = scheduler;
     this.counters = counters;
     this.log = log;
     MemberRecord self =
@@ -113,20 +112,20 @@
             self,
             fleet.seeds().stream().map(Addresses::text).toList(),
             FailureDetectorSettings.DEFAULTS,
-            timers,
+            scheduler,
             random,
             this);
   }
 
   /**
-   * Begins. Where its address is taken, by the process before it in an upgrade, it tries again
-   * until that has left; it belongs to nobody until then. On the event loop only.
+   * Binds the port and joins the fleet. While the port is still held, as by the previous process
+   * during an upgrade, binding is retried and this server is not a member. On the event loop only.
    */
   public void start() {
     if (leaving) {
       return;
     }
-    ChannelFuture bound =
+    ChannelFuture listenerBound =
         new ServerBootstrap()
             .group(loop)
             .channel(NioServerSocketChannel.class)
@@ -134,34 +133,35 @@
             .childHandler(
                 new ChannelInitializer<Channel>() {
                   @Override
-                  protected void initChannel(Channel came) {
-                    came.pipeline().addLast(new Incoming());
+                  protected void initChannel(Channel accepted) {
+                    accepted.pipeline().addLast(new StreamReceiver());
                   }
                 })
             .bind(fleet.listen());
-    bound.addListener(
-        done -> {
-          if (!done.isSuccess()) {
-            again(done.cause());
+    listenerBound.addListener(
+        listenerResult -> {
+          if (!listenerResult.isSuccess()) {
+            retryBind(listenerResult.cause());
             return;
           }
-          listener = bound.channel();
-          ChannelFuture second =
+          listener = listenerBound.channel();
+          ChannelFuture datagramsBound =
               new Bootstrap()
                   .group(loop)
                   .channel(NioDatagramChannel.class)
                   .option(
-                      ChannelOption.RCVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM))
-                  .handler(new Datagrams())
+                      ChannelOption.RCVBUF_ALLOCATOR,
+                      new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES))
+                  .handler(new DatagramReceiver())
                   .bind(fleet.listen());
-          second.addListener(
-              also -> {
-                if (!also.isSuccess()) {
+          datagramsBound.addListener(
+              datagramsResult -> {
+                if (!datagramsResult.isSuccess()) {
                   listener.close();
-                  again(also.cause());
+                  retryBind(datagramsResult.cause());
                   return;
                 }
-                datagrams = second.channel();
+                datagrams = datagramsBound.channel();
                 log.write(
                     "fleet-joins fleet="
                         + fleet.name()
@@ -178,22 +178,22 @@
         });
   }
 
-  private void again(Throwable why) {
-    if (!complained) {
-      complained = true;
+  private void retryBind(Throwable cause) {
+    if (!bindFailureLogged) {
+      bindFailureLogged = true;
       log.write(
           "fleet-waits listen="
               + Addresses.text(fleet.listen())
               + " what=\""
-              + why.getMessage()
+              + cause.getMessage()
               + "\"");
     }
-    timers.schedule(timers.now() + BIND_AGAIN, this::start);
+    scheduler.schedule(scheduler.now() + BIND_RETRY_MICROS, this::start);
   }
 
   /**
-   * Withdraws, so that others need not find out; it answers on until {@link #close}. On the event
-   * loop only.
+   * Announces that this server leaves the fleet, so that the others need not detect it. Messages
+   * are answered until {@link #close}. On the event loop only.
    */
   public void leave() {
     if (!leaving && datagrams != null) {
@@ -202,7 +202,7 @@
     leaving = true;
   }
 
-  /** Ends it. On the event loop only. */
+  /** Closes all channels. On the event loop only. */
   public void close() {
     leaving = true;
     if (datagrams != null) {
@@ -213,89 +213,87 @@
   }
 
   /**
-   * What it holds of all members.
+   * This server's view of the members.
    *
-   * @return the view, with the latest changes
+   * @return the current view
    */
   public MembershipView view() {
     return membership.view();
   }
 
   /**
-   * The view as operators are told it.
+   * The view for operators.
    *
-   * @return names with values, for JSON
+   * @return values by name, to be written as JSON
    */
   public Map<String, Object> status() {
     MembershipView view = view();
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("fleet", fleet.name());
-    all.put("self", name);
-    all.put("state", datagrams == null ? "waiting" : view.isolated() ? "alone" : "connected");
-    all.put("version", view.version());
-    all.put(
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("fleet", fleet.name());
+    fields.put("self", name);
+    fields.put("state", datagrams == null ? "waiting" : view.isolated() ? "alone" : "connected");
+    fields.put("version", view.version());
+    fields.put(
         "members",
         view.members().values().stream()
-            .map(one -> told(one, view.flapping().contains(one.name())))
+            .map(member -> memberStatus(member, view.flapping().contains(member.name())))
             .toList());
-    return all;
+    return fields;
   }
 
-  private static Map<String, Object> told(MemberRecord one, boolean flaps) {
-    Map<String, Object> all = new LinkedHashMap<>();
-    all.put("name", one.name());
-    all.put("state", one.state().name().toLowerCase(Locale.ROOT));
-    all.put("address", one.address());
-    all.put("zone", one.zone());
-    all.put("start", Long.toHexString(one.instanceId()));
-    all.put("incarnation", one.incarnation());
-    all.put("by", one.reportedBy());
-    all.put("flapping", flaps);
-    return all;
+  private static Map<String, Object> memberStatus(MemberRecord member, boolean flapping) {
+    Map<String, Object> fields = new LinkedHashMap<>();
+    fields.put("name", member.name());
+    fields.put("state", member.state().name().toLowerCase(Locale.ROOT));
+    fields.put("address", member.address());
+    fields.put("zone", member.zone());
+    fields.put("start", Long.toHexString(member.instanceId()));
+    fields.put("incarnation", member.incarnation());
+    fields.put("by", member.reportedBy());
+    fields.put("flapping", flapping);
+    return fields;
   }
 
-  // what the core asks for
-
   @Override
   public void sendDatagram(String address, MembershipMessage message) {
     byte[] bytes = MembershipMessageCodec.encode(message);
-    InetSocketAddress to = address(address);
-    if (to != null) {
+    InetSocketAddress receiver = parseAddress(address);
+    if (receiver != null) {
       counters.add("peer-datagrams-out");
       counters.add("peer-bytes-out", bytes.length);
       datagrams.writeAndFlush(
-          new DatagramPacket(Unpooled.wrappedBuffer(bytes), to), datagrams.voidPromise());
+          new DatagramPacket(Unpooled.wrappedBuffer(bytes), receiver), datagrams.voidPromise());
     }
   }
 
   @Override
   public void sendStream(String address, MembershipMessage message) {
     byte[] bytes = MembershipMessageCodec.encode(message);
-    InetSocketAddress to = address(address);
-    if (to == null) {
+    InetSocketAddress receiver = parseAddress(address);
+    if (receiver == null) {
       return;
-    } else if (streams.size() >= MOST_STREAMS) {
+    } else if (streams.size() >= MAX_OPEN_STREAMS) {
       counters.add("peer-streams-over-bound");
       return;
     }
     counters.add("peer-streams-out");
-    counters.add("peer-bytes-out", bytes.length + LENGTH);
-    ChannelFuture tried =
+    counters.add("peer-bytes-out", bytes.length + LENGTH_PREFIX_BYTES);
+    ChannelFuture connecting =
         new Bootstrap()
             .group(loop)
             .channelFactory(RetryingSocketChannel::new)
-            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
+            .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
             .handler(new ChannelInboundHandlerAdapter())
-            .connect(to, new InetSocketAddress(fleet.listen().getAddress(), 0));
-    kept(tried.channel());
-    tried.addListener(
-        done -> {
-          if (done.isSuccess()) {
-            tried
+            .connect(receiver, new InetSocketAddress(fleet.listen().getAddress(), 0));
+    trackStream(connecting.channel());
+    connecting.addListener(
+        result -> {
+          if (result.isSuccess()) {
+            connecting
                 .channel()
                 .writeAndFlush(
                     Unpooled.wrappedBuffer(
-                        Unpooled.buffer(LENGTH).writeInt(bytes.length),
+                        Unpooled.buffer(LENGTH_PREFIX_BYTES).writeInt(bytes.length),
                         Unpooled.wrappedBuffer(bytes)))
                 .addListener(ChannelFutureListener.CLOSE);
           } else {
@@ -304,53 +302,51 @@
         });
   }
 
-  private void kept(Channel one) {
-    streams.add(one);
-    one.closeFuture().addListener(closed -> streams.remove(one));
-    timers.schedule(timers.now() + STREAM_PATIENCE, one::close);
+  private void trackStream(Channel stream) {
+    streams.add(stream);
+    stream.closeFuture().addListener(closed -> streams.remove(stream));
+    scheduler.schedule(scheduler.now() + STREAM_TIMEOUT_MICROS, stream::close);
   }
 
-  private InetSocketAddress address(String text) {
+  private InetSocketAddress parseAddress(String text) {
     try {
       return Addresses.read(text, "address");
-    } catch (InvalidInputException bad) {
+    } catch (InvalidInputException invalid) {
       counters.add("peer-bad-address");
       return null;
     }
   }
 
   @Override
-  public void onEvent(MembershipEvent change) {
-    MemberRecord of = change.record();
-    counters.add("member-" + change.type().name().toLowerCase(Locale.ROOT));
+  public void onEvent(MembershipEvent event) {
+    MemberRecord member = event.record();
+    counters.add("member-" + event.type().name().toLowerCase(Locale.ROOT));
     log.write(
         "member what="
-            + change.type().name().toLowerCase(Locale.ROOT)
+            + event.type().name().toLowerCase(Locale.ROOT)
             + " name="
-            + of.name()
+            + member.name()
             + " address="
-            + of.address()
+            + member.address()
             + " zone="
-            + of.zone()
+            + member.zone()
             + " start="
-            + Long.toHexString(of.instanceId())
+            + Long.toHexString(member.instanceId())
             + " incarnation="
-            + of.incarnation()
+            + member.incarnation()
             + " by="
-            + of.reportedBy()
+            + member.reportedBy()
             + " version="
-            + change.version());
+            + event.version());
   }
 
-  // what comes
-
-  private void received(byte[] bytes) {
+  private void receive(byte[] bytes) {
     counters.add("peer-bytes-in", bytes.length);
     MembershipMessage message;
     try {
       message = MembershipMessageCodec.decode(bytes);
-    } catch (MembershipMessageCodec.Bad bad) {
-      counters.add("peer-dropped-" + bad.getMessage());
+    } catch (MembershipMessageCodec.DecodeException invalid) {
+      counters.add("peer-dropped-" + invalid.getMessage());
       return;
     }
     if (!message.cluster().equals(fleet.name())) {
@@ -359,67 +355,67 @@
     }
     try {
       membership.receive(message);
-    } catch (RuntimeException broken) {
+    } catch (RuntimeException fault) {
       counters.add("faults");
       log.write(
           "fault side=peer what=\""
-              + broken
+              + fault
               + "\""
-              + (broken.getStackTrace().length > 0 ? " at=" + broken.getStackTrace()[0] : ""));
+              + (fault.getStackTrace().length > 0 ? " at=" + fault.getStackTrace()[0] : ""));
     }
   }
 
-  private final class Datagrams extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class DatagramReceiver extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
       counters.add("peer-datagrams-in");
       byte[] bytes = new byte[packet.content().readableBytes()];
       packet.content().readBytes(bytes);
-      received(bytes);
+      receive(bytes);
     }
 
+    /** Counts receivers that the kernel reports as unreachable; probes detect them as well. */
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable refused) {
-      counters.add(
-          "peer-unreachable"); // the kernel's word that nobody is there: silence says it as well
+    public void exceptionCaught(ChannelHandlerContext context, Throwable unreachable) {
+      counters.add("peer-unreachable");
     }
   }
 
-  /** A stream that another opened: its length, and the message. */
-  private final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
-    private final ByteBuf gathered = Unpooled.buffer();
+  /** Reads one message, preceded by its length, from a stream that a peer opened. */
+  private final class StreamReceiver extends SimpleChannelInboundHandler<ByteBuf> {
+    private final ByteBuf received = Unpooled.buffer();
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      if (streams.size() >= MOST_STREAMS) {
+      if (streams.size() >= MAX_OPEN_STREAMS) {
         counters.add("peer-streams-over-bound");
         context.close();
       } else {
         counters.add("peer-streams-in");
-        kept(context.channel());
+        trackStream(context.channel());
       }
     }
 
     @Override
-    protected void channelRead0(ChannelHandlerContext context, ByteBuf some) {
-      gathered.writeBytes(some);
-      if (gathered.readableBytes() < LENGTH) {
+    protected void channelRead0(ChannelHandlerContext context, ByteBuf chunk) {
+      received.writeBytes(chunk);
+      if (received.readableBytes() < LENGTH_PREFIX_BYTES) {
         return;
       }
-      int length = gathered.getInt(gathered.readerIndex());
-      if (length < MembershipMessageCodec.HEAD || length > MOST_STREAM) {
+      int length = received.getInt(received.readerIndex());
+      if (length < MembershipMessageCodec.HEADER_BYTES || length > MAX_STREAM_MESSAGE_BYTES) {
         counters.add("peer-dropped-malformed");
         context.close();
-      } else if (gathered.readableBytes() >= LENGTH + length) {
+      } else if (received.readableBytes() >= LENGTH_PREFIX_BYTES + length) {
         byte[] bytes = new byte[length];
-        gathered.skipBytes(LENGTH).readBytes(bytes);
+        received.skipBytes(LENGTH_PREFIX_BYTES).readBytes(bytes);
         context.close();
-        received(bytes);
+        receive(bytes);
       }
     }
 
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable broken) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       context.close();
     }
   }
--- a/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
+++ b/src/test/java/mothwing/peer/MembershipMessageCodecTest.java
@@ -20,103 +20,109 @@
 import org.msgpack.core.MessageBufferPacker;
 import org.msgpack.core.MessagePack;
 
-/** Messages as bytes, whole, damaged and of another version. */
+/** Encoding and decoding of intact, damaged and newer messages. */
 class MembershipMessageCodecTest {
-  private static MemberRecord claim(Random random) {
-    int long31 = random.nextInt(31) + 1;
+  private static MemberRecord randomRecord(Random random) {
+    int nameLength = random.nextInt(31) + 1;
     return new MemberRecord(
-        "n".repeat(long31),
+        "n".repeat(nameLength),
         random.nextLong() >>> random.nextInt(64) & Long.MAX_VALUE,
         "127.0.0.1:" + random.nextInt(65_536),
         "z".repeat(random.nextInt(31) + 1),
         random.nextLong() >>> (1 + random.nextInt(62)),
         MemberState.values()[random.nextInt(MemberState.values().length)],
-        "b".repeat(long31));
+        "b".repeat(nameLength));
   }
 
-  private static MembershipMessage message(long seed) {
+  private static MembershipMessage randomMessage(long seed) {
     Random random = new Random(seed);
-    List<MemberRecord> claims = new ArrayList<>();
+    List<MemberRecord> records = new ArrayList<>();
     for (int i = random.nextInt(20); i > 0; i--) {
-      claims.add(claim(random));
+      records.add(randomRecord(random));
     }
     return new MembershipMessage(
         "cairo",
         MembershipMessage.Kind.values()[random.nextInt(MembershipMessage.Kind.values().length)],
         random.nextLong() >>> 1,
         random.nextBoolean() ? "" : "s1",
-        claim(random),
-        claims);
+        randomRecord(random),
+        records);
   }
 
-  /** Guards against a datagram that is larger than the core took it for. */
+  /** Guards against a datagram that is larger than the bound by which gossip is added to it. */
   @Property(seed = "1764630001", tries = 500)
-  void comesBackAsItWasAndIsNoLargerThanSaid(@ForAll long seed) throws IOException {
-    MembershipMessage message = message(seed);
-    byte[] bytes = MembershipMessageCodec.encode(message);
-    assertEquals(message, MembershipMessageCodec.decode(bytes));
+  void decodesEncodedMessageThatStaysWithinItsSizeBound(@ForAll long seed) throws IOException {
+    MembershipMessage message = randomMessage(seed);
+    byte[] encoded = MembershipMessageCodec.encode(message);
+    assertEquals(message, MembershipMessageCodec.decode(encoded));
     assertTrue(
-        bytes.length <= message.maxEncodedBytes(),
-        bytes.length + " bytes, said " + message.maxEncodedBytes());
+        encoded.length <= message.maxEncodedBytes(),
+        encoded.length + " bytes, bound " + message.maxEncodedBytes());
   }
 
   @Property(seed = "1764630002", tries = 500)
-  void whatIsDamagedOrCutIsNoMessage(@ForAll long seed, @ForAll long other) throws IOException {
-    byte[] bytes = MembershipMessageCodec.encode(message(seed));
-    Random random = new Random(other);
-    byte[] flipped = bytes.clone();
-    flipped[random.nextInt(bytes.length)] ^= (byte) (1 << random.nextInt(8));
-    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.decode(flipped));
+  void rejectsDamagedAndTruncatedMessages(@ForAll long seed, @ForAll long damageSeed)
+      throws IOException {
+    byte[] encoded = MembershipMessageCodec.encode(randomMessage(seed));
+    Random random = new Random(damageSeed);
+    byte[] flipped = encoded.clone();
+    flipped[random.nextInt(encoded.length)] ^= (byte) (1 << random.nextInt(8));
     assertThrows(
-        MembershipMessageCodec.Bad.class,
-        () -> MembershipMessageCodec.decode(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
+        MembershipMessageCodec.DecodeException.class, () -> MembershipMessageCodec.decode(flipped));
+    assertThrows(
+        MembershipMessageCodec.DecodeException.class,
+        () ->
+            MembershipMessageCodec.decode(Arrays.copyOf(encoded, random.nextInt(encoded.length))));
     byte[] noise = new byte[random.nextInt(200)];
     random.nextBytes(noise);
-    assertThrows(MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.decode(noise));
     assertThrows(
-        MembershipMessageCodec.Bad.class, () -> MembershipMessageCodec.decode(sealed(noise, 1)));
+        MembershipMessageCodec.DecodeException.class, () -> MembershipMessageCodec.decode(noise));
+    assertThrows(
+        MembershipMessageCodec.DecodeException.class,
+        () -> MembershipMessageCodec.decode(withHeader(noise, 1)));
   }
 
-  /** Bytes as a map that is whole by its checksum. */
-  private static byte[] sealed(byte[] map, int version) {
-    byte[] all = new byte[MembershipMessageCodec.HEAD + map.length];
-    all[0] = 'm';
-    all[1] = 'P';
-    all[2] = (byte) version;
-    System.arraycopy(map, 0, all, MembershipMessageCodec.HEAD, map.length);
+  /** Puts a header with a valid checksum before a map. */
+  private static byte[] withHeader(byte[] map, int version) {
+    byte[] encoded = new byte[MembershipMessageCodec.HEADER_BYTES + map.length];
+    encoded[0] = 'm';
+    encoded[1] = 'P';
+    encoded[2] = (byte) version;
+    System.arraycopy(map, 0, encoded, MembershipMessageCodec.HEADER_BYTES, map.length);
     CRC32C crc = new CRC32C();
-    crc.update(all, 0, 3);
+    crc.update(encoded, 0, 3);
     crc.update(map, 0, map.length);
     for (int i = 0; i < 4; i++) {
-      all[3 + i] = (byte) (crc.getValue() >> ((3 - i) * 8));
+      encoded[3 + i] = (byte) (crc.getValue() >> ((3 - i) * 8));
     }
-    return all;
+    return encoded;
   }
 
-  /** A later program may say more: what is not known is passed over. */
+  /** Guards against a release that rejects messages with fields added by a later one. */
   @Example
-  void whatIsNotKnownIsPassedOver() throws IOException {
-    byte[] bytes = MembershipMessageCodec.encode(message(7));
-    byte[] map = Arrays.copyOfRange(bytes, MembershipMessageCodec.HEAD, bytes.length);
-    assertArrayEquals(bytes, sealed(map, 1));
-    try (MessageBufferPacker more = MessagePack.newDefaultBufferPacker()) {
-      more.packInt(99)
+  void skipsUnknownFieldsAndRejectsNewerVersion() throws IOException {
+    byte[] encoded = MembershipMessageCodec.encode(randomMessage(7));
+    byte[] map = Arrays.copyOfRange(encoded, MembershipMessageCodec.HEADER_BYTES, encoded.length);
+    assertArrayEquals(encoded, withHeader(map, 1));
+    try (MessageBufferPacker unknownField = MessagePack.newDefaultBufferPacker()) {
+      unknownField
+          .packInt(99)
           .packMapHeader(1)
           .packString("later")
           .packArrayHeader(2)
           .packNil()
           .packDouble(1.5);
-      byte[] tail = more.toByteArray();
-      byte[] longer = Arrays.copyOf(map, map.length + tail.length);
-      System.arraycopy(tail, 0, longer, map.length, tail.length);
-      longer[0]++; // one more pair
-      assertEquals(message(7), MembershipMessageCodec.decode(sealed(longer, 1)));
+      byte[] suffix = unknownField.toByteArray();
+      byte[] extended = Arrays.copyOf(map, map.length + suffix.length);
+      System.arraycopy(suffix, 0, extended, map.length, suffix.length);
+      extended[0]++; // the map header counts one more pair
+      assertEquals(randomMessage(7), MembershipMessageCodec.decode(withHeader(extended, 1)));
     }
     assertEquals(
         "newer-version",
         assertThrows(
-                MembershipMessageCodec.Bad.class,
-                () -> MembershipMessageCodec.decode(sealed(map, 2)))
+                MembershipMessageCodec.DecodeException.class,
+                () -> MembershipMessageCodec.decode(withHeader(map, 2)))
             .getMessage());
   }
 }
