--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -68,7 +68,7 @@
     }
 
     @Override
-    protected void rejected(String code) {
+    protected void countInvalid(String code) {
       count("rejected-" + code);
     }
 
@@ -81,7 +81,7 @@
           new StringBuilder("Status: ")
               .append(status)
               .append(' ')
-              .append(Headers.phrase(status))
+              .append(Headers.reasonPhrase(status))
               .append("\r\n");
       headers.forEach(
           header -> head.append(header.name()).append(": ").append(header.value()).append("\r\n"));
@@ -148,7 +148,7 @@
   }
 
   @Override
-  protected long halfReadSince() {
+  protected long incompleteRequestSince() {
     long oldest = NEVER;
     for (PendingRequest request : open.values()) {
       oldest = request.complete ? oldest : Math.min(oldest, request.startedAt);
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -101,7 +101,7 @@
         new MemberRecord(
             name,
             random.nextLong() >>> 1,
-            Addresses.text(fleet.advertise()),
+            Addresses.format(fleet.advertise()),
             fleet.zone(),
             0,
             MemberState.ALIVE,
@@ -110,7 +110,7 @@
         new Membership(
             fleet.name(),
             self,
-            fleet.seeds().stream().map(Addresses::text).toList(),
+            fleet.seeds().stream().map(Addresses::format).toList(),
             FailureDetectorSettings.DEFAULTS,
             scheduler,
             random,
@@ -166,9 +166,9 @@
                     "fleet-joins fleet="
                         + fleet.name()
                         + " listen="
-                        + Addresses.text(fleet.listen())
+                        + Addresses.format(fleet.listen())
                         + " advertise="
-                        + Addresses.text(fleet.advertise())
+                        + Addresses.format(fleet.advertise())
                         + " seeds="
                         + fleet.seeds().size()
                         + " zone="
@@ -183,7 +183,7 @@
       bindFailureLogged = true;
       log.write(
           "fleet-waits listen="
-              + Addresses.text(fleet.listen())
+              + Addresses.format(fleet.listen())
               + " what=\""
               + cause.getMessage()
               + "\"");
@@ -310,7 +310,7 @@
 
   private InetSocketAddress parseAddress(String text) {
     try {
-      return Addresses.read(text, "address");
+      return Addresses.parse(text, "address");
     } catch (InvalidInputException invalid) {
       counters.add("peer-bad-address");
       return null;
