--- a/src/main/java/mothwing/override/AntiEntropy.java
+++ b/src/main/java/mothwing/override/AntiEntropy.java
@@ -58,7 +58,7 @@
    *
    * @param self the name of this server
    * @param epoch the number of this start, which has been persisted before
-   * @param table the overrides known here; those on disk have been loaded
+   * @param table the overrides known here; states on disk are loaded before the first tick
    * @param startedAtMicros the time of this start
    * @param recovering whether this server may have missed updates while it was down; ended by
    *     {@link #endRecovery}
--- a/src/main/java/mothwing/override/OverrideLimits.java
+++ b/src/main/java/mothwing/override/OverrideLimits.java
@@ -6,7 +6,7 @@
  * @param maxLive the maximum number of active and unconfirmed overrides
  * @param maxTombstones the number of further entries, for expired and revoked overrides
  * @param maxTextChars the maximum total length of the texts of live overrides, in characters
- * @param maxTtlSeconds the longest lifetime
+ * @param maxTtlSeconds the longest lifetime; tombstones of unknown overrides are kept for it
  * @param maxClockDriftRatio the fraction by which a clock may run fast or slow
  */
 public record OverrideLimits(
--- a/src/main/java/mothwing/override/OverrideTable.java
+++ b/src/main/java/mothwing/override/OverrideTable.java
@@ -18,7 +18,8 @@
     Version version;
     OverrideStatus status;
     TrafficOverride value;
-    long ageMicros; // at measuredAtMicros
+    // The age at measuredAtMicros.
+    long ageMicros;
     long measuredAtMicros;
     long forgetAtMicros;
     // An unconfirmed override stays in effect for no longer than its lifetime after a start.
