--- a/src/main/java/mothwing/membership/AntiEntropyExchange.java
+++ b/src/main/java/mothwing/membership/AntiEntropyExchange.java
@@ -68,8 +68,8 @@
 
   /**
    * Exchanges all records with a member that has returned, because it may lead to the other side of
-   * a partition that has healed. Only a random few of the members do so, each at most once in a
-   * random probe interval, to limit the load on the returned member.
+   * a partition that has healed. Only a random few of the members do so, each at most once per
+   * {@code randomProbeIntervalMicros}, to limit the load on the returned member.
    */
   void exchangeWithReturned(Member member) {
     if (self.now() >= nextReturnExchangeMicros
@@ -90,11 +90,11 @@
 
   /** Responds to a sync request with all records. */
   void respond(MembershipMessage request) {
-    dissemination.stream(
+    dissemination.sendStream(
         Kind.SYNC_RESPONSE, request.sender().address(), request.sequence(), members.records());
   }
 
   private void request(String address) {
-    dissemination.stream(Kind.SYNC_REQUEST, address, self.nextSequence(), members.records());
+    dissemination.sendStream(Kind.SYNC_REQUEST, address, self.nextSequence(), members.records());
   }
 }
--- a/src/main/java/mothwing/membership/Dissemination.java
+++ b/src/main/java/mothwing/membership/Dissemination.java
@@ -37,7 +37,7 @@
     self.host().sendDatagram(address, message(kind, sequence, pingTarget, withGossip));
   }
 
-  /** Sends a datagram that concerns no third member. */
+  /** Sends a datagram without a ping target. */
   void send(Kind kind, String address, long sequence, List<MemberRecord> records) {
     send(kind, address, sequence, "", records);
   }
@@ -47,8 +47,8 @@
     send(Kind.PING, address, self.nextSequence(), records);
   }
 
-  /** Sends a message of any size, without gossip. */
-  void stream(Kind kind, String address, long sequence, List<MemberRecord> records) {
+  /** Sends a message that may exceed a datagram, without gossip. */
+  void sendStream(Kind kind, String address, long sequence, List<MemberRecord> records) {
     self.host().sendStream(address, message(kind, sequence, "", records));
   }
 
@@ -59,8 +59,8 @@
   }
 
   private int maxTransmissions() {
-    int logarithm = Integer.SIZE - Integer.numberOfLeadingZeros(members.presentCount() + 2);
-    return (int) Math.ceil(self.settings().retransmitMultiplier() * logarithm);
+    int binaryDigits = Integer.SIZE - Integer.numberOfLeadingZeros(members.presentCount() + 2);
+    return (int) Math.ceil(self.settings().retransmitMultiplier() * binaryDigits);
   }
 
   /**
--- a/src/main/java/mothwing/membership/FailureDetector.java
+++ b/src/main/java/mothwing/membership/FailureDetector.java
@@ -75,17 +75,18 @@
     }
     requestPings(probe);
     Member target = probe.target();
-    dissemination.stream(Kind.PING, target.address(), probe.sequence(), target.recordToRefute());
+    dissemination.sendStream(
+        Kind.PING, target.address(), probe.sequence(), target.recordToRefute());
     long timeout = self.settings().indirectAckTimeoutMicros() * health.multiplier();
     self.schedule(self.now() + timeout, () -> conclude(probe));
   }
 
   private void requestPings(Probe probe) {
-    int helperCount = self.settings().indirectProbeMembers();
+    int maxHelpers = self.settings().indirectProbeMembers();
     Set<Member> excluded = new HashSet<>(Set.of(probe.target()));
     boolean anyPresent = !ring.members().isEmpty();
     for (int i = 0;
-        i < 2 * helperCount && probe.indirectRequests() < helperCount && anyPresent;
+        i < 2 * maxHelpers && probe.indirectRequests() < maxHelpers && anyPresent;
         i++) {
       Member helper = ring.random();
       if (helper.state() == MemberState.ALIVE && excluded.add(helper)) {
--- a/src/main/java/mothwing/membership/FailureDetectorSettings.java
+++ b/src/main/java/mothwing/membership/FailureDetectorSettings.java
@@ -10,19 +10,22 @@
  * @param indirectAckTimeoutMicros time from the indirect pings to the suspicion
  * @param indirectProbeMembers the number of members that are asked for an indirect ping
  * @param minSuspicionMicros time from suspicion to death with enough independent accusers
- * @param maxSuspicionMicros the same with a single accuser
+ * @param maxSuspicionMicros time from suspicion to death with a single accuser
  * @param suspicionConfirmations the number of further accusers from which the minimum applies
- * @param gossipedSuspicionMultiplier factor of the maximum if this member is not an accuser
- * @param retransmitMultiplier transmissions of a record per binary digit of the member count
+ * @param gossipedSuspicionMultiplier factor of {@code maxSuspicionMicros} that applies while this
+ *     member is not itself an accuser
+ * @param retransmitMultiplier transmissions of a record per binary digit of the member count plus
+ *     one
  * @param maxDatagramBytes the maximum size of a datagram
  * @param tombstoneMicros time for which a removed member is remembered
  * @param antiEntropyIntervalMicros interval between full exchanges; it grows by this for each
  *     hundred members
  * @param isolationTimeoutMicros time without messages of enough members after which this one is
  *     isolated
- * @param massFailureRatio fraction of the members; if more fail within {@code
- *     massFailureHoldMicros}, declarations of death are held back
- * @param massFailureHoldMicros time by which a declaration of death is then delayed
+ * @param massFailureRatio fraction of the members; if more than this, and more than two, are
+ *     suspected or died within {@code massFailureHoldMicros}, declarations of death are held back
+ * @param massFailureHoldMicros the maximum time by which a declaration of death is then delayed;
+ *     also the time for which a death counts as recent
  * @param maxLocalHealthMultiplier the maximum local health score; each step adds one to the factor
  *     of the timeouts
  */
--- a/src/main/java/mothwing/membership/IsolationDetector.java
+++ b/src/main/java/mothwing/membership/IsolationDetector.java
@@ -3,13 +3,15 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Detects that this process receives messages from too few of the members. */
+/**
+ * Detects that this process receives messages from fewer than half of the members that probe it.
+ */
 final class IsolationDetector {
   private final LocalMember self;
   private final MemberTable members;
   private final boolean hasSeeds;
   private final Map<String, Long> lastHeardMicros = new LinkedHashMap<>();
-  private long connectedAtMicros;
+  private long lastConnectedMicros;
   private boolean isolated;
 
   IsolationDetector(LocalMember self, MemberTable members, boolean hasSeeds) {
@@ -19,16 +21,16 @@
   }
 
   void start(long nowMicros) {
-    connectedAtMicros = nowMicros;
+    lastConnectedMicros = nowMicros;
   }
 
-  void heard(String name) {
+  void recordMessageFrom(String name) {
     lastHeardMicros.put(name, self.now());
   }
 
   /** Excludes a pause of this process from the timeout. */
-  void postpone(long spanMicros) {
-    connectedAtMicros += spanMicros;
+  void excludePause(long spanMicros) {
+    lastConnectedMicros += spanMicros;
   }
 
   boolean isIsolated() {
@@ -42,10 +44,10 @@
     int known = Math.max(members.size(), hasSeeds ? 1 : 0);
     int expected = Math.min(2 * self.settings().ringSuccessors(), known);
     if (2 * lastHeardMicros.size() >= expected) {
-      connectedAtMicros = nowMicros;
+      lastConnectedMicros = nowMicros;
     }
     boolean before = isolated;
-    isolated = nowMicros - connectedAtMicros > timeout;
+    isolated = nowMicros - lastConnectedMicros > timeout;
     return isolated != before;
   }
 }
--- a/src/main/java/mothwing/membership/LocalMember.java
+++ b/src/main/java/mothwing/membership/LocalMember.java
@@ -79,7 +79,10 @@
     return viewVersion;
   }
 
-  /** Whether another process has taken over this name: this one sends nothing from then on. */
+  /**
+   * Whether another process has taken over this name: this one no longer takes part, except that a
+   * leave is still announced.
+   */
   boolean isDisplaced() {
     return displaced;
   }
--- a/src/main/java/mothwing/membership/MemberRecord.java
+++ b/src/main/java/mothwing/membership/MemberRecord.java
@@ -8,7 +8,8 @@
  * @param instanceId the random id of its process; a later process of the same name has another
  * @param address the address at which it receives messages
  * @param zone its zone
- * @param incarnation raised only by the member itself, to refute; never decreases
+ * @param incarnation raised only by the member itself: to refute, to leave, or to take over the
+ *     name; never decreases
  * @param state the state that is reported
  * @param reportedBy the name of the member that reports it
  */
@@ -20,7 +21,7 @@
     long incarnation,
     MemberState state,
     String reportedBy) {
-  /** The encoded size of numbers, keys and length prefixes. */
+  /** The maximum encoded size of numbers, keys and length prefixes. */
   private static final int FIXED_BYTES = 36;
 
   /**
@@ -45,7 +46,7 @@
     return new MemberRecord(name, instanceId, address, zone, nextIncarnation, state, reportedBy);
   }
 
-  /** An upper bound of the encoded size. */
+  /** An upper bound of the encoded size in bytes, for ASCII strings. */
   public int maxEncodedBytes() {
     return FIXED_BYTES + name.length() + address.length() + zone.length() + reportedBy.length();
   }
--- a/src/main/java/mothwing/membership/Membership.java
+++ b/src/main/java/mothwing/membership/Membership.java
@@ -15,7 +15,7 @@
  */
 public final class Membership {
   private static final int MEMBERS_PER_SYNC_INTERVAL = 100;
-  private static final int STALL_HEALTH_STEPS = 2;
+  private static final int PAUSE_HEALTH_STEPS = 2;
 
   private final LocalMember self;
   private final FailureDetectorSettings settings;
@@ -104,7 +104,7 @@
 
   private void tick() {
     long now = self.now();
-    compensateForStall(now - tickDueMicros);
+    compensateForPause(now - tickDueMicros);
     tickDueMicros = now + settings.probeIntervalMicros();
     self.schedule(tickDueMicros, this::tick);
     if (self.isDisplaced()) {
@@ -126,17 +126,17 @@
   }
 
   /**
-   * Extends timeouts after a stall of this process: acknowledgements that it missed are no evidence
-   * against other members.
+   * After a pause of this process, drops its probes, extends its timeouts and degrades its local
+   * health: acknowledgements that it missed are no evidence against other members.
    */
-  private void compensateForStall(long lateMicros) {
+  private void compensateForPause(long lateMicros) {
     if (lateMicros <= settings.probeIntervalMicros()) {
       return;
     }
-    health.degrade(STALL_HEALTH_STEPS);
+    health.degrade(PAUSE_HEALTH_STEPS);
     detector.abandonOwnProbes(members);
     suspicions.postponeAll(lateMicros);
-    isolation.postpone(lateMicros);
+    isolation.excludePause(lateMicros);
   }
 
   private void expire(long now) {
@@ -176,7 +176,7 @@
     }
     merge(sender);
     message.records().forEach(this::merge);
-    isolation.heard(sender.name());
+    isolation.recordMessageFrom(sender.name());
     dispatch(message);
   }
 
--- a/src/main/java/mothwing/membership/MembershipEvent.java
+++ b/src/main/java/mothwing/membership/MembershipEvent.java
@@ -28,7 +28,10 @@
     ISOLATED,
     /** This process receives messages from enough members again. */
     CONNECTED,
-    /** Another process has taken over this one's name: this one sends nothing from now on. */
+    /**
+     * Another process has taken over this one's name: this one no longer takes part, except that a
+     * leave is still announced.
+     */
     DISPLACED
   }
 }
--- a/src/main/java/mothwing/membership/MembershipHost.java
+++ b/src/main/java/mothwing/membership/MembershipHost.java
@@ -11,7 +11,7 @@
   void sendDatagram(String address, MembershipMessage message);
 
   /**
-   * Sends a message of any size on a stream of its own; failures are not reported.
+   * Sends a message that may exceed a datagram, on a stream of its own; failures are not reported.
    *
    * @param address the address of the receiver
    * @param message the message
@@ -19,9 +19,9 @@
   void sendStream(String address, MembershipMessage message);
 
   /**
-   * Called after each change of the view.
+   * Called for each event of the view.
    *
-   * @param event the change
+   * @param event the event
    */
   void onEvent(MembershipEvent event);
 }
--- a/src/main/java/mothwing/membership/MembershipMessage.java
+++ b/src/main/java/mothwing/membership/MembershipMessage.java
@@ -11,7 +11,7 @@
  * @param sequence matches a response to its request; assigned by the requester
  * @param pingTarget the member that a {@link Kind#PING_REQUEST} concerns, else empty
  * @param sender the sender's own record
- * @param records records of other members
+ * @param records further records: gossip, or all that the sender knows for a sync
  */
 public record MembershipMessage(
     String cluster,
@@ -20,7 +20,7 @@
     String pingTarget,
     MemberRecord sender,
     List<MemberRecord> records) {
-  /** The encoded size of frame, version, kind and numbers. */
+  /** The maximum encoded size of header, keys, numbers and length prefixes. */
   private static final int FIXED_BYTES = 32;
 
   /** The purpose of a message. */
@@ -44,7 +44,7 @@
     records = List.copyOf(records);
   }
 
-  /** An upper bound of the encoded size. */
+  /** An upper bound of the encoded size in bytes, for ASCII strings. */
   public int maxEncodedBytes() {
     return FIXED_BYTES
         + cluster.length()
--- a/src/main/java/mothwing/membership/NameConflicts.java
+++ b/src/main/java/mothwing/membership/NameConflicts.java
@@ -27,7 +27,7 @@
     this.joined = joined;
   }
 
-  /** Handles a record of this name, which may be outdated or gossiped. */
+  /** Handles a record of this name, which may be outdated, or be reported by another member. */
   void onRecord(MemberRecord record) {
     MemberRecord own = self.record();
     if (record.instanceId() == own.instanceId()) {
--- a/src/main/java/mothwing/membership/ProbeRing.java
+++ b/src/main/java/mothwing/membership/ProbeRing.java
@@ -30,7 +30,7 @@
     random = self.random();
   }
 
-  /** Discards the order after a member has become present or was removed. */
+  /** Discards the order after a member became present or was removed. */
   void invalidate() {
     ring = List.of();
   }
--- a/src/main/java/mothwing/membership/SuspicionTable.java
+++ b/src/main/java/mothwing/membership/SuspicionTable.java
@@ -7,17 +7,17 @@
 /**
  * Tracks suspicions and their timeouts: a suspect that does not refute in time is declared dead.
  * While many members are suspected at once, the fault is likely near this process, and declarations
- * of death are held back.
+ * of death are held back for up to {@code massFailureHoldMicros}.
  */
 final class SuspicionTable {
-  private static final int MIN_MASS_FAILURE = 2;
+  private static final int MAX_INDEPENDENT_FAILURES = 2;
 
   private final LocalMember self;
   private final MemberTable members;
   private final Dissemination dissemination;
   private final LocalHealth health;
   private final Consumer<MemberRecord> declareDead;
-  private final List<Long> deathsMicros = new ArrayList<>();
+  private final List<Long> recentDeathTimesMicros = new ArrayList<>();
 
   SuspicionTable(
       LocalMember self,
@@ -35,8 +35,8 @@
   /** Suspects a member that this process cannot reach. */
   void suspect(Member member) {
     long now = self.now();
-    boolean first = member.state() == MemberState.ALIVE;
-    if (first) {
+    boolean newlySuspected = member.state() == MemberState.ALIVE;
+    if (newlySuspected) {
       member.setRecord(member.record().withState(MemberState.SUSPECT, self.name()));
       member.beginSuspicion(now);
       self.publish(MembershipEvent.Type.SUSPECTED, member.record());
@@ -46,7 +46,7 @@
     }
     dissemination.enqueue(member.record().withState(MemberState.SUSPECT, self.name()));
     dissemination.sendUnawaitedPing(member.address(), List.of(member.record()));
-    if (!first) {
+    if (!newlySuspected) {
       member.suspicion().startNoEarlierThan(now - self.settings().minSuspicionMicros());
     }
     scheduleTimeout(member);
@@ -61,15 +61,15 @@
   }
 
   /**
-   * Counts a further accuser of the suspected incarnation, unless the timeout is at its minimum
+   * Counts a further accuser of the suspected incarnation, unless enough accusers have been counted
    * already.
    */
   void confirm(Member member, MemberRecord record) {
-    boolean same =
+    boolean sameSuspicion =
         record.state() == MemberState.SUSPECT
             && member.state() == MemberState.SUSPECT
             && record.incarnation() == member.record().incarnation();
-    if (same
+    if (sameSuspicion
         && member.suspicion().accuserCount() <= self.settings().suspicionConfirmations()
         && member.suspicion().addAccuser(record.reportedBy())) {
       dissemination.enqueue(record);
@@ -112,16 +112,18 @@
   }
 
   private boolean isMassFailure(Member member, long now) {
-    long hold = self.settings().massFailureHoldMicros();
-    deathsMicros.removeIf(at -> at < now - hold);
-    int recentDeaths = deathsMicros.size();
+    long holdMicros = self.settings().massFailureHoldMicros();
+    recentDeathTimesMicros.removeIf(at -> at < now - holdMicros);
+    int recentDeaths = recentDeathTimesMicros.size();
     int failing = members.inState(MemberState.SUSPECT).size() + recentDeaths;
     int total = members.presentCount() + 1 + recentDeaths;
-    boolean many = failing > Math.max(MIN_MASS_FAILURE, self.settings().massFailureRatio() * total);
-    if (many && now - member.suspicion().startedAtMicros() <= timeoutMicros(member) + hold) {
+    boolean aboveThreshold =
+        failing > Math.max(MAX_INDEPENDENT_FAILURES, self.settings().massFailureRatio() * total);
+    if (aboveThreshold
+        && now - member.suspicion().startedAtMicros() <= timeoutMicros(member) + holdMicros) {
       return true;
     }
-    deathsMicros.add(now);
+    recentDeathTimesMicros.add(now);
     return false;
   }
 }
--- a/src/main/java/mothwing/override/AntiEntropy.java
+++ b/src/main/java/mothwing/override/AntiEntropy.java
@@ -14,17 +14,21 @@
  * Replicates overrides between servers: new ones are announced at once, differences are found by
  * digests, and missing ones are requested. Does no I/O: messages and the clock are passed in, and
  * {@link OverrideHost} carries out the effects. Messages may be lost, delayed, duplicated,
- * reordered, or sent before a restart of their sender. Each is only a hint, except a response to a
- * request that is open here. Times are microseconds of the local monotonic clock.
+ * reordered, or sent before a restart of their sender. Each is only a hint, except a response to an
+ * open request, and an acknowledgement of the current state. Times are microseconds of the local
+ * monotonic clock.
  */
 public final class AntiEntropy {
   /** Mean interval between digests; each goes to one random peer. */
   private static final long DIGEST_INTERVAL_MICROS = 1_000_000;
 
-  /** Beyond this the oldest request is dropped; the next digest leads to a new one. */
+  /**
+   * The limit of open requests; beyond it the oldest is dropped, and is sent again after the next
+   * digest.
+   */
   private static final int MAX_OPEN_REQUESTS = 256;
 
-  /** Keeps a request within one frame. */
+  /** Keeps a request within one frame; inventories are not split. */
   private static final int MAX_IDS_PER_REQUEST = 64;
 
   /** Digest intervals in which an update is announced again to peers that have not persisted it. */
@@ -33,11 +37,12 @@
   private record OpenRequest(String peer, long sentAtMicros) {}
 
   /**
-   * The servers that have persisted an update made here, and the rounds in which it was repeated.
+   * The servers that have persisted an update made here, and the number of rounds in which it was
+   * announced again.
    */
   private static final class UpdateProgress {
     final Set<String> persistedOn = new LinkedHashSet<>();
-    int announcementRounds;
+    int repeatedRounds;
   }
 
   private final String self;
@@ -54,10 +59,10 @@
   private boolean recovering;
 
   /**
-   * Creates the replication of one start of a server.
+   * Creates the replication for the time from one start of a server to the next.
    *
    * @param self the name of this server
-   * @param epoch the number of this start, which has been persisted before
+   * @param epoch the number of this start; must be on disk before this object is created
    * @param table the overrides known here; states on disk are loaded before the first tick
    * @param startedAtMicros the time of this start
    * @param recovering whether this server may have missed updates while it was down; ended by
@@ -171,7 +176,7 @@
    * @param id the id of the override that was created or revoked
    * @return the names of the servers; empty once the update is no longer announced
    */
-  public Set<String> durableReplicas(String id) {
+  public Set<String> persistedReplicas(String id) {
     UpdateProgress progress = localUpdates.get(id);
     return progress == null ? Set.of() : Set.copyOf(progress.persistedOn);
   }
@@ -217,9 +222,7 @@
     if (recovering) {
       host.send(peer, new OverrideMessage.Inventory(inventory(nowMicros, true), false));
     }
-    localUpdates
-        .values()
-        .removeIf(progress -> ++progress.announcementRounds > MAX_ANNOUNCEMENT_ROUNDS);
+    localUpdates.values().removeIf(progress -> ++progress.repeatedRounds > MAX_ANNOUNCEMENT_ROUNDS);
     localUpdates.forEach(
         (id, progress) -> {
           ReplicaState state = table.replicaState(nowMicros, id);
@@ -319,7 +322,8 @@
       int end = Math.min(missing.size(), start + MAX_IDS_PER_REQUEST);
       request(nowMicros, from, missing.subList(start, end));
     }
-    if (!inventory.partial()) { // its sender lacks all that it does not list
+    if (!inventory.partial()) {
+      // The sender lacks, or has not confirmed, the overrides that it does not list.
       List<OverrideMessage.InventoryEntry> unlisted =
           inventory(nowMicros, false).stream()
               .filter(entry -> !listed.contains(entry.id()))
--- a/src/main/java/mothwing/override/EffectiveOverrides.java
+++ b/src/main/java/mothwing/override/EffectiveOverrides.java
@@ -11,16 +11,16 @@
  * The overrides that apply at one server, indexed by class and tenant so that a lookup costs the
  * same for one override as for a thousand. A snapshot: it is rebuilt whenever the overrides in
  * effect change, and is valid only until a given time, so that a process that was paused rebuilds
- * it before its next decision.
+ * it before its next decision. Callers check {@link #isValid} before each decision.
  */
 public final class EffectiveOverrides {
   /** No overrides, valid forever. */
   public static final EffectiveOverrides NONE =
       new EffectiveOverrides(List.of(), "", "", "", Long.MAX_VALUE);
 
-  private record Subject(String requestClass, String tenant) {}
+  private record TrafficKey(String requestClass, String tenant) {}
 
-  private final Map<TrafficOverride.Action, Map<Subject, TrafficOverride>> bySubject =
+  private final Map<TrafficOverride.Action, Map<TrafficKey, TrafficOverride>> byTrafficKey =
       new EnumMap<>(TrafficOverride.Action.class);
   private final Set<String> disabledFeatures = new LinkedHashSet<>();
   private final TrafficOverride drain;
@@ -52,9 +52,10 @@
         case DRAIN -> firstDrain = firstDrain == null ? candidate : firstDrain;
         case WITHOUT -> disabledFeatures.add(candidate.target());
         default ->
-            bySubject
+            byTrafficKey
                 .computeIfAbsent(candidate.action(), unused -> new HashMap<>())
-                .putIfAbsent(new Subject(candidate.requestClass(), candidate.tenant()), candidate);
+                .putIfAbsent(
+                    new TrafficKey(candidate.requestClass(), candidate.tenant()), candidate);
       }
     }
     drain = firstDrain;
@@ -79,15 +80,15 @@
    * @return the matching override of the highest precedence, or null
    */
   public TrafficOverride find(TrafficOverride.Action action, String requestClass, String tenant) {
-    Map<Subject, TrafficOverride> overrides = bySubject.get(action);
+    Map<TrafficKey, TrafficOverride> overrides = byTrafficKey.get(action);
     if (overrides == null) {
       return null;
     }
     TrafficOverride best =
         preferred(
-            overrides.get(new Subject(requestClass, tenant)),
-            overrides.get(new Subject("", tenant)));
-    return preferred(best, overrides.get(new Subject(requestClass, "")));
+            overrides.get(new TrafficKey(requestClass, tenant)),
+            overrides.get(new TrafficKey("", tenant)));
+    return preferred(best, overrides.get(new TrafficKey(requestClass, "")));
   }
 
   private static TrafficOverride preferred(TrafficOverride first, TrafficOverride second) {
@@ -98,16 +99,18 @@
   }
 
   /**
-   * Finds the override that rejects a request. All attempts with the same draw get the same result.
+   * Finds the override that rejects a request. All attempts with the same number get the same
+   * result.
    *
    * @param requestClass the class of the request
    * @param tenant the tenant of the request
-   * @param draw a number from 0 to below 1 that belongs to the request
+   * @param requestFraction a number in [0, 1) derived from the request, the same for all its
+   *     attempts
    * @return the override that rejects it, or null
    */
-  public TrafficOverride refusalFor(String requestClass, String tenant, double draw) {
+  public TrafficOverride refusalFor(String requestClass, String tenant, double requestFraction) {
     TrafficOverride refusal = find(TrafficOverride.Action.REFUSE, requestClass, tenant);
-    return refusal != null && draw < refusal.share() ? refusal : null;
+    return refusal != null && requestFraction < refusal.share() ? refusal : null;
   }
 
   /**
--- a/src/main/java/mothwing/override/OverrideLimits.java
+++ b/src/main/java/mothwing/override/OverrideLimits.java
@@ -4,9 +4,11 @@
  * Limits of one {@link OverrideTable}.
  *
  * @param maxLive the maximum number of active and unconfirmed overrides
- * @param maxTombstones the number of further entries, for expired and revoked overrides
+ * @param maxTombstones the number of entries beyond {@code maxLive}, for expired and revoked
+ *     overrides; these may also use the room that live overrides leave
  * @param maxTextChars the maximum total length of the texts of live overrides, in characters
- * @param maxTtlSeconds the longest lifetime; tombstones of unknown overrides are kept for it
+ * @param maxTtlSeconds the longest lifetime that is assumed for an unknown override: its tombstone
+ *     is kept for it; not enforced on creation
  * @param maxClockDriftRatio the fraction by which a clock may run fast or slow
  */
 public record OverrideLimits(
--- a/src/main/java/mothwing/override/OverrideMessage.java
+++ b/src/main/java/mothwing/override/OverrideMessage.java
@@ -20,7 +20,7 @@
    * are left out: they would be out of date by the unknown delay of the message.
    *
    * @param entries an entry for each override
-   * @param partial whether the sender has more overrides than these
+   * @param partial whether the sender may have more overrides than these
    */
   record Inventory(List<InventoryEntry> entries, boolean partial) implements OverrideMessage {}
 
@@ -36,7 +36,7 @@
   /**
    * A request for the states of overrides.
    *
-   * @param number a random number that tells it apart from requests before a restart
+   * @param number a random number that identifies the request, also across restarts
    * @param ids the ids of the overrides
    */
   record Request(long number, List<String> ids) implements OverrideMessage {}
--- a/src/main/java/mothwing/override/OverrideTable.java
+++ b/src/main/java/mothwing/override/OverrideTable.java
@@ -22,7 +22,8 @@
     long ageMicros;
     long measuredAtMicros;
     long forgetAtMicros;
-    // An unconfirmed override stays in effect for no longer than its lifetime after a start.
+    // An unconfirmed override stays in effect for no longer than its lifetime after the
+    // start of this server.
     long unconfirmedUntilMicros;
 
     Entry(String id) {
@@ -38,7 +39,7 @@
   public enum UpdateResult {
     /** The table has changed. */
     APPLIED,
-    /** The update is known, superseded or incomplete, and was ignored. */
+    /** The update is known, superseded, incomplete or too old; status and version are unchanged. */
     IGNORED,
     /** A limit is reached, and the update was rejected. */
     FULL
@@ -117,7 +118,8 @@
     expire(nowMicros);
     if (state.status() == OverrideStatus.UNCONFIRMED
         && (state.value() == null || uptimeMicros >= state.value().ttlMicros())) {
-      return UpdateResult.IGNORED; // this server was up while the other replica was down
+      // Incomplete, or its lifetime may have passed while this server was up.
+      return UpdateResult.IGNORED;
     }
     return apply(nowMicros, state, requestedAtMicros, uptimeMicros);
   }
@@ -149,24 +151,26 @@
 
   private UpdateResult apply(
       long nowMicros, ReplicaState update, long requestedAtMicros, long uptimeMicros) {
-    boolean live =
+    boolean updateLive =
         update.status() == OverrideStatus.ACTIVE || update.status() == OverrideStatus.UNCONFIRMED;
-    if ((live && update.value() == null)
+    if ((updateLive && update.value() == null)
         || (update.version() == null && update.status() != OverrideStatus.REVOKED)) {
       return UpdateResult.IGNORED; // incomplete
     }
     // The override may have aged by the whole round trip of the request.
     long ageMicros = update.age() + withDrift(nowMicros - requestedAtMicros);
     OverrideStatus status =
-        live && ageMicros >= update.value().ttlMicros() ? OverrideStatus.EXPIRED : update.status();
+        updateLive && ageMicros >= update.value().ttlMicros()
+            ? OverrideStatus.EXPIRED
+            : update.status();
     Entry known = entries.get(update.id());
     if (known != null && !supersedes(update.version(), status, known)) {
-      if (live
+      if (updateLive
           && known.isLive()
           && known.status == status
           && update.version().equals(known.version)) {
-        // Both ages of an active override are upper bounds. Unconfirmed ages are lower bounds: the
-        // override is older by the unknown time that it was on disk.
+        // Both ages of an active override are upper bounds. An unconfirmed age lacks the
+        // unknown time on disk, so the higher one is closer.
         known.ageMicros =
             status == OverrideStatus.ACTIVE
                 ? Math.min(ageMicros, ageMicros(known, nowMicros))
@@ -175,8 +179,8 @@
       }
       return UpdateResult.IGNORED;
     }
-    boolean liveNow = status == OverrideStatus.ACTIVE || status == OverrideStatus.UNCONFIRMED;
-    if (exceedsLimits(known, liveNow ? update.value() : null)) {
+    boolean resultLive = status == OverrideStatus.ACTIVE || status == OverrideStatus.UNCONFIRMED;
+    if (exceedsLimits(known, resultLive ? update.value() : null)) {
       return UpdateResult.FULL;
     }
     Entry entry = known == null ? new Entry(update.id()) : known;
@@ -187,7 +191,7 @@
     entries.put(entry.id, entry);
     entry.version = update.version() != null ? update.version() : entry.version;
     entry.status = status;
-    entry.value = liveNow ? update.value() : null;
+    entry.value = resultLive ? update.value() : null;
     entry.ageMicros = ageMicros;
     entry.measuredAtMicros = nowMicros;
     entry.unconfirmedUntilMicros =
@@ -195,7 +199,9 @@
             ? nowMicros + ttlMicros - Math.max(ageMicros, uptimeMicros)
             : 0;
     entry.forgetAtMicros =
-        liveNow ? Long.MAX_VALUE : nowMicros + ttlMicros + 2 * (withDrift(ttlMicros) - ttlMicros);
+        resultLive
+            ? Long.MAX_VALUE
+            : nowMicros + ttlMicros + 2 * (withDrift(ttlMicros) - ttlMicros);
     revision++;
     return UpdateResult.APPLIED;
   }
@@ -265,7 +271,8 @@
   }
 
   /**
-   * The overrides in effect: the active ones, and those unconfirmed ones that are to be kept.
+   * The overrides in effect: the active ones, and the unconfirmed ones with {@code
+   * keepUnconfirmed}, until their lifetime has passed since the start of this server.
    *
    * @param nowMicros the current time
    * @return the overrides in order of precedence
@@ -286,10 +293,10 @@
   }
 
   /**
-   * The time until which {@link #inEffect} returns the same, unless the table is updated.
+   * A time before which {@link #inEffect} does not change, unless the table is updated.
    *
    * @param nowMicros the current time
-   * @return a time of this clock, or {@link Long#MAX_VALUE}
+   * @return a time of this clock, or {@link Long#MAX_VALUE} if no override is live
    */
   public long inEffectUntil(long nowMicros) {
     return entries.values().stream()
@@ -348,12 +355,13 @@
   }
 
   /**
-   * Whether the override of another replica supersedes the entry here, and has to be requested.
+   * Whether a state of another replica is unknown here or supersedes the entry, so that it has to
+   * be requested.
    *
    * @param id its id
    * @param version its version, or null
    * @param status its status at the other replica
-   * @return true if it is unknown here or supersedes what is known
+   * @return true if it has to be requested
    */
   public boolean isNewer(String id, Version version, OverrideStatus status) {
     Entry known = entries.get(id);
--- a/src/main/java/mothwing/override/TrafficOverride.java
+++ b/src/main/java/mothwing/override/TrafficOverride.java
@@ -13,13 +13,14 @@
  * @param action its effect
  * @param requestClass the class that it applies to, or an empty string for all
  * @param tenant the tenant that it applies to, or an empty string for all
- * @param share the share of that traffic, 0 to 1
+ * @param share the share of that traffic that {@code REFUSE} rejects or {@code LIMIT} allows, 0 to
+ *     1
  * @param target the zone to which requests are diverted, or the feature that is disabled; else an
  *     empty string
  * @param selector the servers that it applies at
  * @param ttlSeconds its lifetime, above 0
- * @param priority the higher one wins if two overrides apply to the same traffic
- * @param keepUnconfirmed whether a server applies it while it has it from its own disk only
+ * @param priority of two overrides for the same traffic, the one with the higher priority wins
+ * @param keepUnconfirmed whether it is in effect while it is unconfirmed
  * @param reason the reason for it, for operators
  * @param author its creator, for operators
  */
@@ -54,7 +55,7 @@
   public enum Action {
     /** Rejects a share of the requests of a class or tenant as they are read. */
     REFUSE,
-    /** Sends gateways to other servers: nothing new is accepted. */
+    /** Accepts nothing new, and sends gateways to other servers. */
     DRAIN,
     /** Limits a class or tenant to a share. */
     LIMIT,
@@ -65,7 +66,7 @@
   }
 
   /**
-   * Selects servers: those that are in each of the sets that is not empty.
+   * Selects servers. An empty set matches every server; all three sets have to match.
    *
    * @param servers names of servers
    * @param zones names of zones
@@ -144,9 +145,9 @@
   }
 
   /**
-   * The lifetime.
+   * The lifetime in microseconds.
    *
-   * @return microseconds
+   * @return the lifetime
    */
   public long ttlMicros() {
     return ttlSeconds * 1_000_000L;
--- a/src/main/java/mothwing/peer/MembershipMessageCodec.java
+++ b/src/main/java/mothwing/peer/MembershipMessageCodec.java
@@ -29,7 +29,7 @@
   private static final int MAX_STRING_CHARS = 255;
   private static final int CRC_OFFSET = 3;
 
-  /** Bytes that are no message of a known version; the exception's message is a reason code. */
+  /** Thrown if bytes are not a message of a known version; its message is a reason code. */
   static final class DecodeException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -40,14 +40,16 @@
 
   private MembershipMessageCodec() {}
 
-  /** Keys of the message's map, then those of a record's map. */
+  /** Keys of the map of a message, and of the map of a record, which is numbered on its own. */
   private static final class Keys {
+    // Keys of a message.
     static final int CLUSTER = 1;
     static final int KIND = 2;
     static final int SEQUENCE = 3;
     static final int PING_TARGET = 4;
     static final int SENDER = 5;
     static final int RECORDS = 6;
+    // Keys of a record.
     static final int NAME = 1;
     static final int INSTANCE_ID = 2;
     static final int ADDRESS = 3;
--- a/src/main/java/mothwing/peer/PeerTransport.java
+++ b/src/main/java/mothwing/peer/PeerTransport.java
@@ -374,9 +374,9 @@
       receive(bytes);
     }
 
-    /** Counts receivers that the kernel reports as unreachable; probes detect them as well. */
+    /** Counts channel errors, mostly unreachable receivers; probes detect those as well. */
     @Override
-    public void exceptionCaught(ChannelHandlerContext context, Throwable unreachable) {
+    public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       counters.add("peer-unreachable");
     }
   }
--- a/src/test/java/mothwing/ProjectTest.java
+++ b/src/test/java/mothwing/ProjectTest.java
@@ -37,7 +37,7 @@
           Map.entry("Relay.java", 460),
           Map.entry("Oracles.java", 450),
           Map.entry("Methods.java", 439),
-          Map.entry("PeerTransport.java", 426),
+          Map.entry("PeerTransport.java", 422),
           Map.entry("Values.java", 422));
 
   private static List<Path> sources() throws IOException {
--- a/src/test/java/mothwing/membership/MembershipPartsTest.java
+++ b/src/test/java/mothwing/membership/MembershipComponentsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Probe ring, isolation detector, anti-entropy exchange and flap detector. */
-class MembershipPartsTest {
+class MembershipComponentsTest {
   private final ProtocolFixture fixture = new ProtocolFixture();
 
   @Test
@@ -38,7 +38,7 @@
     assertTrue(isolation.update(timeout + 1));
     assertTrue(isolation.isIsolated());
     fixture.advance(timeout + 2);
-    isolation.heard("any");
+    isolation.recordMessageFrom("any");
     assertTrue(isolation.update(timeout + 2));
     assertFalse(isolation.isIsolated());
   }
--- a/src/test/java/mothwing/membership/NameConflictsTest.java
+++ b/src/test/java/mothwing/membership/NameConflictsTest.java
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void keepsLiveProcessWithHigherInstanceId() {
+  void higherInstanceIdWinsBetweenLiveProcesses() {
     answerChallenge(otherProcess(0));
     assertFalse(fixture.self.isDisplaced());
     assertEquals(4, fixture.self.record().incarnation());
--- a/src/test/java/mothwing/override/EffectiveOverridesTest.java
+++ b/src/test/java/mothwing/override/EffectiveOverridesTest.java
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Guards against a lookup that differs from the first of all matching overrides in the order of
-   * precedence, in whatever order they were added.
+   * Guards against a lookup that does not return the matching override of the highest precedence,
+   * in whatever order they were added.
    */
   @Property(seed = "1764576031", tries = 300)
   void findsMatchingOverrideOfHighestPrecedence(@ForAll int seed) {
