--- a/src/main/java/mothwing/membership/IsolationDetector.java
+++ b/src/main/java/mothwing/membership/IsolationDetector.java
@@ -4,7 +4,8 @@
 import java.util.Map;
 
 /**
- * Detects that this process receives messages from fewer than half of the members that probe it.
+ * Detects that this process receives messages from fewer than half of the members with which it
+ * exchanges probes on the ring.
  */
 final class IsolationDetector {
   private final LocalMember self;
