--- a/src/main/java/mothwing/settings/Addresses.java
+++ b/src/main/java/mothwing/settings/Addresses.java
@@ -2,27 +2,28 @@
 
 import java.net.InetSocketAddress;
 
-/** The textual form of addresses, host:port. */
+/** Formats and parses socket addresses of the form host:port. */
 public final class Addresses {
   private Addresses() {}
 
   /**
-   * Formats an address.
+   * Formats an address as host:port.
    *
    * @param address a resolved address
-   * @return host and port
+   * @return the numeric host and the port
    */
   public static String format(InetSocketAddress address) {
     return address.getAddress().getHostAddress() + ":" + address.getPort();
   }
 
   /**
-   * Parses an address, whose host must be numeric: no name service is queried.
+   * Parses an address of the form host:port. The host must be numeric, so that no name service is
+   * queried; it may be in brackets.
    *
    * @param text host and port
-   * @param name the field's name, for the error
+   * @param name the name of the field, for the error message
    * @return the address
-   * @throws InvalidInputException where it is malformed
+   * @throws InvalidInputException if the text is malformed
    */
   public static InetSocketAddress parse(String text, String name) throws InvalidInputException {
     int colon = text.lastIndexOf(':');
@@ -32,7 +33,7 @@
         return new InetSocketAddress(host, Integer.parseInt(text.substring(colon + 1)));
       }
     } catch (IllegalArgumentException malformed) {
-      // reported below
+      // Reported below.
     }
     throw new InvalidInputException("field " + name + ": not an address with a port");
   }
--- a/src/main/java/mothwing/settings/InvalidInputException.java
+++ b/src/main/java/mothwing/settings/InvalidInputException.java
@@ -2,14 +2,14 @@
 
 import java.io.IOException;
 
-/** Input that is malformed or incomplete; the message names the field. */
+/** Thrown if input is malformed or incomplete. The message names the field. */
 public final class InvalidInputException extends IOException {
   private static final long serialVersionUID = 1L;
 
   /**
-   * Makes an exception.
+   * Creates an exception.
    *
-   * @param message what is wrong, naming the field
+   * @param message the reason, with the name of the field
    */
   public InvalidInputException(String message) {
     super(message);
--- a/src/main/java/mothwing/settings/JsonFields.java
+++ b/src/main/java/mothwing/settings/JsonFields.java
@@ -9,8 +9,8 @@
 import java.util.Map;
 
 /**
- * The fields of one JSON object, read by name; an error names the field that is missing or of a
- * wrong type. A field whose value is null counts as absent. Immutable.
+ * Reads the fields of one JSON object by name. Errors name the field that is missing or of the
+ * wrong type. A field with the value null counts as absent. Immutable.
  */
 public final class JsonFields {
   private final Map<String, Object> values;
@@ -24,9 +24,10 @@
   /**
    * Reads the next object of a parser.
    *
-   * @param parser reads the JSON
-   * @return its fields
-   * @throws IOException where it is no object, or broken
+   * @param parser the parser of the JSON text
+   * @return the fields of the object
+   * @throws IOException if the JSON is malformed
+   * @throws IllegalStateException if the next value is not an object
    */
   public static JsonFields read(JsonReader parser) throws IOException {
     return new JsonFields(readObject(parser), "");
@@ -79,30 +80,32 @@
   }
 
   /**
-   * Requires that other fields have all keys that these have, at every depth; each object of a list
-   * must have the keys that all objects of the list here have in common. Values are not compared.
+   * Requires that another object has every key of this one, at every depth. Each object of a list
+   * must have the keys that all objects of the same list in this object share. Values are not
+   * compared.
    *
-   * @param other the other fields
-   * @throws InvalidInputException where a key is missing; the message names it
+   * @param other the object to check
+   * @throws InvalidInputException if a key is missing; the message names it
    */
   public void requireKeysIn(JsonFields other) throws InvalidInputException {
     requireKeys(values, other.values, "");
   }
 
-  private static void requireKeys(Map<?, ?> here, Map<?, ?> there, String path)
+  private static void requireKeys(Map<?, ?> required, Map<?, ?> checked, String path)
       throws InvalidInputException {
-    for (Map.Entry<?, ?> entry : here.entrySet()) {
-      Object value = there.get(entry.getKey());
+    for (Map.Entry<?, ?> entry : required.entrySet()) {
+      Object value = checked.get(entry.getKey());
       String name = path + entry.getKey();
       if (entry.getValue() != null && value == null) {
         throw new InvalidInputException(
-            "field " + name + ": required, as the configuration in force names it");
+            "field " + name + ": required, because the current configuration has it");
       }
-      if (entry.getValue() instanceof Map<?, ?> inner && value instanceof Map<?, ?> others) {
-        requireKeys(inner, others, name + ".");
-      } else if (entry.getValue() instanceof List<?> items && value instanceof List<?> others) {
+      if (entry.getValue() instanceof Map<?, ?> inner && value instanceof Map<?, ?> checkedMap) {
+        requireKeys(inner, checkedMap, name + ".");
+      } else if (entry.getValue() instanceof List<?> items
+          && value instanceof List<?> checkedItems) {
         Map<?, ?> common = commonKeys(items);
-        for (Object item : others) {
+        for (Object item : checkedItems) {
           if (item instanceof Map<?, ?> map) {
             requireKeys(common, map, name + "[].");
           }
@@ -111,7 +114,7 @@
     }
   }
 
-  /** The keys that all objects of a list have in common. */
+  /** Returns the keys that all objects of a list share. */
   private static Map<?, ?> commonKeys(List<?> items) {
     Map<Object, Object> common = new LinkedHashMap<>();
     for (Object item : items) {
@@ -126,11 +129,11 @@
   }
 
   /**
-   * A number above 0 that must be there.
+   * Returns a required number above 0.
    *
-   * @param name its name
-   * @return its value, rounded down
-   * @throws InvalidInputException where it is missing, no number or not above 0
+   * @param name the name of the field
+   * @return the value, rounded down
+   * @throws InvalidInputException if it is missing, not a number or not above 0
    */
   public long positive(String name) throws InvalidInputException {
     long value = integer(name);
@@ -154,11 +157,11 @@
   }
 
   /**
-   * Text that must be there.
+   * Returns a required string.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is missing or of the wrong type
    */
   public String text(String name) throws InvalidInputException {
     String value = typed(name, String.class);
@@ -169,35 +172,35 @@
   }
 
   /**
-   * Text, or a default.
+   * Returns an optional string.
    *
-   * @param name its name
-   * @param absent the value of an absent one
-   * @return its value
-   * @throws InvalidInputException where it is of a wrong type
+   * @param name the name of the field
+   * @param defaultValue the value if the field is absent
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
-  public String text(String name, String absent) throws InvalidInputException {
+  public String text(String name, String defaultValue) throws InvalidInputException {
     String value = typed(name, String.class);
-    return value == null ? absent : value;
+    return value == null ? defaultValue : value;
   }
 
   /**
-   * Text of an optional reference, for which the number 0 also stands for none.
+   * Returns an optional reference. A number, 0 on the wire, also means that there is none.
    *
-   * @param name its name
-   * @return its value or null
-   * @throws InvalidInputException where it is of a wrong type
+   * @param name the name of the field
+   * @return the value, or null if there is none
+   * @throws InvalidInputException if it is of the wrong type
    */
   public String optionalReference(String name) throws InvalidInputException {
     return values.get(name) instanceof Number ? null : text(name, null);
   }
 
   /**
-   * An integer that must be there.
+   * Returns a required integer.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is missing or of the wrong type
    */
   public long integer(String name) throws InvalidInputException {
     Number value = typed(name, Number.class);
@@ -208,48 +211,48 @@
   }
 
   /**
-   * An integer, or a default.
+   * Returns an optional integer.
    *
-   * @param name its name
-   * @param absent the value of an absent one
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @param defaultValue the value if the field is absent
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
-  public long integer(String name, long absent) throws InvalidInputException {
+  public long integer(String name, long defaultValue) throws InvalidInputException {
     Number value = typed(name, Number.class);
-    return value == null ? absent : value.longValue();
+    return value == null ? defaultValue : value.longValue();
   }
 
   /**
-   * A number, or a default.
+   * Returns an optional number.
    *
-   * @param name its name
-   * @param absent the value of an absent one
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @param defaultValue the value if the field is absent
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
-  public double number(String name, double absent) throws InvalidInputException {
+  public double number(String name, double defaultValue) throws InvalidInputException {
     Number value = typed(name, Number.class);
-    return value == null ? absent : value.doubleValue();
+    return value == null ? defaultValue : value.doubleValue();
   }
 
   /**
-   * A flag, false where it is absent.
+   * Returns a flag, or false if it is absent.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
   public boolean flag(String name) throws InvalidInputException {
     return Boolean.TRUE.equals(typed(name, Boolean.class));
   }
 
   /**
-   * An object, empty where it is absent.
+   * Returns an object, or an empty one if it is absent.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
   public JsonFields object(String name) throws InvalidInputException {
     @SuppressWarnings("unchecked")
@@ -258,11 +261,11 @@
   }
 
   /**
-   * An object that must be there.
+   * Returns a required object.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is missing or of the wrong type
    */
   public JsonFields requiredObject(String name) throws InvalidInputException {
     if (values.get(name) == null) {
@@ -277,11 +280,11 @@
   }
 
   /**
-   * A list of objects, empty where it is absent.
+   * Returns a list of objects, or an empty list if it is absent.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
   public List<JsonFields> objects(String name) throws InvalidInputException {
     List<JsonFields> objects = new ArrayList<>();
@@ -297,11 +300,11 @@
   }
 
   /**
-   * A list of objects that must be there.
+   * Returns a required list of objects.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is missing or of the wrong type
    */
   public List<JsonFields> requiredObjects(String name) throws InvalidInputException {
     if (values.get(name) == null) {
@@ -311,11 +314,11 @@
   }
 
   /**
-   * A list of numbers, empty where it is absent.
+   * Returns a list of numbers, or an empty list if it is absent.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
   public double[] numbers(String name) throws InvalidInputException {
     List<?> items = items(name);
@@ -330,11 +333,11 @@
   }
 
   /**
-   * A list of texts, empty where it is absent.
+   * Returns a list of strings, or an empty list if it is absent. Other items become strings.
    *
-   * @param name its name
-   * @return its value
-   * @throws InvalidInputException where it is missing or of a wrong type
+   * @param name the name of the field
+   * @return the value
+   * @throws InvalidInputException if it is of the wrong type
    */
   public List<String> texts(String name) throws InvalidInputException {
     List<String> texts = new ArrayList<>();
@@ -344,13 +347,13 @@
     return texts;
   }
 
-  /** The flag at an index of a list, false where the list is shorter. */
+  /** Returns the flag at an index of a list, or false if the list is shorter. */
   boolean flagAt(String name, int index) throws InvalidInputException {
     List<?> items = items(name);
     return index < items.size() && Boolean.TRUE.equals(items.get(index));
   }
 
-  /** The number at an index of a list, 0 where the list is shorter. */
+  /** Returns the number at an index of a list, or 0 if the list is shorter. */
   double numberAt(String name, int index) throws InvalidInputException {
     List<?> items = items(name);
     return index < items.size() && items.get(index) instanceof Number number
--- a/src/main/java/mothwing/settings/Secret.java
+++ b/src/main/java/mothwing/settings/Secret.java
@@ -9,16 +9,18 @@
 /** Reads the secrets of TSIG keys from their files. */
 public final class Secret {
   private static final int MAX_FILE_BYTES = 4096;
-  private static final int MIN_SECRET_BYTES = 16; // shorter secrets can be guessed
+
+  // Shorter secrets can be guessed.
+  private static final int MIN_SECRET_BYTES = 16;
 
   private Secret() {}
 
   /**
-   * Reads a key's secret.
+   * Reads the secret of a key.
    *
    * @param key the key
-   * @return its bytes
-   * @throws IOException where the file cannot be read or is not base64 of 16 bytes or more; the
+   * @return the bytes of the secret
+   * @throws IOException if the file cannot be read or is not base64 of 16 bytes or more; the
    *     message names the key and the file, never their content
    */
   public static byte[] read(Site.Key key) throws IOException {
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -17,8 +17,8 @@
 import mothwing.control.Tenant;
 
 /**
- * Decodes the JSON object of the settings into {@link Settings}. The object's keys and words are
- * those of the simulator's wire and occur in this class alone; unknown keys are ignored.
+ * Decodes the JSON object of the settings into {@link Settings}. Its keys and enumerated values are
+ * those of the simulator's wire format and occur only in this class. Unknown keys are ignored.
  */
 public final class SettingsCodec {
   private SettingsCodec() {}
@@ -26,10 +26,10 @@
   /**
    * Reads the settings.
    *
-   * @param seed seed of the random numbers of this incarnation
-   * @param options the object of the settings
+   * @param seed the random seed of this incarnation
+   * @param options the JSON object of the settings
    * @return the settings
-   * @throws InvalidInputException where a field is missing or of a wrong type
+   * @throws InvalidInputException if a field is missing or of the wrong type
    */
   public static Settings read(long seed, JsonFields options) throws InvalidInputException {
     JsonFields extra = options.object("Extra");
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -20,16 +20,17 @@
 import mothwing.settings.Site.DnsLimits;
 
 /**
- * Reads the settings of an installation from a script (docs/settings.md), whose functions add to
- * them. One instance reads one script.
+ * Reads the settings of an installation from a script, as described in docs/settings.md. Each
+ * built-in function of the script adds to the settings. One instance reads one script.
  */
 public final class SiteScript {
   private static final int MAX_SEEDS = 16;
   private static final int MAX_ENTRIES = 1 << 24;
+  private static final int MAX_DOMAIN_NAME_CHARS = 253;
   private static final Set<String> ALGORITHMS =
       Set.of("hmac-sha1", "hmac-sha224", "hmac-sha256", "hmac-sha384", "hmac-sha512");
 
-  private final Path folder;
+  private final Path directory;
   private final List<Site.Key> keys = new ArrayList<>();
   private final List<Site.Zone> zones = new ArrayList<>();
   private final Map<Site.Zone, Arguments> zoneCalls = new LinkedHashMap<>();
@@ -38,20 +39,20 @@
   private Site.Dns dns;
   private Arguments dnsCall;
 
-  private SiteScript(Path folder) {
-    this.folder = folder;
+  private SiteScript(Path directory) {
+    this.directory = directory;
   }
 
   /**
-   * Reads settings.
+   * Reads the settings from a script.
    *
-   * @param file the script; all files that it names are below its folder
+   * @param file the script; all files that it names are inside its directory
    * @return the settings
-   * @throws IOException where it cannot be read or is invalid; the message names the place
+   * @throws IOException if the script cannot be read or is invalid; the message names the position
    */
   public static Site read(Path file) throws IOException {
-    Path folder = file.toAbsolutePath().getParent();
-    SiteScript script = new SiteScript(folder);
+    Path directory = file.toAbsolutePath().getParent();
+    SiteScript script = new SiteScript(directory);
     Map<String, Script.Builtin> builtins = new LinkedHashMap<>();
     builtins.put("ajp", script::ajp);
     builtins.put("fleet", script::fleet);
@@ -59,11 +60,13 @@
     builtins.put("key", script::key);
     builtins.put("zone", script::zone);
     builtins.put("allow", SiteScript::allow);
-    Script.run(file.getFileName().toString(), Sources.below(folder), Limits.USUAL, builtins);
+    Script.run(file.getFileName().toString(), Sources.below(directory), Limits.USUAL, builtins);
     return script.site();
   }
 
-  /** The settings, once the script has run. */
+  /**
+   * Checks the zones and keys against each other and creates the settings, once the script has run.
+   */
   private Site site() throws ScriptError {
     if (dns == null && !zones.isEmpty()) {
       throw zoneCalls.get(zones.get(0)).wrong("there are zones but no dns(listen = ...)");
@@ -116,15 +119,15 @@
       throw call.wrong("is called twice");
     }
     String name = memberName(call, "name", call.text("name"));
-    InetSocketAddress listen = single(call, "listen", address(call, "listen"));
+    InetSocketAddress listen = requireReachable(call, "listen", address(call, "listen"));
     String advertised = call.text("advertise", "");
     InetSocketAddress advertise =
         advertised.isEmpty()
             ? listen
-            : single(call, "advertise", address(call, "advertise", advertised));
+            : requireReachable(call, "advertise", address(call, "advertise", advertised));
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (String seed : call.list("seeds", String.class, "an address")) {
-      seeds.add(single(call, "seeds", address(call, "seeds", seed)));
+      seeds.add(requireReachable(call, "seeds", address(call, "seeds", seed)));
     }
     if (seeds.size() > MAX_SEEDS) {
       throw call.wrong(
@@ -148,9 +151,9 @@
     return text;
   }
 
-  /** Requires an address to which other members can send. */
-  private static InetSocketAddress single(Arguments call, String name, InetSocketAddress address)
-      throws ScriptError {
+  /** Requires a specific address and port, so that other members can send to it. */
+  private static InetSocketAddress requireReachable(
+      Arguments call, String name, InetSocketAddress address) throws ScriptError {
     if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
       throw call.wrong(
           "argument " + name + ": expected one address with a port, as others write to it");
@@ -164,7 +167,7 @@
     }
     DnsLimits defaults = DnsLimits.DEFAULTS;
     InetSocketAddress listen = address(call, "listen");
-    Path state = below(call, call.text("state", "state"));
+    Path state = resolve(call, call.text("state", "state"));
     DnsLimits limits =
         new DnsLimits(
             (int) call.whole("udp_bytes", defaults.udpBytes(), 512, 4096),
@@ -185,10 +188,12 @@
     return null;
   }
 
-  /** A path below the folder, which need not exist yet. */
-  private Path below(Arguments call, String name) throws ScriptError {
-    Path path = folder.resolve(name).normalize();
-    if (name.isEmpty() || !path.startsWith(folder.normalize()) || path.equals(folder.normalize())) {
+  /** Resolves a path inside the directory of the script. The path need not exist yet. */
+  private Path resolve(Arguments call, String name) throws ScriptError {
+    Path path = directory.resolve(name).normalize();
+    if (name.isEmpty()
+        || !path.startsWith(directory.normalize())
+        || path.equals(directory.normalize())) {
       throw call.wrong("\"" + name + "\" is not below the settings' folder");
     }
     return path;
@@ -196,9 +201,9 @@
 
   private Path file(Arguments call, String argument) throws ScriptError {
     String name = call.text(argument);
-    below(call, name);
+    resolve(call, name);
     try {
-      Path path = Sources.inside(folder, name);
+      Path path = Sources.inside(directory, name);
       if (!Files.isRegularFile(path)) {
         throw new IOException(name + " is not a file");
       }
@@ -209,12 +214,15 @@
   }
 
   /**
-   * A domain name in lower case without the trailing dot; its labels are checked by the DNS server.
+   * Returns a domain name in lower case without the trailing dot. The DNS server checks its labels.
    */
   private static String domain(Arguments call, String name) throws ScriptError {
     String text = call.text(name).toLowerCase(Locale.ROOT);
     text = text.endsWith(".") ? text.substring(0, text.length() - 1) : text;
-    if (text.isEmpty() || text.length() > 253 || text.contains("..") || text.startsWith(".")) {
+    if (text.isEmpty()
+        || text.length() > MAX_DOMAIN_NAME_CHARS
+        || text.contains("..")
+        || text.startsWith(".")) {
       throw call.wrong("argument " + name + ": \"" + text + "\" is not a domain name");
     }
     return text;
@@ -230,7 +238,7 @@
               + ", expected one of "
               + ALGORITHMS.stream().sorted().toList());
     }
-    if (keys.stream().anyMatch(other -> other.name().equals(name))) {
+    if (keys.stream().anyMatch(existing -> existing.name().equals(name))) {
       throw call.wrong("key " + name + " is given twice");
     }
     Site.Key key = new Site.Key(name, algorithm, file(call, "secret_file"));
@@ -241,7 +249,7 @@
 
   private Object zone(Arguments call) throws ScriptError {
     String name = domain(call, "name");
-    if (zones.stream().anyMatch(other -> other.name().equals(name))) {
+    if (zones.stream().anyMatch(existing -> existing.name().equals(name))) {
       throw call.wrong("zone " + name + " is given twice");
     }
     Site.Zone zone =
--- a/src/test/java/mothwing/settings/SiteScriptTest.java
+++ b/src/test/java/mothwing/settings/SiteScriptTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Our own settings, read from a script. */
+/** Tests the settings that a script gives, and the errors of invalid scripts. */
 class SiteScriptTest {
-  private static final String GOOD =
+  private static final String VALID_SCRIPT =
       """
             load("rooms.star", "rooms")
             ajp(listen = "127.0.0.1:8009")
@@ -26,22 +26,22 @@
                 allow(key = "till-key", names = "*.%s.example.org" % room, types = ["A", "srv"]) for room in rooms])
             """;
 
-  @TempDir private Path folder;
+  @TempDir private Path directory;
 
   @BeforeEach
-  void files() throws IOException {
-    Files.writeString(folder.resolve("rooms.star"), "rooms = ['nasr-city', 'sixth-october']\n");
-    Files.writeString(folder.resolve("till.key"), "MDEyMzQ1Njc4OWFiY2RlZg==\n");
-    Files.writeString(folder.resolve("example.zone"), "");
+  void writeFiles() throws IOException {
+    Files.writeString(directory.resolve("rooms.star"), "rooms = ['nasr-city', 'sixth-october']\n");
+    Files.writeString(directory.resolve("till.key"), "MDEyMzQ1Njc4OWFiY2RlZg==\n");
+    Files.writeString(directory.resolve("example.zone"), "");
   }
 
   private Site read(String script) throws IOException {
-    return SiteScript.read(Files.writeString(folder.resolve("site.star"), script));
+    return SiteScript.read(Files.writeString(directory.resolve("site.star"), script));
   }
 
   @Test
-  void readsASite() throws IOException {
-    Site site = read(GOOD);
+  void readsSettingsFromScript() throws IOException {
+    Site site = read(VALID_SCRIPT);
     assertEquals(8009, site.ajp().getPort());
     assertEquals(500, site.dns().limits().idleMs());
     assertEquals(1232, site.dns().limits().udpBytes());
@@ -73,34 +73,36 @@
         ".example.org\"| .example.net\"| which is outside of zone example.org",
         "dns(| #| there are zones but no dns"
       })
-  void namesWhatIsWrong(String good, String bad, String message) {
-    IOException error = assertThrows(IOException.class, () -> read(GOOD.replace(good, bad)));
+  void rejectsInvalidScriptWithPositionAndReason(String valid, String invalid, String message) {
+    IOException error =
+        assertThrows(IOException.class, () -> read(VALID_SCRIPT.replace(valid, invalid)));
     assertTrue(error.getMessage().startsWith("site.star:"), error::getMessage);
     assertTrue(error.getMessage().contains(message), error::getMessage);
   }
 
-  /** A link that leads out of the folder is no way round: neither for files nor for loads. */
+  /** Guards against a symbolic link out of the directory, in load() and in a file argument. */
   @Test
-  void staysBelowItsFolder(@TempDir Path elsewhere) throws IOException {
-    Files.writeString(elsewhere.resolve("out.star"), "rooms = []\n");
-    Files.createSymbolicLink(folder.resolve("link.star"), elsewhere.resolve("out.star"));
-    String script = GOOD.replace("rooms.star", "link.star");
+  void rejectsSymbolicLinkOutOfDirectory(@TempDir Path outside) throws IOException {
+    Files.writeString(outside.resolve("out.star"), "rooms = []\n");
+    Files.createSymbolicLink(directory.resolve("link.star"), outside.resolve("out.star"));
+    String script = VALID_SCRIPT.replace("rooms.star", "link.star");
     assertTrue(
         assertThrows(IOException.class, () -> read(script)).getMessage().contains("lies outside"));
     assertTrue(
-        assertThrows(IOException.class, () -> read(GOOD.replace("example.zone", "link.star")))
+        assertThrows(
+                IOException.class, () -> read(VALID_SCRIPT.replace("example.zone", "link.star")))
             .getMessage()
             .contains("lies outside"));
   }
 
   @Test
-  void complainsOfSecretsWithoutShowingThem() throws IOException {
-    Site.Key key = read(GOOD).dns().keys().get(0);
-    for (String wrong : new String[] {"short", "c2hvcnQ=", "not base64 at all!"}) {
-      Files.writeString(folder.resolve("till.key"), wrong);
+  void rejectsInvalidSecretWithoutShowingIt() throws IOException {
+    Site.Key key = read(VALID_SCRIPT).dns().keys().get(0);
+    for (String invalid : new String[] {"short", "c2hvcnQ=", "not base64 at all!"}) {
+      Files.writeString(directory.resolve("till.key"), invalid);
       IOException error = assertThrows(IOException.class, () -> Secret.read(key));
       assertTrue(error.getMessage().startsWith("key till-key: till.key "), error::getMessage);
-      assertTrue(!error.getMessage().contains(wrong), error::getMessage);
+      assertTrue(!error.getMessage().contains(invalid), error::getMessage);
     }
   }
 }
