--- a/src/main/java/mothwing/store/ClaimTable.java
+++ b/src/main/java/mothwing/store/ClaimTable.java
@@ -15,15 +15,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * A table of key leases that the processes of one machine share: an open-addressing hash table in a
- * file of fixed size, which each process maps and accesses under the file's lock.
+ * Table of key leases that the processes of one machine share: an open-addressing hash table in a
+ * memory-mapped file of fixed size, accessed under the lock of the file.
  *
- * <p>Invariants: a key is leased to one owner at a time, until a time of the machine's monotonic
- * clock, which is the same for all its processes. A process that dies releases the lock, but not
- * its leases. Where the lock cannot be acquired soon the result is unknown.
+ * <p>Invariants: a key is leased to one owner at a time. A lease expires at a time of the machine's
+ * monotonic clock, which is the same for all processes of the machine. A process that dies releases
+ * the file lock, but its leases stay until they expire. If the lock is not acquired within a
+ * bounded number of attempts, the result is {@link Claim#UNKNOWN}.
  *
- * <p>Bounds: {@link #SLOTS} slots of 24 bytes; a key lies within {@link #MAX_PROBES} slots of the
- * slot of its hash. Used by one thread at a time.
+ * <p>Bounds: {@link #SLOTS} slots of 24 bytes; a key is stored within {@link #MAX_PROBES} slots of
+ * the slot of its hash. Used by one thread at a time.
  */
 public final class ClaimTable implements AutoCloseable {
   /** The result of a claim. */
@@ -46,13 +47,18 @@
   private static final int BOOT_OFFSET = 8;
   private static final int HEADER_BYTES = 64;
   private static final int SLOT_BYTES = 24;
-  private static final int OWNER_OFFSET = 8; // within a slot, behind the key
+
+  // Offsets within a slot, which begins with the key.
+  private static final int OWNER_OFFSET = 8;
   private static final int EXPIRY_OFFSET = 16;
 
-  /** Attempts to lock for a claim, of some microseconds each; a claim holds the lock as briefly. */
+  /**
+   * Attempts to acquire the lock for a claim. Each attempt takes some microseconds, about as long
+   * as a claim holds the lock.
+   */
   private static final int MAX_LOCK_ATTEMPTS = 2000;
 
-  /** Attempts to lock at start, while another process may be making the table. */
+  /** Attempts to acquire the lock on opening, while another process may initialize the table. */
   private static final int MAX_OPENING_LOCK_ATTEMPTS = 1_000_000;
 
   private final FileChannel file;
@@ -69,15 +75,15 @@
   }
 
   /**
-   * Opens the table of a file, which is made where there is none. A table of another boot of the
-   * machine, or another content, is cleared.
+   * Opens the table in a file, which is created if absent. A table of another boot of the machine
+   * is cleared, and so is a file with other content.
    *
    * @param path the file
    * @param owner identifies this incarnation of this process; unique among all that share the file
-   * @param boot identifies the boot of the machine, as its monotonic clock restarts with it
-   * @param clock microseconds of that clock
+   * @param boot identifies the boot of the machine, because its monotonic clock restarts on boot
+   * @param clock the monotonic clock of the machine, in microseconds
    * @return the table
-   * @throws IOException where the file cannot be made, mapped or locked
+   * @throws IOException if the file cannot be created, mapped or locked
    */
   public static ClaimTable open(Path path, long owner, long boot, LongSupplier clock)
       throws IOException {
@@ -85,24 +91,24 @@
         FileChannel.open(
             path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
     try {
-      ClaimTable made = new ClaimTable(file, owner, clock);
-      made.clearUnlessOf(boot);
-      return made;
+      ClaimTable opened = new ClaimTable(file, owner, clock);
+      opened.clearIfOtherBoot(boot);
+      return opened;
     } catch (IOException | RuntimeException failed) {
       file.close();
       throw failed;
     }
   }
 
-  private void clearUnlessOf(long boot) throws IOException {
+  private void clearIfOtherBoot(long boot) throws IOException {
     FileLock lock = lock(MAX_OPENING_LOCK_ATTEMPTS);
     if (lock == null) {
-      throw new IOException("another process holds the table");
+      throw new IOException("the lock of the claim table is held by another process");
     }
     try (lock) {
       if (table.getLong(MAGIC_OFFSET) != MAGIC || table.getLong(BOOT_OFFSET) != boot) {
-        for (int at = HEADER_BYTES; at < table.capacity(); at += Long.BYTES) {
-          table.putLong(at, 0);
+        for (int offset = HEADER_BYTES; offset < table.capacity(); offset += Long.BYTES) {
+          table.putLong(offset, 0);
         }
         table.putLong(BOOT_OFFSET, boot);
         table.putLong(MAGIC_OFFSET, MAGIC);
@@ -110,7 +116,7 @@
     }
   }
 
-  /** The lock on the file, or null where it is not acquired within so many attempts. */
+  /** Returns the lock on the file, or null if it is not acquired within the given attempts. */
   private FileLock lock(int maxAttempts) throws IOException {
     for (int attempt = 0; attempt < maxAttempts; attempt++) {
       try {
@@ -119,7 +125,7 @@
           return lock;
         }
       } catch (OverlappingFileLockException heldByThisProcess) {
-        // another table of this process has it
+        // Another table of this process holds it.
       }
       Thread.onSpinWait();
     }
@@ -127,42 +133,45 @@
   }
 
   /**
-   * Claims the lease of a key; its owner may extend it by a further claim.
+   * Claims the lease of a key. The owner of a lease extends it by a further claim.
    *
    * @param key any text
-   * @param span microseconds from now for which the key is leased
+   * @param durationMicros microseconds from now for which the key is leased
    * @return the result
    */
-  public Claim claim(String key, long span) {
+  public Claim claim(String key, long durationMicros) {
     try (FileLock lock = lock(MAX_LOCK_ATTEMPTS)) {
-      return lock == null ? Claim.UNKNOWN : claimLocked(hash(key), clock.getAsLong(), span);
+      return lock == null
+          ? Claim.UNKNOWN
+          : claimLocked(hash(key), clock.getAsLong(), durationMicros);
     } catch (IOException failed) {
       return Claim.UNKNOWN;
     }
   }
 
-  private Claim claimLocked(long key, long now, long span) {
-    int free = -1;
+  private Claim claimLocked(long key, long now, long durationMicros) {
+    int freeSlot = -1;
     for (int probe = 0; probe < MAX_PROBES; probe++) {
       int slot = HEADER_BYTES + Math.floorMod(key + probe, SLOTS) * SLOT_BYTES;
-      long there = table.getLong(slot);
+      long storedKey = table.getLong(slot);
       boolean expired = table.getLong(slot + EXPIRY_OFFSET) <= now;
-      if (there == key && !expired) {
-        return renew(slot, now + span);
+      if (storedKey == key && !expired) {
+        return renew(slot, now + durationMicros);
       }
-      if (free < 0 && (there == 0 || expired)) {
-        free = slot;
+      if (freeSlot < 0 && (storedKey == 0 || expired)) {
+        freeSlot = slot;
       }
-      if (there == 0) {
-        break; // slots are reused but never cleared, so the probe sequence ends here
+      if (storedKey == 0) {
+        // Slots are reused but never cleared, so the probe sequence of the key ends here.
+        break;
       }
     }
-    if (free < 0) {
+    if (freeSlot < 0) {
       return Claim.FULL;
     }
-    table.putLong(free, key);
-    table.putLong(free + OWNER_OFFSET, owner);
-    table.putLong(free + EXPIRY_OFFSET, now + span);
+    table.putLong(freeSlot, key);
+    table.putLong(freeSlot + OWNER_OFFSET, owner);
+    table.putLong(freeSlot + EXPIRY_OFFSET, now + durationMicros);
     return Claim.GRANTED;
   }
 
@@ -175,17 +184,18 @@
   }
 
   /**
-   * The first bytes of a key's digest, never 0, which marks an empty slot. Keys are told apart by
-   * this hash alone: among 4,096 keys two collide once in 10^12 tables.
+   * Returns the first 8 bytes of the SHA-256 digest of a key; never 0, which marks an empty slot.
+   * Keys are distinguished by this hash alone: among 4,096 keys two collide once in 10^12 tables.
    */
   private static long hash(String key) {
     try {
       byte[] digest =
           MessageDigest.getInstance("SHA-256").digest(key.getBytes(StandardCharsets.UTF_8));
-      long first = ByteBuffer.wrap(digest).getLong();
-      return first == 0 ? 1 : first;
-    } catch (NoSuchAlgorithmException none) {
-      throw new IllegalStateException(none); // every Java runtime has it
+      long hash = ByteBuffer.wrap(digest).getLong();
+      return hash == 0 ? 1 : hash;
+    } catch (NoSuchAlgorithmException unavailable) {
+      // Every Java runtime provides SHA-256.
+      throw new IllegalStateException(unavailable);
     }
   }
 
--- a/src/main/java/mothwing/store/Disk.java
+++ b/src/main/java/mothwing/store/Disk.java
@@ -12,62 +12,65 @@
 import java.util.stream.Stream;
 
 /**
- * The operations of a store on a folder of files. Tests implement it to let writes, forces and
+ * The file operations of a store in one directory. Tests implement it to make writes, forces and
  * renames fail.
  */
 public interface Disk {
-  /** One open file. */
+  /** An open file. */
   interface OpenFile extends AutoCloseable {
-    /** Its length in bytes. */
+    /** Returns the length in bytes. */
     long size() throws IOException;
 
-    /** Reads bytes from an offset on, up to the end or the limit of the buffer. */
-    int read(ByteBuffer into, long from) throws IOException;
+    /** Reads from an offset until the buffer is full or the file ends; returns the bytes read. */
+    int read(ByteBuffer buffer, long offset) throws IOException;
 
-    /** Appends all bytes. */
+    /** Appends all remaining bytes of a buffer. */
     void append(ByteBuffer bytes) throws IOException;
 
-    /** Blocks until all written bytes would survive a loss of power. */
+    /** Blocks until all written bytes are durable, so that they survive a power loss. */
     void force() throws IOException;
 
-    /** Reduces it to a length in bytes. */
+    /** Truncates the file to a length in bytes. */
     void truncate(long size) throws IOException;
 
     @Override
     void close() throws IOException;
   }
 
-  /** The names of its files, sorted. */
+  /** Returns the names of the files, sorted. */
   List<String> list() throws IOException;
 
-  /** Opens a file, which is made where there is none. */
+  /** Opens a file, which is created if absent. */
   OpenFile open(String name) throws IOException;
 
-  /** Renames a file atomically, replacing a file of that name. */
+  /** Renames a file atomically and replaces an existing file of the new name. */
   void rename(String from, String to) throws IOException;
 
   /** Deletes a file, if it exists. */
   void delete(String name) throws IOException;
 
-  /** Blocks until created, renamed and deleted names would survive a loss of power. */
+  /**
+   * Blocks until created, renamed and deleted names are durable, so that they survive a power loss.
+   */
   void forceDirectory() throws IOException;
 
   /**
-   * The files of a real folder, which is made where there is none.
+   * Opens a directory of the file system, which is created if absent. If the system property {@code
+   * mothwing.disk.control} names a control file, the faults in it are injected.
    *
-   * @param folder the folder
+   * @param directory the directory
    * @return its files
-   * @throws IOException where it cannot be made
+   * @throws IOException if the directory cannot be created
    */
-  static Disk of(Path folder) throws IOException {
-    Files.createDirectories(folder);
+  static Disk of(Path directory) throws IOException {
+    Files.createDirectories(directory);
     String control = System.getProperty(FaultInjectingDisk.PROPERTY);
     return control == null
-        ? new Directory(folder)
-        : new FaultInjectingDisk(new Directory(folder), Path.of(control));
+        ? new Directory(directory)
+        : new FaultInjectingDisk(new Directory(directory), Path.of(control));
   }
 
-  /** A real folder. */
+  /** A directory of the file system. */
   record Directory(Path path) implements Disk {
     @Override
     public List<String> list() throws IOException {
@@ -100,7 +103,7 @@
       try {
         Files.delete(path.resolve(name));
       } catch (NoSuchFileException ignored) {
-        // already deleted
+        // Already deleted.
       }
     }
 
@@ -112,7 +115,7 @@
     }
   }
 
-  /** A real file. */
+  /** An open file of the file system. */
   record ChannelFile(FileChannel file) implements OpenFile {
     @Override
     public long size() throws IOException {
@@ -120,14 +123,14 @@
     }
 
     @Override
-    public int read(ByteBuffer into, long from) throws IOException {
+    public int read(ByteBuffer buffer, long offset) throws IOException {
       int read = 0;
-      while (into.hasRemaining()) {
-        int more = file.read(into, from + read);
-        if (more < 0) {
+      while (buffer.hasRemaining()) {
+        int count = file.read(buffer, offset + read);
+        if (count < 0) {
           break;
         }
-        read += more;
+        read += count;
       }
       return read;
     }
--- a/src/main/java/mothwing/store/FaultInjectingDisk.java
+++ b/src/main/java/mothwing/store/FaultInjectingDisk.java
@@ -9,13 +9,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A disk that is full, slow or failing as a control file says; trials check with it that nothing is
- * acknowledged before it is durable. The file's one line is {@code full} (half of the bytes of an
- * append are written, then it fails), {@code fail} (writes succeed, forces fail), {@code slow MS}
- * (each force takes so many milliseconds longer), or empty. It is read before each operation.
+ * Injects the fault that a control file selects into the operations of a disk. Trials use it to
+ * check that nothing is acknowledged before it is durable. The control file holds one line: {@code
+ * full} (half of the bytes of an append are written, then it fails), {@code fail} (writes succeed,
+ * forces fail), {@code slow MS} (each force takes that many milliseconds longer), or nothing. It is
+ * read before each append and force.
  *
- * @param disk the real one
- * @param control the control file; where it is missing no fault is injected
+ * @param disk the disk that performs the operations
+ * @param control the control file; if it is missing no fault is injected
  */
 record FaultInjectingDisk(Disk disk, Path control) implements Disk {
   /** The system property that names the control file. */
@@ -28,21 +29,21 @@
   private String fault() throws IOException {
     try {
       return Files.readString(control).strip();
-    } catch (NoSuchFileException none) {
+    } catch (NoSuchFileException absent) {
       return "";
     }
   }
 
-  private void force() throws IOException {
+  private void injectForceFault() throws IOException {
     String fault = fault();
     if (fault.equals(FAIL)) {
-      throw new IOException("the disk fails: " + control + " says so");
+      throw new IOException("injected fault: force fails, as selected by " + control);
     } else if (fault.startsWith(SLOW)) {
       try {
         TimeUnit.MILLISECONDS.sleep(Long.parseLong(fault.substring(SLOW.length())));
       } catch (InterruptedException interrupted) {
         Thread.currentThread().interrupt();
-        throw new IOException("broken off while it was slow", interrupted);
+        throw new IOException("interrupted during an injected delay", interrupted);
       }
     }
   }
@@ -69,51 +70,51 @@
 
   @Override
   public void forceDirectory() throws IOException {
-    force();
+    injectForceFault();
     disk.forceDirectory();
   }
 
   private final class FaultInjectingFile implements OpenFile {
-    private final OpenFile opened;
+    private final OpenFile file;
 
-    FaultInjectingFile(OpenFile opened) {
-      this.opened = opened;
+    FaultInjectingFile(OpenFile file) {
+      this.file = file;
     }
 
     @Override
     public long size() throws IOException {
-      return opened.size();
+      return file.size();
     }
 
     @Override
-    public int read(ByteBuffer into, long from) throws IOException {
-      return opened.read(into, from);
+    public int read(ByteBuffer buffer, long offset) throws IOException {
+      return file.read(buffer, offset);
     }
 
     @Override
     public void append(ByteBuffer bytes) throws IOException {
       if (fault().equals(FULL)) {
         bytes.limit(bytes.position() + bytes.remaining() / 2);
-        opened.append(bytes);
-        throw new IOException("no space is left: " + control + " says so");
+        file.append(bytes);
+        throw new IOException("injected fault: no space left, as selected by " + control);
       }
-      opened.append(bytes);
+      file.append(bytes);
     }
 
     @Override
     public void force() throws IOException {
-      FaultInjectingDisk.this.force();
-      opened.force();
+      injectForceFault();
+      file.force();
     }
 
     @Override
     public void truncate(long size) throws IOException {
-      opened.truncate(size);
+      file.truncate(size);
     }
 
     @Override
     public void close() throws IOException {
-      opened.close();
+      file.close();
     }
   }
 }
--- a/src/main/java/mothwing/store/GroupCommitter.java
+++ b/src/main/java/mothwing/store/GroupCommitter.java
@@ -10,69 +10,70 @@
 import java.util.function.Supplier;
 
 /**
- * Appends the records of one owner to a {@link Journal} without blocking the owner: records are
- * queued, a helper thread writes all queued records as one frame and forces it (group commit), and
- * the completion runs on the owner's thread. If a write fails, all queued records of its epoch fail
- * with it, in order, as each may depend on the one before. The owner's next epoch starts when it is
- * notified of the failure; records appended from then on are written again.
+ * Appends the records of one owner to a {@link Journal} without blocking the owner's thread.
+ * Records are queued; a writer thread writes all queued records as one frame and forces it (group
+ * commit), and the completions run on the owner's thread. If a write fails, all queued records of
+ * the same epoch fail with it, in order, because each may depend on the one before. The next epoch
+ * starts when the owner is notified of the failure; records appended from then on are written
+ * again.
  */
 public final class GroupCommitter {
   private static final int MAX_FRAME_BYTES = 8 << 20;
 
   /**
-   * A task of the helper, in the order of the queue.
+   * A task of the writer thread. Tasks run in the order in which they are queued.
    *
-   * @param epoch the owner's epoch when it was queued
+   * @param epoch the owner's epoch when the task was queued
    * @param record the record to append, or null for a snapshot
-   * @param pieces the pieces of the snapshot, or null for a record
-   * @param barrier whether it is a snapshot before which no later record may be forced
-   * @param done takes null, or the failure
+   * @param chunks the chunks of the snapshot, or null for a record
+   * @param barrier whether the task is a snapshot before which no later record may be forced
+   * @param done receives null on success, else the failure
    */
   private record Task(
       int epoch,
       byte[] record,
-      Supplier<Iterator<byte[]>> pieces,
+      Supplier<Iterator<byte[]>> chunks,
       boolean barrier,
       Consumer<IOException> done) {}
 
   private final Journal journal;
   private final Executor owner;
-  private final Executor helper;
+  private final Executor writer;
   private final int maxPending;
-  // confined to the owner's thread:
+  // Confined to the owner's thread.
   private int epoch;
   private int pending;
-  // shared, guarded by the queue:
+  // Shared, guarded by the queue.
   private final ArrayDeque<Task> queue = new ArrayDeque<>();
   private boolean scheduled;
-  // confined to the helper thread:
+  // Confined to the writer thread, except the size.
   private int failedEpoch = -1;
   private Journal.Snapshot snapshot;
   private Task snapshotTask;
   private volatile long size;
 
   /**
-   * Makes a committer.
+   * Creates a committer.
    *
-   * @param journal the journal, which only the helper uses from now on
-   * @param owner runs events on the owner's thread
-   * @param helper runs tasks on the helper thread
-   * @param maxPending bounds the records that are not completed
+   * @param journal the journal, which only the writer thread uses from now on
+   * @param owner runs completions on the owner's thread
+   * @param writer runs tasks on the writer thread
+   * @param maxPending number of uncompleted records and snapshots at which appends are refused
    */
-  public GroupCommitter(Journal journal, Executor owner, Executor helper, int maxPending) {
+  public GroupCommitter(Journal journal, Executor owner, Executor writer, int maxPending) {
     this.journal = journal;
     this.owner = owner;
-    this.helper = helper;
+    this.writer = writer;
     this.maxPending = maxPending;
     this.size = journal.size();
   }
 
   /**
-   * Appends a record. Only for the owner's thread.
+   * Appends a record. Must be called on the owner's thread.
    *
-   * @param record its bytes
-   * @param done takes null once the record is forced, or why it is not in the journal
-   * @return false where too many records are pending: nothing was done
+   * @param record the bytes of the record
+   * @param done receives null once the record is forced, or the reason why it is not in the journal
+   * @return false if too many records are pending; then nothing was done
    */
   public boolean append(byte[] record, Consumer<IOException> done) {
     if (pending >= maxPending) {
@@ -83,33 +84,34 @@
   }
 
   /**
-   * Writes a snapshot of the state after the last record that was appended. Only for the owner's
+   * Writes a snapshot of the state after the last appended record. Must be called on the owner's
    * thread.
    *
-   * @param pieces gives the state in pieces; called on the helper thread, so the state must be
+   * @param chunks supplies the state in chunks; called on the writer thread, so the state must be
    *     immutable
-   * @param barrier whether the snapshot holds changes that no record has: no later record is forced
-   *     before it
-   * @param done takes null once the snapshot is forced, or why there is none
+   * @param barrier whether the snapshot holds changes that no record has; then no later record is
+   *     forced before it
+   * @param done receives null once the snapshot is forced, or the reason why there is none
    */
   public void snapshot(
-      Supplier<Iterator<byte[]>> pieces, boolean barrier, Consumer<IOException> done) {
-    enqueue(new Task(epoch, null, pieces, barrier, done));
+      Supplier<Iterator<byte[]>> chunks, boolean barrier, Consumer<IOException> done) {
+    enqueue(new Task(epoch, null, chunks, barrier, done));
   }
 
   /**
-   * Bytes of the journal since its last snapshot, as of the last task.
+   * Returns the length of the journal since its last snapshot, as of the last task.
    *
-   * @return the size
+   * @return the length in bytes
    */
   public long size() {
     return size;
   }
 
   /**
-   * The number of records and snapshots that are not completed. Only for the owner's thread.
+   * Returns the number of records and snapshots that are not completed. Must be called on the
+   * owner's thread.
    *
-   * @return their number
+   * @return the number of pending records and snapshots
    */
   public int pendingCount() {
     return pending;
@@ -126,7 +128,7 @@
   private void schedule() {
     if (!scheduled) {
       scheduled = true;
-      helper.execute(this::runTasks);
+      writer.execute(this::runTasks);
     }
   }
 
@@ -136,10 +138,11 @@
     synchronized (queue) {
       int bytes = 0;
       first = queue.peek();
+      // Epochs fail independently, so a batch holds the records of one epoch only.
       while (!queue.isEmpty()
           && queue.peek().record != null
           && bytes < MAX_FRAME_BYTES
-          && queue.peek().epoch == first.epoch) { // epochs fail independently
+          && queue.peek().epoch == first.epoch) {
         bytes += queue.peek().record.length;
         batch.add(queue.poll());
       }
@@ -162,18 +165,18 @@
   }
 
   private void commit(List<Task> batch) {
-    IOException failed = null;
+    IOException failure = null;
     if (batch.get(0).epoch <= failedEpoch) {
-      failed = new IOException("an earlier record could not be written");
+      failure = new IOException("an earlier record could not be written");
     } else {
       try {
         journal.append(batch.stream().map(Task::record).toList());
-      } catch (IOException bad) {
-        failed = bad;
+      } catch (IOException writeFailure) {
+        failure = writeFailure;
         failedEpoch = batch.get(0).epoch;
       }
     }
-    complete(batch, failed);
+    complete(batch, failure);
   }
 
   private void startSnapshot(Task task) {
@@ -184,19 +187,19 @@
       if (task.epoch <= failedEpoch) {
         throw new IOException("an earlier record could not be written");
       }
-      snapshot = journal.snapshot(task.pieces.get());
+      snapshot = journal.snapshot(task.chunks.get());
       snapshotTask = task;
       while (task.barrier && snapshot.step()) {
-        // no record may come between the steps
+        // No record may be written between the steps.
       }
       if (task.barrier) {
         snapshot = null;
         complete(List.of(task), null);
       }
-    } catch (IOException bad) {
+    } catch (IOException failure) {
       failedEpoch = task.barrier ? Math.max(failedEpoch, task.epoch) : failedEpoch;
       snapshot = null;
-      complete(List.of(task), bad);
+      complete(List.of(task), failure);
     }
   }
 
@@ -206,37 +209,37 @@
         snapshot = null;
         complete(List.of(snapshotTask), null);
       }
-    } catch (IOException bad) {
+    } catch (IOException failure) {
       snapshot = null;
-      complete(List.of(snapshotTask), bad);
+      complete(List.of(snapshotTask), failure);
     }
   }
 
-  private void complete(List<Task> tasks, IOException failed) {
+  private void complete(List<Task> tasks, IOException failure) {
     owner.execute(
         () -> {
           for (Task task : tasks) {
             pending--;
-            if (failed != null && task.epoch == epoch && (task.record != null || task.barrier)) {
+            if (failure != null && task.epoch == epoch && (task.record != null || task.barrier)) {
               epoch++;
             }
-            task.done.accept(failed);
+            task.done.accept(failure);
           }
         });
   }
 
   /**
-   * Closes the journal once all tasks are completed. A last empty frame marks that all records
-   * before it were acknowledged.
+   * Closes the journal once all tasks are completed. An empty frame at its end marks that all
+   * records before it were acknowledged.
    *
-   * @param closed runs on the owner's thread
+   * @param closed runs on the owner's thread after the close
    */
   public void close(Runnable closed) {
-    helper.execute(
+    writer.execute(
         () -> {
           synchronized (queue) {
             if (!queue.isEmpty() || snapshot != null) {
-              helper.execute(() -> close(closed));
+              writer.execute(() -> close(closed));
               return;
             }
           }
@@ -244,7 +247,7 @@
             journal.append(List.of());
             journal.close();
           } catch (IOException ignored) {
-            // all acknowledged records are forced; only the mark is missing
+            // All acknowledged records are forced; only the end mark is missing.
           }
           owner.execute(closed);
         });
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -10,15 +10,15 @@
 import java.util.function.Consumer;
 
 /**
- * An append-only log with snapshots, on a {@link Disk}. Records are numbered; those that are
+ * An append-only log with snapshots, on a {@link Disk}. Records are numbered. Records that are
  * appended together are written as one frame and forced before {@link #append} returns. A snapshot
  * is written to a temporary file, forced and renamed; the log continues in a new file, and the
  * files that the snapshot covers are deleted. Opening reads the newest snapshot and all records
- * after it. A torn frame at the very end was never acknowledged: it is truncated and logged. A
- * damaged frame before the end was acknowledged: opening fails and names the place.
+ * after it. A torn frame at the very end was never acknowledged; it is truncated and logged. A
+ * damaged frame before the end was acknowledged, so opening fails with the file and the offset.
  *
- * <p>It blocks, and belongs to one thread at a time. After a failed append the file is truncated to
- * what was acknowledged; while that fails too, each further append retries it first.
+ * <p>All operations block. Used by one thread at a time. After a failed append the file is
+ * truncated to its acknowledged length; if that fails too, each further append first retries it.
  */
 public final class Journal implements AutoCloseable {
   private static final String LOG = "log-";
@@ -26,12 +26,12 @@
   private static final String TEMPORARY = "aside.tmp";
   private static final int SNAPSHOT_FRAME_BYTES = 1 << 20;
 
-  /** Receives what was stored, in order: at most one snapshot, then the records after it. */
+  /** Receives the stored data in order: at most one snapshot, then the records after it. */
   public interface Replay {
-    /** A piece of the snapshot. */
-    void snapshot(byte[] piece) throws IOException;
+    /** Receives a chunk of the snapshot. */
+    void snapshot(byte[] chunk) throws IOException;
 
-    /** A record. */
+    /** Receives a record. */
     void record(byte[] record) throws IOException;
   }
 
@@ -50,14 +50,14 @@
   }
 
   /**
-   * Opens a journal, or makes one.
+   * Opens a journal, or creates one if the disk holds none.
    *
-   * @param disk where its files are
-   * @param replay receives what it holds
-   * @param log takes lines of the log on truncated and abandoned files
-   * @return the journal, to be appended to
-   * @throws CorruptRecordException where a file is damaged before its end
-   * @throws IOException where the files cannot be read or written
+   * @param disk the disk that holds its files
+   * @param replay receives the stored data
+   * @param log receives log lines about truncated and abandoned files
+   * @return the journal, ready for appends
+   * @throws CorruptRecordException if a file is damaged before its end
+   * @throws IOException if the files cannot be read or written
    */
   public static Journal open(Disk disk, Replay replay, Consumer<String> log) throws IOException {
     Journal journal = new Journal(disk, log);
@@ -76,13 +76,13 @@
   private void recover(Replay replay) throws IOException {
     List<String> logs = new ArrayList<>();
     List<String> snapshots = new ArrayList<>();
-    for (String found : disk.list()) {
-      if (found.matches("log-[0-9a-f]{16}")) {
-        logs.add(found);
-      } else if (found.matches("snapshot-[0-9a-f]{16}")) {
-        snapshots.add(found);
-      } else if (found.equals(TEMPORARY)) {
-        disk.delete(found);
+    for (String entry : disk.list()) {
+      if (entry.matches("log-[0-9a-f]{16}")) {
+        logs.add(entry);
+      } else if (entry.matches("snapshot-[0-9a-f]{16}")) {
+        snapshots.add(entry);
+      } else if (entry.equals(TEMPORARY)) {
+        disk.delete(entry);
       }
     }
     nextSequence = 1;
@@ -91,83 +91,90 @@
       nextSequence = sequence(newest, SNAPSHOT) + 1;
       SnapshotReader.read(disk, newest, nextSequence - 1, replay);
     }
-    // needed are the log files with records that the snapshot does not cover
-    int from = logs.size() - 1;
-    while (from > 0 && sequence(logs.get(from), LOG) > nextSequence) {
-      from--;
+    // Only log files with records that the snapshot does not cover are read.
+    int firstNeeded = logs.size() - 1;
+    while (firstNeeded > 0 && sequence(logs.get(firstNeeded), LOG) > nextSequence) {
+      firstNeeded--;
     }
-    for (int i = Math.max(0, from); i < logs.size(); i++) {
+    for (int i = Math.max(0, firstNeeded); i < logs.size(); i++) {
       readLog(logs.get(i), i == logs.size() - 1, replay);
     }
     if (file == null) {
       startFile();
     }
-    for (String covered : logs.subList(0, Math.max(0, from))) {
+    for (String covered : logs.subList(0, Math.max(0, firstNeeded))) {
       disk.delete(covered);
     }
-    for (String former : snapshots.subList(0, Math.max(0, snapshots.size() - 1))) {
-      disk.delete(former);
+    for (String previous : snapshots.subList(0, Math.max(0, snapshots.size() - 1))) {
+      disk.delete(previous);
     }
   }
 
-  private void readLog(String log, boolean last, Replay replay) throws IOException {
-    Disk.OpenFile opened = disk.open(log);
-    boolean kept = false;
+  private void readLog(String logFile, boolean last, Replay replay) throws IOException {
+    Disk.OpenFile opened = disk.open(logFile);
+    boolean keepOpen = false;
     try {
-      OptionalLong first = RecordFraming.firstSequence(opened, log);
+      OptionalLong first = RecordFraming.firstSequence(opened, logFile);
       if (first.isEmpty() && last && RecordFraming.findFrame(opened, 0, nextSequence).isEmpty()) {
-        this.log.accept("journal-cut file=" + log + " at=0 bytes=" + opened.size());
-        disk.delete(log); // its creation was interrupted: nothing in it was acknowledged
+        log.accept("journal-cut file=" + logFile + " at=0 bytes=" + opened.size());
+        // Its creation was interrupted, so nothing in it was acknowledged.
+        disk.delete(logFile);
         return;
       }
-      checkHeader(log, first);
-      LogEnd end = replayRecords(opened, log, last, replay);
+      checkHeader(logFile, first);
+      LogEnd end = replayRecords(opened, logFile, last, replay);
       if (last) {
         nextSequence = Math.max(nextSequence, end.sequence());
-        if (end.sequence() == nextSequence) { // else a new file starts behind the snapshot
+        // Otherwise a new file starts after the snapshot.
+        if (end.sequence() == nextSequence) {
           file = opened;
-          name = log;
+          name = logFile;
           acknowledgedBytes = end.offset();
-          kept = true;
+          keepOpen = true;
         }
       }
     } finally {
-      if (!kept) {
+      if (!keepOpen) {
         opened.close();
       }
     }
   }
 
-  private void checkHeader(String log, OptionalLong first) throws CorruptRecordException {
+  private void checkHeader(String logFile, OptionalLong first) throws CorruptRecordException {
     if (first.isPresent() && first.getAsLong() > nextSequence) {
       throw new CorruptRecordException(
-          log, 0, "records " + nextSequence + " to " + (first.getAsLong() - 1) + " are missing");
+          logFile,
+          0,
+          "records " + nextSequence + " to " + (first.getAsLong() - 1) + " are missing");
     }
-    if (first.isEmpty() || first.getAsLong() != sequence(log, LOG)) {
-      throw new CorruptRecordException(log, 0, "the file header is damaged");
+    if (first.isEmpty() || first.getAsLong() != sequence(logFile, LOG)) {
+      throw new CorruptRecordException(logFile, 0, "the file header is damaged");
     }
   }
 
-  /** Where the records of a log file end: the next sequence number, and the offset. */
+  /** The end of the records of a log file: the next sequence number and the offset. */
   private record LogEnd(long sequence, long offset) {}
 
-  private LogEnd replayRecords(Disk.OpenFile opened, String log, boolean last, Replay replay)
+  private LogEnd replayRecords(Disk.OpenFile opened, String logFile, boolean last, Replay replay)
       throws IOException {
-    long expected = sequence(log, LOG);
+    long expected = sequence(logFile, LOG);
     long offset = RecordFraming.HEADER_BYTES;
     while (offset < opened.size()) {
       Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
       if (read.isEmpty()) {
-        truncateTornTail(opened, log, offset, last, expected);
+        truncateTornTail(opened, logFile, offset, last, expected);
         break;
       }
       RecordFraming.Frame frame = read.get();
       if (frame.firstSequence() != expected) {
         throw new CorruptRecordException(
-            log, offset, "a frame with record " + frame.firstSequence() + ", expected " + expected);
+            logFile,
+            offset,
+            "a frame with record " + frame.firstSequence() + ", expected " + expected);
       }
       for (byte[] record : frame.records()) {
-        if (expected >= nextSequence) { // the snapshot covers those before
+        // The snapshot covers the records before.
+        if (expected >= nextSequence) {
           replay.record(record);
           nextSequence = expected + 1;
         }
@@ -178,33 +185,36 @@
     return new LogEnd(expected, offset);
   }
 
-  /** Truncates a torn frame at the end; fails if it is not at the end of the last file. */
+  /** Truncates a torn frame at the end of the last file; fails if the damage is elsewhere. */
   private void truncateTornTail(
-      Disk.OpenFile opened, String log, long at, boolean last, long expected) throws IOException {
-    OptionalLong later = RecordFraming.findFrame(opened, at + 1, expected);
+      Disk.OpenFile opened, String logFile, long offset, boolean last, long expected)
+      throws IOException {
+    OptionalLong later = RecordFraming.findFrame(opened, offset + 1, expected);
     if (!last || later.isPresent()) {
       throw new CorruptRecordException(
-          log,
-          at,
+          logFile,
+          offset,
           "a damaged frame, followed by intact frames"
               + (later.isPresent() ? " at byte " + later.getAsLong() : " in the next file"));
     }
-    this.log.accept("journal-cut file=" + log + " at=" + at + " bytes=" + (opened.size() - at));
-    opened.truncate(at);
+    log.accept(
+        "journal-cut file=" + logFile + " at=" + offset + " bytes=" + (opened.size() - offset));
+    opened.truncate(offset);
     opened.force();
   }
 
-  /** Starts a new file, for the next record on. */
+  /** Starts a new log file, which begins with the next record. */
   private void startFile() throws IOException {
-    String fresh = fileName(LOG, nextSequence);
-    Disk.OpenFile opened = disk.open(fresh);
+    String newName = fileName(LOG, nextSequence);
+    Disk.OpenFile opened = disk.open(newName);
     try {
       opened.truncate(0);
       opened.append(RecordFraming.header(nextSequence));
       opened.force();
       disk.forceDirectory();
     } catch (IOException failed) {
-      abandonedFile = fresh; // recovery would take it for the continuation of the current file
+      // Recovery would read it as the continuation of the current file.
+      abandonedFile = newName;
       opened.close();
       tryRepair();
       throw failed;
@@ -213,27 +223,28 @@
       file.close();
     }
     file = opened;
-    name = fresh;
+    name = newName;
     acknowledgedBytes = RecordFraming.HEADER_BYTES;
   }
 
   /**
    * Appends records, all or none, and forces them.
    *
-   * @param records the records; if there are none, an empty frame marks that all before it was
+   * @param records the records; without any, an empty frame marks that all records before it were
    *     acknowledged
-   * @throws IOException where they could not be written: none of them is in the journal
+   * @throws IOException if they could not be written; then none of them is in the journal
    */
   public void append(List<byte[]> records) throws IOException {
     if (records.stream().mapToLong(record -> record.length + (long) Integer.BYTES).sum()
         > RecordFraming.MAX_CONTENT_BYTES) {
       throw new IOException(
-          "records of more than " + RecordFraming.MAX_CONTENT_BYTES + " bytes at once");
+          "records of more than " + RecordFraming.MAX_CONTENT_BYTES + " bytes in one append");
     }
     repair();
     ByteBuffer frame = RecordFraming.frame(nextSequence, records);
     int length = frame.remaining();
-    hasTornFrame = true; // until the frame is complete
+    // Reset once the frame is complete.
+    hasTornFrame = true;
     try {
       file.append(frame);
       file.force();
@@ -256,7 +267,7 @@
   }
 
   /**
-   * Removes the remains of a frame or file whose write failed, which recovery would read after a
+   * Removes the remains of a frame or file whose write failed. Recovery would read them after a
    * crash.
    */
   private void repair() throws IOException {
@@ -273,57 +284,59 @@
   }
 
   /**
-   * Bytes of the log since the last snapshot.
+   * Returns the length of the log since the last snapshot.
    *
-   * @return the size
+   * @return the length in bytes
    */
   public long size() {
     return acknowledgedBytes;
   }
 
   /**
-   * The sequence number of the last record.
+   * Returns the sequence number of the last record.
    *
-   * @return its sequence number, 0 where there is none
+   * @return the sequence number, or 0 if there is no record
    */
   public long lastSequence() {
     return nextSequence - 1;
   }
 
-  /** A snapshot that is being written, in steps between which records can be appended. */
+  /** A snapshot in progress. It is written in steps, between which records can be appended. */
   public final class Snapshot {
-    private final long covers;
-    private final Iterator<byte[]> pieces;
+    private final long lastCovered;
+    private final Iterator<byte[]> chunks;
     private final Disk.OpenFile temporary;
     private long frames;
 
-    private Snapshot(Iterator<byte[]> pieces) throws IOException {
-      this.covers = nextSequence - 1;
-      this.pieces = pieces;
+    private Snapshot(Iterator<byte[]> chunks) throws IOException {
+      this.lastCovered = nextSequence - 1;
+      this.chunks = chunks;
       repair();
       if (acknowledgedBytes > RecordFraming.HEADER_BYTES
           || !name.equals(fileName(LOG, nextSequence))) {
-        startFile(); // so that the file before it can be deleted
+        // Lets the previous file be deleted.
+        startFile();
       }
       temporary = disk.open(TEMPORARY);
       temporary.truncate(0);
-      temporary.append(RecordFraming.header(covers));
+      temporary.append(RecordFraming.header(lastCovered));
     }
 
     /**
-     * Writes the next frame of it.
+     * Writes the next frame of the snapshot.
      *
-     * @return false once it is complete and forced, and the files that it covers are deleted
-     * @throws IOException where that fails; the snapshot is abandoned, and the journal is as before
+     * @return false once the snapshot is complete and forced and the files that it covers are
+     *     deleted
+     * @throws IOException if that fails; the snapshot is abandoned, and the journal is as before
      */
     public boolean step() throws IOException {
       try {
         List<byte[]> frame = new ArrayList<>();
         int bytes = 0;
-        while (bytes < SNAPSHOT_FRAME_BYTES && pieces.hasNext()) {
-          byte[] piece = pieces.next();
-          frame.add(piece);
-          bytes += piece.length;
+        while (bytes < SNAPSHOT_FRAME_BYTES && chunks.hasNext()) {
+          byte[] chunk = chunks.next();
+          frame.add(chunk);
+          bytes += chunk.length;
         }
         if (!frame.isEmpty()) {
           temporary.append(RecordFraming.frame(frames++, frame));
@@ -337,24 +350,25 @@
         throw failed;
       }
       temporary.close();
-      disk.rename(TEMPORARY, fileName(SNAPSHOT, covers));
+      disk.rename(TEMPORARY, fileName(SNAPSHOT, lastCovered));
       disk.forceDirectory();
-      for (String found : disk.list()) {
-        if (isCovered(found)) {
-          disk.delete(found);
+      for (String entry : disk.list()) {
+        if (isCovered(entry)) {
+          disk.delete(entry);
         }
       }
       return false;
     }
 
-    private boolean isCovered(String found) {
-      boolean formerSnapshot = found.startsWith(SNAPSHOT) && sequence(found, SNAPSHOT) < covers;
-      boolean formerLog =
-          found.startsWith(LOG) && sequence(found, LOG) <= covers && !found.equals(name);
-      return formerSnapshot || formerLog;
+    private boolean isCovered(String entry) {
+      boolean isPreviousSnapshot =
+          entry.startsWith(SNAPSHOT) && sequence(entry, SNAPSHOT) < lastCovered;
+      boolean isPreviousLog =
+          entry.startsWith(LOG) && sequence(entry, LOG) <= lastCovered && !entry.equals(name);
+      return isPreviousSnapshot || isPreviousLog;
     }
 
-    /** Abandons it; the journal is as before. */
+    /** Abandons the snapshot; the journal is as before. */
     public void abandon() {
       try {
         temporary.close();
@@ -368,12 +382,12 @@
   /**
    * Starts a snapshot of the state after the last record.
    *
-   * @param pieces the state, in pieces of 16 MiB at most
+   * @param chunks the state, in chunks of at most 16 MiB
    * @return the snapshot, to be written step by step
-   * @throws IOException where it cannot be started; the journal is as before
+   * @throws IOException if it cannot be started; the journal is as before
    */
-  public Snapshot snapshot(Iterator<byte[]> pieces) throws IOException {
-    return new Snapshot(pieces);
+  public Snapshot snapshot(Iterator<byte[]> chunks) throws IOException {
+    return new Snapshot(chunks);
   }
 
   @Override
--- a/src/main/java/mothwing/store/RecordFraming.java
+++ b/src/main/java/mothwing/store/RecordFraming.java
@@ -9,20 +9,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * The format of the store's files: a header with magic, version, first sequence number and
- * checksum, then frames. A frame holds the records that were written and forced together: its
- * magic, the length of its content, the sequence number of its first record, the number of its
- * records, a CRC-32C of all these and of the content (RFC 3720 appendix B.4 has the polynomial),
- * and the content, which is its records, each behind its length. All numbers are big-endian.
+ * Encodes and decodes the files of the store. A file is a header with magic, version, first
+ * sequence number and checksum, followed by frames. A frame holds the records that were written and
+ * forced together: its magic, the length of its content, the sequence number of its first record,
+ * the number of its records, a CRC-32C of all these and of the content (polynomial in RFC 3720
+ * appendix B.4), and the content, in which each record follows its length. All numbers are
+ * big-endian.
  */
 final class RecordFraming {
-  /** Length of a file's header. */
+  /** The length of the header of a file. */
   static final int HEADER_BYTES = 24;
 
-  /** Bounds the content of a frame. */
+  /** The maximum length of the content of a frame. */
   static final int MAX_CONTENT_BYTES = 64 << 20;
 
-  private static final long FILE_MAGIC = 0x6d6f74682d6c6f67L; // "moth-log"
+  // The ASCII characters "moth-log".
+  private static final long FILE_MAGIC = 0x6d6f74682d6c6f67L;
   private static final int VERSION = 1;
   private static final int FRAME_MAGIC = 0x6d77f7a3;
   private static final int FRAME_HEADER_BYTES = 24;
@@ -33,17 +35,17 @@
   private static final int SEARCH_WINDOW_BYTES = 1 << 16;
 
   /**
-   * A frame that was read.
+   * A frame read from a file.
    *
    * @param firstSequence the sequence number of its first record
    * @param records its records
-   * @param end the offset behind it in its file
+   * @param end the offset of its end in the file
    */
   record Frame(long firstSequence, List<byte[]> records, long end) {}
 
   private RecordFraming() {}
 
-  /** The header of a file. */
+  /** Encodes the header of a file. */
   static ByteBuffer header(long firstSequence) {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
     header.putLong(FILE_MAGIC).putInt(VERSION).putLong(firstSequence);
@@ -53,9 +55,9 @@
   }
 
   /**
-   * The first sequence number of a file, or none where its header is incomplete or damaged.
+   * Reads the first sequence number of a file; empty if its header is incomplete or damaged.
    *
-   * @throws CorruptRecordException where a newer version of this program wrote it
+   * @throws CorruptRecordException if a newer version of this program wrote the file
    */
   static OptionalLong firstSequence(Disk.OpenFile file, String name) throws IOException {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
@@ -68,16 +70,16 @@
     long magic = header.getLong();
     int version = header.getInt();
     long first = header.getLong();
-    boolean isComplete = (int) crc.getValue() == header.getInt() && magic == FILE_MAGIC;
-    if (isComplete && version > VERSION) {
+    boolean isIntact = (int) crc.getValue() == header.getInt() && magic == FILE_MAGIC;
+    if (isIntact && version > VERSION) {
       throw new CorruptRecordException(name, 0, "written by a newer version of this program");
     }
-    return isComplete && version == VERSION && first >= 0
+    return isIntact && version == VERSION && first >= 0
         ? OptionalLong.of(first)
         : OptionalLong.empty();
   }
 
-  /** A frame of these records. */
+  /** Encodes a frame of records. */
   static ByteBuffer frame(long firstSequence, List<byte[]> records) {
     int length = records.stream().mapToInt(record -> Integer.BYTES + record.length).sum();
     ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + length);
@@ -101,7 +103,7 @@
     return (int) crc.getValue();
   }
 
-  /** The frame at an offset of a file, or none where it is incomplete or damaged. */
+  /** Reads the frame at an offset of a file; empty if it is incomplete or damaged. */
   static Optional<Frame> read(Disk.OpenFile file, long offset) throws IOException {
     ByteBuffer header = ByteBuffer.allocate(FRAME_HEADER_BYTES);
     if (file.read(header, offset) < FRAME_HEADER_BYTES || header.getInt(0) != FRAME_MAGIC) {
@@ -130,22 +132,22 @@
   }
 
   /**
-   * The offset, at or after another, of the next undamaged frame whose first sequence number is at
-   * least {@code minSequence}, or none.
+   * Returns the offset of the next undamaged frame, at or after {@code from}, whose first sequence
+   * number is at least {@code minSequence}; empty if there is none.
    */
   static OptionalLong findFrame(Disk.OpenFile file, long from, long minSequence)
       throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(SEARCH_WINDOW_BYTES);
-    for (long at = from;
-        at + FRAME_HEADER_BYTES <= file.size();
-        at += SEARCH_WINDOW_BYTES - (Integer.BYTES - 1)) {
+    for (long windowStart = from;
+        windowStart + FRAME_HEADER_BYTES <= file.size();
+        windowStart += SEARCH_WINDOW_BYTES - (Integer.BYTES - 1)) {
       bytes.clear();
-      int read = file.read(bytes, at);
+      int read = file.read(bytes, windowStart);
       for (int i = 0; i + Integer.BYTES <= read; i++) {
         if (bytes.getInt(i) == FRAME_MAGIC) {
-          Optional<Frame> frame = read(file, at + i);
+          Optional<Frame> frame = read(file, windowStart + i);
           if (frame.isPresent() && frame.get().firstSequence() >= minSequence) {
-            return OptionalLong.of(at + i);
+            return OptionalLong.of(windowStart + i);
           }
         }
       }
--- a/src/main/java/mothwing/store/SnapshotReader.java
+++ b/src/main/java/mothwing/store/SnapshotReader.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Reads the snapshots of a journal: numbered frames of pieces, then a frame with their number. */
+/** Reads the snapshots of a journal: numbered frames of chunks, then a frame with their count. */
 final class SnapshotReader {
   /** The sequence number of the last frame of a snapshot. */
   static final long LAST_FRAME = -1;
@@ -15,11 +15,11 @@
   /**
    * Reads a snapshot.
    *
-   * @param disk where it is
-   * @param snapshot its file
-   * @param sequence the number of the last record that it covers
-   * @param replay receives its pieces
-   * @throws CorruptRecordException where it is damaged or incomplete
+   * @param disk the disk that holds the snapshot
+   * @param snapshot the name of its file
+   * @param sequence the sequence number of the last record that it covers
+   * @param replay receives its chunks
+   * @throws CorruptRecordException if the snapshot is damaged or incomplete
    */
   static void read(Disk disk, String snapshot, long sequence, Journal.Replay replay)
       throws IOException {
@@ -35,8 +35,8 @@
         if (frame.firstSequence() == LAST_FRAME) {
           return;
         }
-        for (byte[] piece : frame.records()) {
-          replay.snapshot(piece);
+        for (byte[] chunk : frame.records()) {
+          replay.snapshot(chunk);
         }
         frames++;
         offset = frame.end();
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Reads a frame of a snapshot; the last one holds the number of those before it. */
+  /** Reads a frame of a snapshot. The last frame holds the number of frames before it. */
   private static RecordFraming.Frame readFrame(
       Disk.OpenFile opened, String snapshot, long offset, long number) throws IOException {
     Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
--- a/src/main/java/mothwing/store/package-info.java
+++ b/src/main/java/mothwing/store/package-info.java
@@ -1,10 +1,10 @@
 /**
- * Durable storage: an append-only journal with snapshots, group commit in front of it, and a table
- * of key leases that the processes of one machine share.
+ * Durable storage: an append-only journal with snapshots, group commit for it, and a table of key
+ * leases that the processes of one machine share.
  *
- * <p>A {@link mothwing.store.Journal} blocks and belongs to one thread at a time; {@link
- * mothwing.store.GroupCommitter} lets an owner that must not block use one through a helper thread.
- * Invariant: a record is acknowledged only once it would survive a loss of power, and an
- * acknowledged record that cannot be read again is reported as corruption, never skipped.
+ * <p>A {@link mothwing.store.Journal} blocks and is used by one thread at a time; {@link
+ * mothwing.store.GroupCommitter} lets an owner that must not block use one through a writer thread.
+ * Invariant: a record is acknowledged only once it survives a power loss, and an acknowledged
+ * record that cannot be read again is reported as corruption, never skipped.
  */
 package mothwing.store;
--- a/src/test/java/mothwing/store/FaultyDisk.java
+++ b/src/test/java/mothwing/store/FaultyDisk.java
@@ -10,9 +10,9 @@
 import java.util.TreeMap;
 
 /**
- * A disk in memory that tells what was written from what was forced, and fails at an operation that
- * a test names. What was not forced may be lost, in part or whole, or come back torn, when the
- * power goes; names likewise, in order.
+ * In-memory disk that keeps written and forced content apart and fails the operations that a test
+ * selects. On a simulated power loss, content that was not forced is lost, kept or torn at random.
+ * Of the directory changes that were not forced, a random number of the oldest survives.
  */
 public final class FaultyDisk implements Disk {
   private static final class Content {
@@ -28,69 +28,75 @@
   private int failFrom = Integer.MAX_VALUE;
   private int failUntil = Integer.MAX_VALUE;
 
-  /** Makes an empty disk. */
+  /** Creates an empty disk. */
   public FaultyDisk(long seed) {
     random = new Random(seed);
   }
 
-  /** Lets operations fail, from one number after the present one on to another. */
+  /**
+   * Fails the operations numbered from {@code from} up to before {@code until}, counted from now.
+   */
   public void failOperations(int from, int until) {
     failFrom = operations + from;
     failUntil = until == Integer.MAX_VALUE ? until : operations + until;
   }
 
-  /** How many operations there were. */
+  /** Returns the number of operations so far. */
   public int operations() {
     return operations;
   }
 
-  /** The power goes: what is left is what was forced, and any part of what was written since. */
+  /** Simulates a power loss: forced data survives, and a random part of the data written since. */
   public void powerLoss() {
     int kept = random.nextInt(pendingNames.size() + 1);
     names = kept == 0 ? forcedNames : pendingNames.get(kept - 1);
     names = new TreeMap<>(names);
     forcedNames = new TreeMap<>(names);
     pendingNames.clear();
-    for (Content one : names.values()) {
-      one.written = left(one);
-      one.forced = one.written;
+    for (Content content : names.values()) {
+      content.written = surviving(content);
+      content.forced = content.written;
     }
     failOperations(Integer.MAX_VALUE - operations - 1, Integer.MAX_VALUE);
   }
 
-  private byte[] left(Content one) {
-    if (Arrays.equals(one.written, one.forced) || random.nextInt(4) == 0) {
-      return one.forced;
+  private byte[] surviving(Content content) {
+    if (Arrays.equals(content.written, content.forced) || random.nextInt(4) == 0) {
+      return content.forced;
     }
-    if (one.written.length <= one.forced.length) {
-      return random.nextBoolean() ? one.written : one.forced; // a cut that was not forced
+    if (content.written.length <= content.forced.length) {
+      // A truncation that was not forced.
+      return random.nextBoolean() ? content.written : content.forced;
     }
     byte[] torn =
         Arrays.copyOf(
-            one.written,
-            one.forced.length + random.nextInt(one.written.length - one.forced.length + 1));
-    for (int i = one.forced.length;
+            content.written,
+            content.forced.length
+                + random.nextInt(content.written.length - content.forced.length + 1));
+    for (int i = content.forced.length;
         i < torn.length && random.nextBoolean();
         i += 1 + random.nextInt(64)) {
-      torn[i] = 0; // a page that did not reach the disk
+      // Part of a page that did not reach the disk.
+      torn[i] = 0;
     }
     return torn;
   }
 
-  /** Changes one bit of a file. */
+  /** Flips a random bit of the byte at an offset of a file. */
   public void flipBit(String name, int at) {
-    Content one = names.get(name);
-    one.written = one.written.clone();
-    one.written[at] = (byte) (one.written[at] ^ 1 << random.nextInt(8));
-    one.forced = one.written;
+    Content content = names.get(name);
+    content.written = content.written.clone();
+    content.written[at] = (byte) (content.written[at] ^ 1 << random.nextInt(8));
+    content.forced = content.written;
   }
 
-  /** How many bytes a file has. */
+  /** Returns the length of a file in bytes. */
   public int size(String name) {
     return names.get(name).written.length;
   }
 
-  private void operation() throws IOException {
+  /** Counts an operation, and fails it if the test selected it. */
+  private void countOperation() throws IOException {
     operations++;
     if (operations >= failFrom && operations < failUntil) {
       throw new IOException("no space left on device");
@@ -104,21 +110,21 @@
 
   @Override
   public void rename(String from, String to) throws IOException {
-    operation();
+    countOperation();
     names.put(to, names.remove(from));
     pendingNames.add(new TreeMap<>(names));
   }
 
   @Override
   public void delete(String name) throws IOException {
-    operation();
+    countOperation();
     names.remove(name);
     pendingNames.add(new TreeMap<>(names));
   }
 
   @Override
   public void forceDirectory() throws IOException {
-    operation();
+    countOperation();
     forcedNames = new TreeMap<>(names);
     pendingNames.clear();
   }
@@ -126,49 +132,51 @@
   @Override
   public OpenFile open(String name) throws IOException {
     if (!names.containsKey(name)) {
-      operation();
+      countOperation();
       names.put(name, new Content());
       pendingNames.add(new TreeMap<>(names));
     }
-    Content one = names.get(name);
+    Content content = names.get(name);
     return new OpenFile() {
       @Override
       public long size() {
-        return one.written.length;
+        return content.written.length;
       }
 
       @Override
-      public int read(ByteBuffer into, long from) {
-        int some = (int) Math.max(0, Math.min(into.remaining(), one.written.length - from));
-        into.put(one.written, (int) from, some);
-        return some;
+      public int read(ByteBuffer buffer, long offset) {
+        int count =
+            (int) Math.max(0, Math.min(buffer.remaining(), content.written.length - offset));
+        buffer.put(content.written, (int) offset, count);
+        return count;
       }
 
       @Override
       public void append(ByteBuffer bytes) throws IOException {
-        int all = bytes.remaining();
-        int before = one.written.length;
+        int length = bytes.remaining();
+        int offset = content.written.length;
         try {
-          operation();
+          countOperation();
         } catch (IOException full) {
-          all = random.nextInt(all + 1); // a part still fits
+          // A random part of the bytes still fits.
+          length = random.nextInt(length + 1);
           throw full;
         } finally {
-          one.written = Arrays.copyOf(one.written, before + all);
-          bytes.get(one.written, before, all);
+          content.written = Arrays.copyOf(content.written, offset + length);
+          bytes.get(content.written, offset, length);
         }
       }
 
       @Override
       public void force() throws IOException {
-        operation();
-        one.forced = one.written;
+        countOperation();
+        content.forced = content.written;
       }
 
       @Override
       public void truncate(long size) throws IOException {
-        operation();
-        one.written = Arrays.copyOf(one.written, (int) size);
+        countOperation();
+        content.written = Arrays.copyOf(content.written, (int) size);
       }
 
       @Override
--- a/src/test/java/mothwing/store/JournalTest.java
+++ b/src/test/java/mothwing/store/JournalTest.java
@@ -17,24 +17,24 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The journal against a list of what was acknowledged: whatever fails or is cut, that is what comes
- * back.
+ * Compares the journal with a list of the acknowledged records: after write failures, power losses
+ * and torn frames it recovers exactly those.
  */
 class JournalTest {
-  private final List<String> cuts = new ArrayList<>();
+  private final List<String> logLines = new ArrayList<>();
 
-  /** What a journal holds, and the journal. */
-  private record Held(List<String> records, Journal journal) {}
+  /** A journal and the records that were recovered when it was opened. */
+  private record OpenedJournal(List<String> records, Journal journal) {}
 
-  private Held open(Disk disk) throws IOException {
+  private OpenedJournal open(Disk disk) throws IOException {
     List<String> records = new ArrayList<>();
     Journal journal =
         Journal.open(
             disk,
             new Journal.Replay() {
               @Override
-              public void snapshot(byte[] piece) {
-                records.add(new String(piece, StandardCharsets.UTF_8));
+              public void snapshot(byte[] chunk) {
+                records.add(new String(chunk, StandardCharsets.UTF_8));
               }
 
               @Override
@@ -42,34 +42,34 @@
                 records.add(new String(record, StandardCharsets.UTF_8));
               }
             },
-            cuts::add);
-    return new Held(records, journal);
+            logLines::add);
+    return new OpenedJournal(records, journal);
   }
 
   private static List<byte[]> bytes(List<String> records) {
     return records.stream().map(String::getBytes).toList();
   }
 
-  /** The power goes at a random write, force, rename or deletion, again and again. */
+  /** Guards against lost and repeated records after power losses at random operations. */
   @Property(seed = "1764576021", tries = 300)
-  void nothingAcknowledgedIsLostAndNothingComesTwice(@ForAll long seed) throws IOException {
+  void recoversEachAcknowledgedRecordOnceAfterPowerLoss(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     FaultyDisk disk = new FaultyDisk(seed);
     List<String> acknowledged = new ArrayList<>();
-    int made = 0;
-    for (int life = 0; life < 6; life++) {
+    int nextRecord = 0;
+    for (int incarnation = 0; incarnation < 6; incarnation++) {
       List<String> attempted = new ArrayList<>();
       try {
         disk.failOperations(random.nextInt(40), Integer.MAX_VALUE);
-        Held held = open(disk);
-        assertEquals(acknowledged, held.records);
+        OpenedJournal opened = open(disk);
+        assertEquals(acknowledged, opened.records);
         while (true) {
           if (random.nextInt(6) == 0) {
-            Journal.Snapshot snapshot = held.journal.snapshot(bytes(acknowledged).iterator());
+            Journal.Snapshot snapshot = opened.journal.snapshot(bytes(acknowledged).iterator());
             boolean more = snapshot.step();
             if (more && random.nextBoolean()) {
-              attempted = List.of("r" + made++);
-              held.journal.append(bytes(attempted));
+              attempted = List.of("r" + nextRecord++);
+              opened.journal.append(bytes(attempted));
               acknowledged.addAll(attempted);
               attempted = new ArrayList<>();
             }
@@ -79,19 +79,20 @@
           }
           attempted = new ArrayList<>();
           for (int i = random.nextInt(4); i >= 0; i--) {
-            attempted.add("r" + made++ + "x".repeat(random.nextInt(90)));
+            attempted.add("r" + nextRecord++ + "x".repeat(random.nextInt(90)));
           }
-          held.journal.append(bytes(attempted));
+          opened.journal.append(bytes(attempted));
           acknowledged.addAll(attempted);
           attempted = new ArrayList<>();
         }
       } catch (CorruptRecordException damaged) {
         throw new AssertionError(damaged);
-      } catch (IOException off) {
+      } catch (IOException injected) {
         disk.powerLoss();
       }
-      Held after = open(disk);
-      if (!after.records.equals(acknowledged)) { // the last batch may have made it, whole
+      OpenedJournal after = open(disk);
+      // The last batch may have been stored, as a whole.
+      if (!after.records.equals(acknowledged)) {
         acknowledged.addAll(attempted);
         assertEquals(acknowledged, after.records);
       }
@@ -101,14 +102,14 @@
   }
 
   /**
-   * The disk is full for a while: appends fail, none of them comes back, and it goes on without a
-   * new start.
+   * Guards against failed appends that reappear after a restart, and against a journal that stays
+   * unusable after the disk was full for a while.
    */
   @Property(seed = "1764576022", tries = 200)
-  void recoversFromAFullDisk(@ForAll long seed) throws IOException {
+  void continuesAfterDiskWasFull(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     FaultyDisk disk = new FaultyDisk(seed);
-    Held held = open(disk);
+    OpenedJournal opened = open(disk);
     List<String> acknowledged = new ArrayList<>();
     int failed = 0;
     for (int i = 0; i < 60; i++) {
@@ -118,12 +119,12 @@
       }
       try {
         if (random.nextInt(8) == 0) {
-          Journal.Snapshot snapshot = held.journal.snapshot(bytes(acknowledged).iterator());
+          Journal.Snapshot snapshot = opened.journal.snapshot(bytes(acknowledged).iterator());
           while (snapshot.step()) {
-            assertTrue(held.journal.lastSequence() == acknowledged.size());
+            assertTrue(opened.journal.lastSequence() == acknowledged.size());
           }
         }
-        held.journal.append(bytes(List.of("r" + i)));
+        opened.journal.append(bytes(List.of("r" + i)));
         acknowledged.add("r" + i);
       } catch (IOException full) {
         failed++;
@@ -135,48 +136,49 @@
   }
 
   /**
-   * A flipped bit before the last frame is found, wherever it is; in the last frame it is cut off
-   * and said.
+   * Guards against undetected corruption: a flipped bit before the last frame is reported, and a
+   * last frame with a flipped bit is truncated and logged.
    */
   @Property(seed = "1764576023", tries = 150)
-  void aFlippedBitIsNeverPassedOver(@ForAll long seed) throws IOException {
+  void detectsFlippedBit(@ForAll long seed) throws IOException {
     Random random = new Random(seed);
     FaultyDisk disk = new FaultyDisk(seed);
-    Held held = open(disk);
+    OpenedJournal opened = open(disk);
     int lastFrame = 0;
     for (int i = 0; i < 5; i++) {
       lastFrame = disk.size("log-0000000000000001");
-      held.journal.append(bytes(List.of("record " + i, "more")));
+      opened.journal.append(bytes(List.of("record " + i, "more")));
     }
-    int at = random.nextInt(disk.size("log-0000000000000001"));
-    disk.flipBit("log-0000000000000001", at);
-    if (at < lastFrame) {
-      CorruptRecordException found = assertThrows(CorruptRecordException.class, () -> open(disk));
-      assertTrue(found.getMessage().startsWith("log-0000000000000001 at byte "), found::getMessage);
+    int offset = random.nextInt(disk.size("log-0000000000000001"));
+    disk.flipBit("log-0000000000000001", offset);
+    if (offset < lastFrame) {
+      CorruptRecordException corrupt = assertThrows(CorruptRecordException.class, () -> open(disk));
+      assertTrue(
+          corrupt.getMessage().startsWith("log-0000000000000001 at byte "), corrupt::getMessage);
     } else {
       assertEquals(8, open(disk).records.size());
       assertTrue(
-          cuts.toString().contains("journal-cut file=log-0000000000000001 at=" + lastFrame),
-          cuts::toString);
-      cuts.clear();
+          logLines.toString().contains("journal-cut file=log-0000000000000001 at=" + lastFrame),
+          logLines::toString);
+      logLines.clear();
     }
   }
 
   @Test
-  void keepsRealFiles(@TempDir Path folder) throws IOException {
-    Held held = open(Disk.of(folder));
-    held.journal.append(bytes(List.of("a", "b")));
-    Journal.Snapshot snapshot = held.journal.snapshot(bytes(List.of("a+b")).iterator());
-    held.journal.append(bytes(List.of("c")));
+  void storesFilesInDirectory(@TempDir Path directory) throws IOException {
+    OpenedJournal opened = open(Disk.of(directory));
+    opened.journal.append(bytes(List.of("a", "b")));
+    Journal.Snapshot snapshot = opened.journal.snapshot(bytes(List.of("a+b")).iterator());
+    opened.journal.append(bytes(List.of("c")));
     while (snapshot.step()) {
-      held.journal.append(List.of());
+      opened.journal.append(List.of());
     }
-    held.journal.close();
-    Held again = open(Disk.of(folder));
-    assertEquals(List.of("a+b", "c"), again.records);
-    assertEquals(3, again.journal.lastSequence());
+    opened.journal.close();
+    OpenedJournal reopened = open(Disk.of(directory));
+    assertEquals(List.of("a+b", "c"), reopened.records);
+    assertEquals(3, reopened.journal.lastSequence());
     assertEquals(
-        List.of("log-0000000000000003", "snapshot-0000000000000002"), Disk.of(folder).list());
-    assertFalse(cuts.toString().contains("cut"));
+        List.of("log-0000000000000003", "snapshot-0000000000000002"), Disk.of(directory).list());
+    assertFalse(logLines.toString().contains("cut"));
   }
 }
