--- a/src/main/java/mothwing/discovery/LoadReportConnection.java
+++ b/src/main/java/mothwing/discovery/LoadReportConnection.java
@@ -9,7 +9,7 @@
 import mothwing.net.Connection;
 import mothwing.net.ProtocolException;
 
-/** One connection to the discovery service, which carries one report at a time. */
+/** A connection to the discovery service that carries one report at a time. */
 final class LoadReportConnection extends Connection {
   private final LoadReporter reporter;
   private final int addressVersion;
@@ -34,12 +34,13 @@
     reporter.ended(this);
   }
 
-  /** Whether the last report has no response yet. */
+  /** Returns whether the last report has no response yet. */
   boolean awaitsResponse() {
     return awaitsResponse;
   }
 
-  void report(boolean accepting) {
+  /** Sends a report. */
+  void sendReport(boolean accepting) {
     awaitsResponse = true;
     String request = LoadReportProtocol.report(name, accepting);
     ByteBuf out = allocate(request.length());
@@ -51,11 +52,11 @@
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
     Optional<LoadReportProtocol.Response> response = LoadReportProtocol.readResponse(in);
-    response.ifPresent(this::responded);
+    response.ifPresent(this::handleResponse);
     return response.isPresent();
   }
 
-  private void responded(LoadReportProtocol.Response response) {
+  private void handleResponse(LoadReportProtocol.Response response) {
     awaitsResponse = false;
     count(response.isAccepted() ? "reports-accepted" : "reports-refused");
     if (response.isLast()) {
--- a/src/main/java/mothwing/discovery/LoadReportProtocol.java
+++ b/src/main/java/mothwing/discovery/LoadReportProtocol.java
@@ -7,9 +7,9 @@
 import mothwing.net.CloseReason;
 import mothwing.net.ProtocolException;
 
-/** The codec of the discovery service's wire: reports as HTTP/1.1 requests, and their responses. */
+/** Encodes load reports as HTTP/1.1 requests and decodes their responses. */
 final class LoadReportProtocol {
-  /** Bounds a response, and each number in its head. */
+  /** The maximum length of a response, and the maximum of each number in its header section. */
   static final int MAX_RESPONSE_BYTES = 8 << 10;
 
   private static final String LINE_END = "\r\n";
@@ -20,31 +20,31 @@
    * A response to a report.
    *
    * @param status the HTTP status
-   * @param isLast whether the connection carries no further report
+   * @param isLast whether the connection can carry no further report
    */
   record Response(int status, boolean isLast) {
-    /** Whether the report was accepted. */
+    /** Returns whether the report was accepted. */
     boolean isAccepted() {
       return status == NO_CONTENT_STATUS;
     }
   }
 
   /**
-   * The head of a response.
+   * The header section of a response.
    *
    * @param status the HTTP status
    * @param contentBytes the length of the body
-   * @param isLast whether the connection is closed behind it
+   * @param isLast whether the connection is closed after the response
    */
   private record Head(int status, int contentBytes, boolean isLast) {}
 
   private LoadReportProtocol() {}
 
   /**
-   * A report.
+   * Encodes a report.
    *
-   * @param name this server's name
-   * @param accepting whether it takes requests
+   * @param name the name of this server
+   * @param accepting whether this server accepts requests
    */
   static String report(String name, boolean accepting) {
     String body = "{\"accepting\":\"" + accepting + "\"}";
@@ -65,9 +65,9 @@
   /**
    * Reads the next response and skips its body.
    *
-   * @param in what has arrived; left as it is until a response is complete
-   * @return the response, or none while it is incomplete
-   * @throws ProtocolException where it is malformed
+   * @param in the received bytes; not consumed until a response is complete
+   * @return the response, or empty while it is incomplete
+   * @throws ProtocolException if the response is malformed
    */
   static Optional<Response> readResponse(ByteBuf in) throws ProtocolException {
     String text = in.toString(StandardCharsets.ISO_8859_1);
@@ -96,18 +96,19 @@
       } else if (field.startsWith("connection:")) {
         isLast = field.contains("close");
       } else if (field.startsWith("transfer-encoding:")) {
-        isLast = true; // no response of the service has a body, so no encoding is decoded
+        // The service sends responses without a body, so no transfer encoding is decoded.
+        isLast = true;
       }
     }
     return new Head(status, contentBytes, isLast);
   }
 
   private static int status(String line) throws ProtocolException {
-    String[] words = line.split(" ");
-    if (words.length < 2 || !words[0].startsWith("HTTP/1.")) {
-      throw new ProtocolException(CloseReason.MALFORMED, "no status line");
+    String[] parts = line.split(" ");
+    if (parts.length < 2 || !parts[0].startsWith("HTTP/1.")) {
+      throw new ProtocolException(CloseReason.MALFORMED, "missing or malformed status line");
     }
-    return number(words[1]);
+    return number(parts[1]);
   }
 
   private static int number(String text) throws ProtocolException {
@@ -117,8 +118,10 @@
         return value;
       }
     } catch (NumberFormatException notANumber) {
-      // reported below, as a number out of range is
+      // Reported below, like a number out of range.
     }
-    throw new ProtocolException(CloseReason.MALFORMED, "a number is out of range");
+    throw new ProtocolException(
+        CloseReason.MALFORMED,
+        "a number in the response header section is invalid or out of range");
   }
 }
--- a/src/main/java/mothwing/discovery/LoadReporter.java
+++ b/src/main/java/mothwing/discovery/LoadReporter.java
@@ -8,17 +8,17 @@
 import mothwing.net.Connector;
 
 /**
- * Keeps this server on the endpoint list by a report every second, over a connection that is opened
- * again when it ends. A report without a response after a second is abandoned with its connection,
- * as the entry on the list would expire before a late response. While no connection is open,
- * another attempt starts each second beside those in progress, and the first to open carries the
- * reports.
+ * Keeps this server on the endpoint list by sending a report every second over a connection that is
+ * reopened when it ends. A report without a response after a second is abandoned together with its
+ * connection, because the entry on the list would expire before a late response. While no
+ * connection is open, another connect attempt starts each second in addition to those in progress,
+ * and the first connection to open carries the reports.
  */
 public final class LoadReporter {
-  static final long PERIOD_MICROS = 1_000_000;
+  static final long REPORT_PERIOD_MICROS = 1_000_000;
 
-  /** Bounds the attempts to connect that are in progress at once. */
-  static final int MAX_ATTEMPTS = 3;
+  /** The maximum number of connect attempts in progress at once. */
+  static final int MAX_CONNECT_ATTEMPTS = 3;
 
   private final String name;
   private final BooleanSupplier accepting;
@@ -27,19 +27,24 @@
   private final EventLog log;
   private Connector connector;
   private LoadReportConnection connection;
-  private int addressVersion; // grows with each change of the address
-  private int attempts; // in progress, to the current address
+
+  /** Incremented with each change of the address. */
+  private int addressVersion;
+
+  /** Connect attempts in progress to the current address. */
+  private int connectAttempts;
+
   private boolean stopped;
 
   /**
-   * Makes a reporter that does not report yet.
+   * Creates a reporter. Reports begin with {@link #start}.
    *
    * @param connector opens connections to the discovery service
-   * @param name this server's name
-   * @param accepting whether requests are taken
+   * @param name the name of this server
+   * @param accepting whether this server accepts requests
    * @param scheduler the clock and its timers
    * @param counters counts events
-   * @param log takes lines of the log
+   * @param log receives log lines
    */
   public LoadReporter(
       Connector connector,
@@ -56,10 +61,10 @@
     this.log = log;
   }
 
-  /** Reports now, and every second from now on. */
+  /** Sends a report now and every second from now on. */
   public void start() {
     if (!stopped) {
-      scheduler.schedule(scheduler.now() + PERIOD_MICROS, this::start);
+      scheduler.schedule(scheduler.now() + REPORT_PERIOD_MICROS, this::start);
       report();
     }
   }
@@ -70,8 +75,8 @@
       closeConnection(CloseReason.NO_ANSWER);
     }
     if (connection != null) {
-      connection.report(accepting.getAsBoolean());
-    } else if (attempts < MAX_ATTEMPTS) {
+      connection.sendReport(accepting.getAsBoolean());
+    } else if (connectAttempts < MAX_CONNECT_ATTEMPTS) {
       connect();
     }
   }
@@ -84,52 +89,53 @@
   }
 
   private void connect() {
-    attempts++;
+    connectAttempts++;
     int current = addressVersion;
     connector.connect(
         () -> new LoadReportConnection(this, current, name, log, counters),
         () -> {
           counters.add("load-report-unreachable");
           if (current == addressVersion) {
-            attempts--;
+            connectAttempts--;
           }
         });
   }
 
   /**
-   * Moves to another address of the discovery service, and reports there at once.
+   * Changes the address of the discovery service and connects to the new address at once.
    *
    * @param replacement opens connections to the new address
    */
   public void changeAddress(Connector replacement) {
     connector = replacement;
     addressVersion++;
-    attempts = 0;
+    connectAttempts = 0;
     closeConnection(CloseReason.MOVED);
     if (!stopped) {
       connect();
     }
   }
 
-  /** Stops the reports, which takes this server off the endpoint list. */
+  /** Stops the reports, so that the entry of this server on the endpoint list expires. */
   public void stop() {
     stopped = true;
     closeConnection(CloseReason.DRAIN);
   }
 
-  /** A connection is open: it carries the reports, unless it is obsolete or another one does. */
+  /** Uses a new connection for the reports, unless it is obsolete or another one is in use. */
   void opened(LoadReportConnection opened, int openedVersion) {
     if (openedVersion == addressVersion) {
-      attempts--;
+      connectAttempts--;
     }
     if (stopped || openedVersion != addressVersion || connection != null) {
       opened.close(stopped ? CloseReason.DRAIN : CloseReason.MOVED, "");
       return;
     }
     connection = opened;
-    connection.report(accepting.getAsBoolean());
+    connection.sendReport(accepting.getAsBoolean());
   }
 
+  /** Forgets a connection that has ended. */
   void ended(LoadReportConnection ended) {
     if (connection == ended) {
       connection = null;
--- a/src/test/java/mothwing/discovery/LoadReportProtocolTest.java
+++ b/src/test/java/mothwing/discovery/LoadReportProtocolTest.java
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void readsAResponseOnlyOnceItsBodyIsThere() throws ProtocolException {
+  void readsResponseOnceItsBodyIsComplete() throws ProtocolException {
     String head = "HTTP/1.1 404 Not Found\r\nContent-Length: 2\r\n\r\n";
     ByteBuf part = bytes(head + "x");
     assertTrue(LoadReportProtocol.readResponse(part).isEmpty());
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void aClosingResponseDoesNotWaitForItsBody() throws ProtocolException {
+  void readsClosingResponseWithoutWaitingForItsBody() throws ProtocolException {
     ByteBuf in = bytes("HTTP/1.1 204 No Content\r\nConnection: close\r\n\r\n");
     assertEquals(new Response(204, true), LoadReportProtocol.readResponse(in).orElseThrow());
     ByteBuf chunked = bytes("HTTP/1.1 500 Error\r\nTransfer-Encoding: chunked\r\n\r\n5");
@@ -38,9 +38,10 @@
   }
 
   @Test
-  void refusesWhatIsNoStatusLine() {
-    for (String bad : new String[] {"x\r\n\r\n", "HTTP/1.1 x\r\n\r\n", "HTTP/1.1 99999\r\n\r\n"}) {
-      assertThrows(ProtocolException.class, () -> LoadReportProtocol.readResponse(bytes(bad)));
+  void rejectsInvalidStatusLine() {
+    for (String invalid :
+        new String[] {"x\r\n\r\n", "HTTP/1.1 x\r\n\r\n", "HTTP/1.1 99999\r\n\r\n"}) {
+      assertThrows(ProtocolException.class, () -> LoadReportProtocol.readResponse(bytes(invalid)));
     }
   }
 }
--- a/src/test/java/mothwing/discovery/LoadReporterTest.java
+++ b/src/test/java/mothwing/discovery/LoadReporterTest.java
@@ -19,51 +19,52 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 
 /**
- * Reports to a service that answers some, drops links, moves or is away, against a model of its
- * list.
+ * Tests reports to a discovery service that leaves some unanswered, drops connections, changes its
+ * address or is unreachable. The entry on its list must not expire.
  */
 class LoadReporterTest {
-  private static final long LAPSES = 3_000_000;
+  private static final long ENTRY_LIFETIME_MICROS = 3_000_000;
   private static final String REPORT = "PUT /announce/n1 HTTP/1.1\r\n";
 
-  private BrokerFixture stand;
+  private BrokerFixture fixture;
   private LoadReporter reporter;
   private List<EmbeddedChannel> channels;
-  private boolean away;
-  private long heard;
+  private boolean unreachable;
+  private long lastReportAt;
 
   @BeforeTry
-  void anew() {
-    stand = new BrokerFixture();
+  void startReporter() {
+    fixture = new BrokerFixture();
     channels = new ArrayList<>();
-    away = false;
-    heard = 0;
+    unreachable = false;
+    lastReportAt = 0;
     reporter =
-        new LoadReporter(this::dial, "n1", () -> true, stand, stand.counters, stand.lines::add);
+        new LoadReporter(
+            this::connect, "n1", () -> true, fixture, fixture.counters, fixture.lines::add);
     reporter.start();
   }
 
-  private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    if (away) {
+  private void connect(Supplier<? extends Connection> connection, Runnable failed) {
+    if (unreachable) {
       failed.run();
     } else {
-      channels.add(stand.open(maker.get()));
+      channels.add(fixture.open(connection.get()));
     }
   }
 
-  /** The service reads all reports, and answers them or not. */
-  private void turn(boolean answers) {
+  /** Lets the service read all reports, and optionally respond to them. */
+  private void readReports(boolean responds) {
     for (EmbeddedChannel channel : List.copyOf(channels)) {
       channel.runPendingTasks();
       ByteBuf out;
       while ((out = channel.readOutbound()) != null) {
-        boolean whole = out.isReadable();
-        assertTrue(!whole || out.toString(StandardCharsets.US_ASCII).startsWith(REPORT));
+        boolean isReport = out.isReadable();
+        assertTrue(!isReport || out.toString(StandardCharsets.US_ASCII).startsWith(REPORT));
         out.release();
-        if (whole) {
-          heard = stand.now();
+        if (isReport) {
+          lastReportAt = fixture.now();
         }
-        if (whole && answers && channel.isOpen()) {
+        if (isReport && responds && channel.isOpen()) {
           channel.writeInbound(
               Unpooled.copiedBuffer("HTTP/1.1 204 No Content\r\n\r\n", StandardCharsets.US_ASCII));
         }
@@ -71,67 +72,78 @@
     }
   }
 
-  /** Guards against an entry that lapses as a report is waited for that gets no answer. */
+  /**
+   * Guards against a list entry that expires while the response to an earlier report is awaited.
+   */
   @Property(seed = "1764576006", tries = 200)
-  void staysListedWhateverIsAnswered(
+  void keepsListEntryWhicheverReportsAreAnswered(
       @ForAll @Size(min = 20, max = 60) List<@IntRange(max = 999) Integer> steps) {
-    long awaySince = 0;
+    long unreachableSince = 0;
     for (int step : steps) {
       switch (step % 8) {
         case 0 -> channels.forEach(EmbeddedChannel::close);
-        case 1 -> reporter.changeAddress(this::dial);
-        case 2 -> away = step % 16 == 2;
+        case 1 -> reporter.changeAddress(this::connect);
+        case 2 -> unreachable = step % 16 == 2;
         default -> {}
       }
       for (int i = 0; i < 10; i++) {
-        stand.pass(50_000);
-        turn(step % 3 == 0);
-        awaySince = away ? stand.now() : awaySince;
+        fixture.pass(50_000);
+        readReports(step % 3 == 0);
+        unreachableSince = unreachable ? fixture.now() : unreachableSince;
         assertTrue(
-            stand.now() - Math.max(heard, awaySince) < LAPSES / 2, "the entry nearly lapses");
+            fixture.now() - Math.max(lastReportAt, unreachableSince) < ENTRY_LIFETIME_MICROS / 2,
+            "the list entry is about to expire");
         assertTrue(
-            channels.stream().filter(EmbeddedChannel::isOpen).count() <= 1, "one connection");
+            channels.stream().filter(EmbeddedChannel::isOpen).count() <= 1,
+            "at most one connection");
       }
     }
     reporter.stop();
-    turn(true);
-    long before = heard;
-    stand.pass(LAPSES);
-    turn(true);
-    assertEquals(before, heard, "no report after the notice to leave");
+    readReports(true);
+    long lastReportBeforeStop = lastReportAt;
+    fixture.pass(ENTRY_LIFETIME_MICROS);
+    readReports(true);
+    assertEquals(lastReportBeforeStop, lastReportAt, "no report after the stop");
   }
 
   /**
-   * Guards against a connection that takes long to open, and against dials without number while the
-   * service is away.
+   * Guards against a list entry that expires while a connection takes long to open, and against an
+   * unbounded number of connect attempts while the service is unreachable.
    */
   @Property(seed = "1764576031", tries = 50)
-  void aDialThatHangsDoesNotLetTheEntryLapse(@ForAll @IntRange(min = 20, max = 39) int tenths) {
-    List<Supplier<? extends Connection>> hanging = new ArrayList<>();
+  void keepsListEntryWhileConnectHangs(@ForAll @IntRange(min = 20, max = 39) int openedAtStep) {
+    List<Supplier<? extends Connection>> attempts = new ArrayList<>();
     reporter.changeAddress(
-        (maker, failed) -> {
-          hanging.add(maker);
-          if (hanging.size() > 1) { // only the first one hangs
-            channels.add(stand.open(maker.get()));
+        (connection, failed) -> {
+          attempts.add(connection);
+          // Only the first attempt hangs.
+          if (attempts.size() > 1) {
+            channels.add(fixture.open(connection.get()));
           }
         });
-    heard = stand.now();
+    lastReportAt = fixture.now();
     for (int i = 0; i < 40; i++) {
-      stand.pass(100_000);
-      turn(true);
-      assertTrue(stand.now() - heard < LAPSES / 2, "the entry nearly lapses");
-      if (i == tenths) {
-        channels.add(stand.open(hanging.get(0).get())); // open at last, after another
+      fixture.pass(100_000);
+      readReports(true);
+      assertTrue(
+          fixture.now() - lastReportAt < ENTRY_LIFETIME_MICROS / 2,
+          "the list entry is about to expire");
+      if (i == openedAtStep) {
+        // The first connection opens after another one.
+        channels.add(fixture.open(attempts.get(0).get()));
       }
     }
-    turn(true);
-    assertEquals(1, channels.stream().filter(EmbeddedChannel::isOpen).count(), "one connection");
-    List<Runnable> ends = new ArrayList<>();
-    reporter.changeAddress((maker, failed) -> ends.add(failed));
-    stand.pass(20_000_000);
-    assertEquals(LoadReporter.MAX_ATTEMPTS, ends.size());
-    ends.get(0).run();
-    stand.pass(2_000_000);
-    assertEquals(LoadReporter.MAX_ATTEMPTS + 1, ends.size());
+    readReports(true);
+    assertEquals(
+        1,
+        channels.stream().filter(EmbeddedChannel::isOpen).count(),
+        "exactly one connection is open");
+    List<Runnable> failures = new ArrayList<>();
+    reporter.changeAddress((connection, failed) -> failures.add(failed));
+    fixture.pass(20_000_000);
+    assertEquals(LoadReporter.MAX_CONNECT_ATTEMPTS, failures.size());
+    failures.get(0).run();
+    fixture.pass(2_000_000);
+    assertEquals(LoadReporter.MAX_CONNECT_ATTEMPTS + 1, failures.size());
   }
 }
