--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -8,12 +8,15 @@
 import mothwing.net.ProtocolException;
 
 /**
- * The AJP/1.3 packet codec: packet codes, how packets are written, and how strings and header names
- * are read.
+ * Codec of AJP/1.3: the packet codes, the encoding of packets, and the decoding of strings and
+ * header names.
  */
 final class Ajp {
   static final int TO_CONTAINER = 0x1234;
-  static final int TO_SERVER = 0x4142; // the letters AB
+
+  // The ASCII characters "AB".
+  static final int TO_SERVER = 0x4142;
+
   static final int HEADER_BYTES = 4;
   static final int MAX_PACKET_BYTES = 8192;
   static final int FORWARD_REQUEST = 2;
@@ -23,18 +26,19 @@
   static final int GET_BODY_CHUNK = 6;
   static final int CPONG = 9;
   static final int CPING = 10;
-  static final int MAX_CHUNK_BYTES =
-      MAX_PACKET_BYTES - HEADER_BYTES - 4; // less the code, the length and the closing byte
+
+  // A chunk shares its packet with the code, the length and the terminating byte.
+  static final int MAX_CHUNK_BYTES = MAX_PACKET_BYTES - HEADER_BYTES - 4;
 
   static final int CONTEXT = 0x01;
   static final int QUERY_STRING = 0x05;
   static final int REQUEST_ATTRIBUTE = 0x0A;
   static final int SSL_KEY_SIZE = 0x0B;
   static final int STORED_METHOD = 0x0D;
-  static final int NO_MORE = 0xFF;
+  static final int REQUEST_TERMINATOR = 0xFF;
 
-  private static final int CODED = 0xA0;
-  private static final int ABSENT = 0xFFFF;
+  private static final int HEADER_CODE_PREFIX = 0xA0;
+  private static final int NULL_STRING_LENGTH = 0xFFFF;
   private static final List<String> REQUEST_HEADERS =
       List.of(
           "accept",
@@ -54,91 +58,97 @@
 
   private Ajp() {}
 
-  /** Reads a string; an absent one is empty. */
-  static String string(ByteBuf in) throws ProtocolException {
-    need(in, Short.BYTES);
+  /** Reads a string; a null string is read as empty. */
+  static String readString(ByteBuf in) throws ProtocolException {
+    requireBytes(in, Short.BYTES);
     int length = in.readUnsignedShort();
-    if (length == ABSENT) {
+    if (length == NULL_STRING_LENGTH) {
       return "";
     }
-    need(in, length + 1);
+    requireBytes(in, length + 1);
     String text = in.readCharSequence(length, StandardCharsets.ISO_8859_1).toString();
     if (in.readByte() != 0) {
-      throw new ProtocolException(CloseReason.MALFORMED, "a string without its closing byte");
+      throw new ProtocolException(CloseReason.MALFORMED, "a string without its terminating byte");
     }
     return text;
   }
 
-  /** Reads the name of a request header, which may be coded. */
-  static String headerName(ByteBuf in) throws ProtocolException {
-    need(in, Short.BYTES);
-    if (in.getUnsignedByte(in.readerIndex()) != CODED) {
-      return string(in);
+  /** Reads the name of a request header, which may be encoded as a number. */
+  static String readHeaderName(ByteBuf in) throws ProtocolException {
+    requireBytes(in, Short.BYTES);
+    if (in.getUnsignedByte(in.readerIndex()) != HEADER_CODE_PREFIX) {
+      return readString(in);
     }
     int code = in.readUnsignedShort() & 0xFF;
     if (code == 0 || code > REQUEST_HEADERS.size()) {
-      throw new ProtocolException(CloseReason.MALFORMED, "header of code " + code);
+      throw new ProtocolException(CloseReason.MALFORMED, "unknown header code " + code);
     }
     return REQUEST_HEADERS.get(code - 1);
   }
 
-  /** Makes sure that so many bytes are left of the packet. */
-  static void need(ByteBuf in, int bytes) throws ProtocolException {
+  /** Requires that at least the given number of bytes is left in the packet. */
+  static void requireBytes(ByteBuf in, int bytes) throws ProtocolException {
     if (in.readableBytes() < bytes) {
-      throw new ProtocolException(CloseReason.MALFORMED, "a packet is cut short");
+      throw new ProtocolException(CloseReason.MALFORMED, "truncated packet");
     }
   }
 
-  /** Begins a packet and returns the index of its length. */
-  private static int begin(ByteBuf out, int code) {
+  /** Begins a packet and returns the index of its length field. */
+  private static int beginPacket(ByteBuf out, int code) {
     out.writeShort(TO_SERVER).writeShort(0).writeByte(code);
     return out.writerIndex() - Short.BYTES - 1;
   }
 
-  private static void finish(ByteBuf out, int length) {
-    out.setShort(length, out.writerIndex() - length - Short.BYTES);
+  /** Writes the length of a packet into its length field. */
+  private static void finishPacket(ByteBuf out, int lengthIndex) {
+    out.setShort(lengthIndex, out.writerIndex() - lengthIndex - Short.BYTES);
   }
 
-  private static void string(ByteBuf out, String text) {
+  private static void writeString(ByteBuf out, String text) {
     out.writeShort(text.length());
     out.writeCharSequence(text, StandardCharsets.ISO_8859_1);
     out.writeByte(0);
   }
 
-  static void sendHeaders(ByteBuf out, int status, String phrase, List<Header> headers) {
-    int at = begin(out, SEND_HEADERS);
+  /** Writes a Send Headers packet. */
+  static void writeHeaders(ByteBuf out, int status, String phrase, List<Header> headers) {
+    int lengthIndex = beginPacket(out, SEND_HEADERS);
     out.writeShort(status);
-    string(out, phrase);
+    writeString(out, phrase);
     out.writeShort(headers.size());
     for (Header header : headers) {
-      string(out, header.name());
-      string(out, header.value());
+      writeString(out, header.name());
+      writeString(out, header.value());
     }
-    finish(out, at);
+    finishPacket(out, lengthIndex);
   }
 
-  static void sendBody(ByteBuf out, byte[] content) {
+  /** Writes the content of a response as Send Body Chunk packets. */
+  static void writeBody(ByteBuf out, byte[] content) {
     for (int from = 0; from < content.length; from += MAX_CHUNK_BYTES) {
       int length = Math.min(MAX_CHUNK_BYTES, content.length - from);
-      int at = begin(out, SEND_BODY_CHUNK);
+      int lengthIndex = beginPacket(out, SEND_BODY_CHUNK);
       out.writeShort(length).writeBytes(content, from, length).writeByte(0);
-      finish(out, at);
+      finishPacket(out, lengthIndex);
     }
   }
 
-  static void endResponse(ByteBuf out, boolean reuse) {
-    int at = begin(out, END_RESPONSE);
+  /** Writes an End Response packet. */
+  static void writeEndResponse(ByteBuf out, boolean reuse) {
+    int lengthIndex = beginPacket(out, END_RESPONSE);
     out.writeByte(reuse ? 1 : 0);
-    finish(out, at);
+    finishPacket(out, lengthIndex);
   }
 
-  static void getBodyChunk(ByteBuf out, int length) {
-    int at = begin(out, GET_BODY_CHUNK);
+  /** Writes a Get Body Chunk packet. */
+  static void writeGetBodyChunk(ByteBuf out, int length) {
+    int lengthIndex = beginPacket(out, GET_BODY_CHUNK);
     out.writeShort(length);
-    finish(out, at);
+    finishPacket(out, lengthIndex);
   }
 
-  static void cpong(ByteBuf out) {
-    finish(out, begin(out, CPONG));
+  /** Writes a CPong packet. */
+  static void writeCpong(ByteBuf out) {
+    finishPacket(out, beginPacket(out, CPONG));
   }
 }
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -17,8 +17,8 @@
 import mothwing.net.RequestFields;
 
 /**
- * One connection of a gateway that speaks AJP/1.3: one request at a time, which a close by the
- * gateway cancels.
+ * An AJP/1.3 connection of a gateway. It carries one request at a time; a close by the gateway
+ * cancels the request.
  */
 public final class AjpConnection extends Connection {
   private static final byte[] NO_BYTES = new byte[0];
@@ -28,18 +28,18 @@
   private PendingRequest open;
 
   /**
-   * Makes the state of a new connection.
+   * Creates the handler of a new connection.
    *
-   * @param broker takes the requests
-   * @param log takes its log lines
-   * @param counters counts what happens
+   * @param broker handles the requests
+   * @param log receives log lines
+   * @param counters counts events
    */
   public AjpConnection(Broker broker, EventLog log, Counters counters) {
     super("ajp", Ajp.MAX_PACKET_BYTES, log, counters);
     this.broker = broker;
   }
 
-  /** The open request: the rest of its body is awaited, or its answer. */
+  /** The open request, which awaits the rest of its body or its response. */
   private final class PendingRequest extends FrontRequest {
     private final RequestFields fields = new RequestFields();
     private final long startedAt = now();
@@ -67,9 +67,9 @@
       open = null;
       boolean reuse = !broker.isDraining();
       ByteBuf out = allocate(512 + content.length);
-      Ajp.sendHeaders(out, status, Headers.reasonPhrase(status), headers);
-      Ajp.sendBody(out, content);
-      Ajp.endResponse(out, reuse);
+      Ajp.writeHeaders(out, status, Headers.reasonPhrase(status), headers);
+      Ajp.writeBody(out, content);
+      Ajp.writeEndResponse(out, reuse);
       count("answered-" + status);
       send(out);
       if (!reuse) {
@@ -91,32 +91,30 @@
         if (length >= 0) {
           return length;
         }
-      } catch (NumberFormatException notOne) {
-        // falls through to the error
+      } catch (NumberFormatException notNumber) {
+        // Reported below.
       }
-      throw new ProtocolException(CloseReason.MALFORMED, "content-length");
+      throw new ProtocolException(CloseReason.MALFORMED, "invalid content-length");
     }
 
     /**
-     * Takes a chunk of the body; an empty one is the last. No more is requested than a body may
-     * hold.
+     * Appends a chunk of the body; an empty chunk is the last one. No more is requested than the
+     * maximum length of a body.
      */
-    void chunk(byte[] more) {
-      int before = body.length;
-      int capacity =
-          InboundRequest.MAX_BODY_BYTES
-              + 1
-              - before; // the one byte over shows that it is too large
-      int taken = Math.min(capacity, more.length);
-      body = Arrays.copyOf(body, before + taken);
-      System.arraycopy(more, 0, body, before, taken);
+    void appendChunk(byte[] chunk) {
+      int bytesBefore = body.length;
+      // One byte over the maximum shows that the body is too large.
+      int capacity = InboundRequest.MAX_BODY_BYTES + 1 - bytesBefore;
+      int appended = Math.min(capacity, chunk.length);
+      body = Arrays.copyOf(body, bytesBefore + appended);
+      System.arraycopy(chunk, 0, body, bytesBefore, appended);
       if (body.length > InboundRequest.MAX_BODY_BYTES || length > InboundRequest.MAX_BODY_BYTES) {
         incomplete = false;
         reject("oversized-body");
-      } else if (more.length == 0 && length > body.length) {
+      } else if (chunk.length == 0 && length > body.length) {
         incomplete = false;
         reject("body-cut-short");
-      } else if (more.length == 0 || length == body.length) {
+      } else if (chunk.length == 0 || length == body.length) {
         submit();
       } else {
         requestChunk();
@@ -129,7 +127,7 @@
           length == LENGTH_UNKNOWN
               ? InboundRequest.MAX_BODY_BYTES + 1 - body.length
               : length - body.length;
-      Ajp.getBodyChunk(out, (int) wanted);
+      Ajp.writeGetBodyChunk(out, (int) wanted);
       send(out);
     }
 
@@ -158,98 +156,107 @@
     }
     int at = in.readerIndex();
     if (in.getUnsignedShort(at) != Ajp.TO_CONTAINER) {
-      throw new ProtocolException(CloseReason.MALFORMED, "not the mark of a packet");
+      throw new ProtocolException(CloseReason.MALFORMED, "invalid magic number of a packet");
     }
     int length = in.getUnsignedShort(at + Short.BYTES);
     if (length > Ajp.MAX_PACKET_BYTES - Ajp.HEADER_BYTES) {
-      throw new ProtocolException(CloseReason.OVERSIZED, "a packet of " + length + " bytes");
+      throw new ProtocolException(
+          CloseReason.OVERSIZED, "oversized packet of " + length + " bytes");
     }
     if (in.readableBytes() < Ajp.HEADER_BYTES + length) {
       return false;
     }
-    packet(in.slice(at + Ajp.HEADER_BYTES, length));
+    handlePacket(in.slice(at + Ajp.HEADER_BYTES, length));
     in.skipBytes(Ajp.HEADER_BYTES + length);
     return true;
   }
 
-  private void packet(ByteBuf in) throws ProtocolException {
+  private void handlePacket(ByteBuf in) throws ProtocolException {
     if (open != null) {
       if (!open.incomplete) {
-        throw new ProtocolException(CloseReason.TOO_MANY_OPEN, "a packet before the answer");
+        throw new ProtocolException(CloseReason.TOO_MANY_OPEN, "a packet before the response");
       }
-      open.chunk(bodyChunk(in));
+      open.appendChunk(readBodyChunk(in));
       return;
     }
-    Ajp.need(in, 1);
+    Ajp.requireBytes(in, 1);
     int code = in.readUnsignedByte();
     switch (code) {
       case Ajp.CPING -> {
         count("cpings");
         markIdentified();
         ByteBuf out = allocate(Ajp.HEADER_BYTES + 1);
-        Ajp.cpong(out);
+        Ajp.writeCpong(out);
         send(out);
       }
-      case Ajp.FORWARD_REQUEST -> forward(in);
-      default -> throw new ProtocolException(CloseReason.MALFORMED, "packet of code " + code);
+      case Ajp.FORWARD_REQUEST -> handleForwardRequest(in);
+      default ->
+          throw new ProtocolException(CloseReason.MALFORMED, "unexpected packet code " + code);
     }
   }
 
-  private static byte[] bodyChunk(ByteBuf in) throws ProtocolException {
+  private static byte[] readBodyChunk(ByteBuf in) throws ProtocolException {
     if (!in.isReadable()) {
-      return NO_BYTES; // the end of the body
+      // The end of the body.
+      return NO_BYTES;
     }
-    Ajp.need(in, Short.BYTES);
+    Ajp.requireBytes(in, Short.BYTES);
     int length = in.readUnsignedShort();
-    Ajp.need(in, length);
+    Ajp.requireBytes(in, length);
     byte[] chunk = new byte[length];
     in.readBytes(chunk);
     return chunk;
   }
 
-  private void forward(ByteBuf in) throws ProtocolException {
+  private void handleForwardRequest(ByteBuf in) throws ProtocolException {
     PendingRequest request = new PendingRequest();
-    Ajp.need(in, 1);
-    in.skipBytes(1); // the method: any may be used
-    Ajp.string(in); // protocol
-    request.path = Ajp.string(in);
+    Ajp.requireBytes(in, 1);
+    // The method; any is accepted.
+    in.skipBytes(1);
+    // The protocol.
+    Ajp.readString(in);
+    request.path = Ajp.readString(in);
+    // The remote address, the remote host and the server name.
     for (int i = 0; i < 3; i++) {
-      Ajp.string(in); // remote address, remote host, server name
+      Ajp.readString(in);
     }
-    Ajp.need(in, Short.BYTES + 1 + Short.BYTES);
-    in.skipBytes(Short.BYTES + 1); // port, whether by TLS
+    Ajp.requireBytes(in, Short.BYTES + 1 + Short.BYTES);
+    // The port and the TLS flag.
+    in.skipBytes(Short.BYTES + 1);
     int headers = in.readUnsignedShort();
     for (int i = 0; i < headers; i++) {
-      request.header(Ajp.headerName(in), Ajp.string(in));
+      request.header(Ajp.readHeaderName(in), Ajp.readString(in));
     }
-    attributes(in, request);
+    readAttributes(in, request);
     open = request;
     if (request.chunked && request.length == LENGTH_UNKNOWN) {
       request.requestChunk();
     } else if (request.length <= 0) {
-      request.submit(); // no body; else its first chunk comes unrequested
+      // There is no body. Otherwise the gateway sends its first chunk without a request.
+      request.submit();
     }
   }
 
-  private static void attributes(ByteBuf in, PendingRequest request) throws ProtocolException {
+  private static void readAttributes(ByteBuf in, PendingRequest request) throws ProtocolException {
     while (true) {
-      Ajp.need(in, 1);
+      Ajp.requireBytes(in, 1);
       int code = in.readUnsignedByte();
-      if (code == Ajp.NO_MORE) {
+      if (code == Ajp.REQUEST_TERMINATOR) {
         return;
       }
       if (code < Ajp.CONTEXT || code > Ajp.STORED_METHOD) {
-        throw new ProtocolException(CloseReason.MALFORMED, "attribute of code " + code);
+        throw new ProtocolException(CloseReason.MALFORMED, "unknown attribute code " + code);
       }
       if (code == Ajp.SSL_KEY_SIZE) {
-        Ajp.need(in, Short.BYTES);
+        Ajp.requireBytes(in, Short.BYTES);
         in.skipBytes(Short.BYTES);
         continue;
       }
       if (code == Ajp.REQUEST_ATTRIBUTE) {
-        Ajp.string(in); // its name
+        // The name of the attribute.
+        Ajp.readString(in);
       }
-      String value = Ajp.string(in);
+      String value = Ajp.readString(in);
       if (code == Ajp.QUERY_STRING) {
         request.query = value;
       }
--- a/src/main/java/mothwing/fastcgi/FastCgi.java
+++ b/src/main/java/mothwing/fastcgi/FastCgi.java
@@ -7,8 +7,8 @@
 import mothwing.net.ProtocolException;
 
 /**
- * The FastCGI 1.0 record codec: record types, how records are written, and how name-value pairs are
- * read.
+ * Codec of FastCGI 1.0: the record types, the encoding of records, and the encoding and decoding of
+ * name-value pairs.
  */
 final class FastCgi {
   static final int VERSION = 1;
@@ -28,12 +28,12 @@
   static final int UNKNOWN_ROLE = 3;
 
   private static final int MAX_CONTENT_BYTES = 0xFFFF;
-  private static final int LONG_LENGTH = 0x80;
+  private static final int MIN_LONG_LENGTH = 0x80;
 
   private FastCgi() {}
 
   /** Writes the header of a record. */
-  static void head(ByteBuf out, int type, int id, int length) {
+  static void writeHeader(ByteBuf out, int type, int id, int length) {
     out.writeByte(VERSION)
         .writeByte(type)
         .writeShort(id)
@@ -42,35 +42,35 @@
         .writeByte(0);
   }
 
-  /** Writes a stream of one request, with the empty record that ends it. */
-  static void stream(ByteBuf out, int type, int id, byte[]... parts) {
+  /** Writes a stream of one request, followed by the empty record that ends it. */
+  static void writeStream(ByteBuf out, int type, int id, byte[]... parts) {
     for (byte[] part : parts) {
-      for (int at = 0; at < part.length; at += MAX_CONTENT_BYTES) {
-        int length = Math.min(MAX_CONTENT_BYTES, part.length - at);
-        head(out, type, id, length);
-        out.writeBytes(part, at, length);
+      for (int offset = 0; offset < part.length; offset += MAX_CONTENT_BYTES) {
+        int length = Math.min(MAX_CONTENT_BYTES, part.length - offset);
+        writeHeader(out, type, id, length);
+        out.writeBytes(part, offset, length);
       }
     }
-    head(out, type, id, 0);
+    writeHeader(out, type, id, 0);
   }
 
-  /** Writes the end of a request. */
-  static void end(ByteBuf out, int id, int protocolStatus) {
-    head(out, END_REQUEST, id, HEADER_BYTES);
+  /** Writes the record that ends a request. */
+  static void writeEndRequest(ByteBuf out, int id, int protocolStatus) {
+    writeHeader(out, END_REQUEST, id, HEADER_BYTES);
     out.writeInt(0).writeByte(protocolStatus).writeZero(3);
   }
 
   /** Writes a name-value pair. */
-  static void pair(ByteBuf out, String name, String value) {
-    byte[] first = name.getBytes(StandardCharsets.ISO_8859_1);
-    byte[] second = value.getBytes(StandardCharsets.ISO_8859_1);
-    length(out, first.length);
-    length(out, second.length);
-    out.writeBytes(first).writeBytes(second);
+  static void writePair(ByteBuf out, String name, String value) {
+    byte[] nameBytes = name.getBytes(StandardCharsets.ISO_8859_1);
+    byte[] valueBytes = value.getBytes(StandardCharsets.ISO_8859_1);
+    writeLength(out, nameBytes.length);
+    writeLength(out, valueBytes.length);
+    out.writeBytes(nameBytes).writeBytes(valueBytes);
   }
 
-  private static void length(ByteBuf out, int length) {
-    if (length < LONG_LENGTH) {
+  private static void writeLength(ByteBuf out, int length) {
+    if (length < MIN_LONG_LENGTH) {
       out.writeByte(length);
     } else {
       out.writeInt(length | Integer.MIN_VALUE);
@@ -78,25 +78,25 @@
   }
 
   /** Reads name-value pairs to the end of the bytes. */
-  static void pairs(ByteBuf in, BiConsumer<String, String> taker) throws ProtocolException {
+  static void readPairs(ByteBuf in, BiConsumer<String, String> consumer) throws ProtocolException {
     while (in.isReadable()) {
-      long name = length(in);
-      long value = length(in);
-      if (name + value > in.readableBytes()) {
-        throw new ProtocolException(CloseReason.MALFORMED, "a name-value pair is cut short");
+      long nameLength = readLength(in);
+      long valueLength = readLength(in);
+      if (nameLength + valueLength > in.readableBytes()) {
+        throw new ProtocolException(CloseReason.MALFORMED, "truncated name-value pair");
       }
-      String key = in.readCharSequence((int) name, StandardCharsets.ISO_8859_1).toString();
-      taker.accept(key, in.readCharSequence((int) value, StandardCharsets.ISO_8859_1).toString());
+      String name = in.readCharSequence((int) nameLength, StandardCharsets.ISO_8859_1).toString();
+      consumer.accept(
+          name, in.readCharSequence((int) valueLength, StandardCharsets.ISO_8859_1).toString());
     }
   }
 
-  private static long length(ByteBuf in) throws ProtocolException {
+  private static long readLength(ByteBuf in) throws ProtocolException {
     if (in.isReadable() && in.getByte(in.readerIndex()) >= 0) {
       return in.readByte();
     }
     if (in.readableBytes() < Integer.BYTES) {
-      throw new ProtocolException(
-          CloseReason.MALFORMED, "the length of a name or value is cut short");
+      throw new ProtocolException(CloseReason.MALFORMED, "truncated length of a name or value");
     }
     return in.readInt() & Integer.MAX_VALUE;
   }
--- a/src/main/java/mothwing/fastcgi/FastCgiClient.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiClient.java
@@ -7,37 +7,39 @@
 import java.io.DataInputStream;
 import java.io.IOException;
 
-/** A FastCGI request to a running shop server and its answer, for command-line tools. */
+/**
+ * Encodes a FastCGI request to a running server and decodes its response, for command-line tools.
+ */
 public final class FastCgiClient {
   private FastCgiClient() {}
 
   /**
-   * The bytes of a request without a body.
+   * Encodes a GET request without a body.
    *
-   * @param path where it goes
-   * @return its records
+   * @param path the path of the request
+   * @return the bytes of its records
    */
   public static byte[] request(String path) {
     ByteBuf pairs = Unpooled.buffer();
-    FastCgi.pair(pairs, "REQUEST_METHOD", "GET");
-    FastCgi.pair(pairs, "SCRIPT_NAME", path);
+    FastCgi.writePair(pairs, "REQUEST_METHOD", "GET");
+    FastCgi.writePair(pairs, "SCRIPT_NAME", path);
     ByteBuf out = Unpooled.buffer();
-    FastCgi.head(out, FastCgi.BEGIN_REQUEST, 1, FastCgi.HEADER_BYTES);
+    FastCgi.writeHeader(out, FastCgi.BEGIN_REQUEST, 1, FastCgi.HEADER_BYTES);
     out.writeShort(FastCgi.RESPONDER).writeByte(0).writeZero(5);
-    FastCgi.stream(out, FastCgi.PARAMS, 1, ByteBufUtil.getBytes(pairs));
-    FastCgi.stream(out, FastCgi.STDIN, 1);
+    FastCgi.writeStream(out, FastCgi.PARAMS, 1, ByteBufUtil.getBytes(pairs));
+    FastCgi.writeStream(out, FastCgi.STDIN, 1);
     return ByteBufUtil.getBytes(out);
   }
 
   /**
-   * Reads the answer to its end.
+   * Reads a response to its end.
    *
-   * @param in what the server sends
-   * @return the content of its records
-   * @throws IOException where it ends early
+   * @param in the bytes that the server sends
+   * @return the content of the records of the response
+   * @throws IOException if the response ends early
    */
   public static byte[] readResponse(DataInputStream in) throws IOException {
-    ByteArrayOutputStream all = new ByteArrayOutputStream();
+    ByteArrayOutputStream response = new ByteArrayOutputStream();
     while (true) {
       in.readByte();
       int type = in.readByte();
@@ -48,9 +50,9 @@
       in.readFully(content);
       in.skipBytes(padding);
       if (type == FastCgi.END_REQUEST) {
-        return all.toByteArray();
+        return response.toByteArray();
       }
-      all.writeBytes(content);
+      response.writeBytes(content);
     }
   }
 }
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -20,17 +20,23 @@
 import mothwing.net.ProtocolException;
 import mothwing.net.RequestFields;
 
-/** One connection of a gateway that speaks FastCGI, with its open requests by request id. */
+/** A FastCGI connection of a gateway, with its open requests by request id. */
 public final class FastCgiConnection extends Connection {
-  /** Most requests that may be open at once on one connection. */
+  /** The maximum number of open requests on one connection. */
   static final int MAX_OPEN_REQUESTS = 32;
 
-  /** Most bytes of the parameters of one request. */
+  /** The maximum length of the parameters of one request. */
   static final int MAX_PARAMS_BYTES = 8 << 10;
 
+  private static final int MAX_PADDING_BYTES = 0xFF;
+
+  // A larger record is skipped without being buffered.
   private static final int MAX_RECORD_BYTES =
-      FastCgi.HEADER_BYTES + MAX_PARAMS_BYTES + 0xFF; // a larger one is not buffered
-  private static final int MAX_SKIPPED_BYTES = 128 << 10; // since the last complete request
+      FastCgi.HEADER_BYTES + MAX_PARAMS_BYTES + MAX_PADDING_BYTES;
+
+  // Counted since the last complete request.
+  private static final int MAX_SKIPPED_BYTES = 128 << 10;
+
   private static final String HEADER_PREFIX = "HTTP_";
   private static final byte[] NO_BYTES = new byte[0];
 
@@ -40,18 +46,18 @@
   private int skippedBytes;
 
   /**
-   * Makes the state of a new connection.
+   * Creates the handler of a new connection.
    *
-   * @param broker takes the requests
-   * @param log takes its log lines
-   * @param counters counts what happens
+   * @param broker handles the requests
+   * @param log receives log lines
+   * @param counters counts events
    */
   public FastCgiConnection(Broker broker, EventLog log, Counters counters) {
     super("fastcgi", MAX_RECORD_BYTES, log, counters);
     this.broker = broker;
   }
 
-  /** A request of this connection, from its first record to its answer. */
+  /** A request of this connection, from its first record to its response. */
   private final class PendingRequest extends FrontRequest {
     private final int id;
     private final boolean keepConnection;
@@ -85,10 +91,10 @@
               .append("\r\n");
       headers.forEach(
           header -> head.append(header.name()).append(": ").append(header.value()).append("\r\n"));
-      byte[] first = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
-      ByteBuf out = allocate(first.length + content.length + 5 * FastCgi.HEADER_BYTES);
-      FastCgi.stream(out, FastCgi.STDOUT, id, first, content);
-      FastCgi.end(out, id, FastCgi.REQUEST_COMPLETE);
+      byte[] headBytes = head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1);
+      ByteBuf out = allocate(headBytes.length + content.length + 5 * FastCgi.HEADER_BYTES);
+      FastCgi.writeStream(out, FastCgi.STDOUT, id, headBytes, content);
+      FastCgi.writeEndRequest(out, id, FastCgi.REQUEST_COMPLETE);
       count("answered-" + status);
       send(out);
       if (!keepConnection) {
@@ -96,7 +102,7 @@
       }
     }
 
-    /** The last byte of the request has come. */
+    /** Handles the request after its last record was read. */
     void completed() {
       count("requests");
       markIdentified();
@@ -108,7 +114,7 @@
       RequestFields fields = new RequestFields();
       Map<String, String> variables = new HashMap<>();
       try {
-        FastCgi.pairs(
+        FastCgi.readPairs(
             Unpooled.wrappedBuffer(params),
             (name, value) -> {
               if (name.startsWith(HEADER_PREFIX)) {
@@ -117,7 +123,7 @@
                 variables.put(name, value);
               }
             });
-      } catch (ProtocolException cut) {
+      } catch (ProtocolException malformed) {
         reject("bad-params");
         return;
       }
@@ -129,12 +135,12 @@
           body);
     }
 
-    /** A part of it exceeds its bound. */
+    /** Rejects the request because a part of it exceeds its limit. */
     void oversized(String part) {
       reject("oversized-" + part);
     }
 
-    /** The gateway has stopped waiting. The answer frees the request id for it. */
+    /** Cancels the request on an abort by the gateway. The response frees the request id. */
     void abort() {
       count("aborted");
       cancel();
@@ -159,16 +165,17 @@
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
     if (bytesToSkip > 0) {
-      int part = Math.min(bytesToSkip, in.readableBytes());
-      in.skipBytes(part);
-      bytesToSkip -= part;
+      int skipped = Math.min(bytesToSkip, in.readableBytes());
+      in.skipBytes(skipped);
+      bytesToSkip -= skipped;
     }
     if (in.readableBytes() < FastCgi.HEADER_BYTES) {
       return false;
     }
     int at = in.readerIndex();
     if (in.getByte(at) != FastCgi.VERSION) {
-      throw new ProtocolException(CloseReason.MALFORMED, "version " + in.getUnsignedByte(at));
+      throw new ProtocolException(
+          CloseReason.MALFORMED, "unsupported version " + in.getUnsignedByte(at));
     }
     int type = in.getUnsignedByte(at + 1);
     int id = in.getUnsignedShort(at + 2);
@@ -178,7 +185,7 @@
       skippedBytes += size;
       if (skippedBytes > MAX_SKIPPED_BYTES) {
         throw new ProtocolException(
-            CloseReason.OVERSIZED, "over " + MAX_SKIPPED_BYTES + " bytes that no request takes");
+            CloseReason.OVERSIZED, "more than " + MAX_SKIPPED_BYTES + " bytes of skipped records");
       }
       bytesToSkip = size;
       return true;
@@ -186,15 +193,15 @@
     if (in.readableBytes() < size) {
       return false;
     }
-    record(type, id, in.slice(at + FastCgi.HEADER_BYTES, length));
+    handleRecord(type, id, in.slice(at + FastCgi.HEADER_BYTES, length));
     in.skipBytes(size);
     return true;
   }
 
   /**
-   * Whether a record's content is to be skipped: that of a request which was answered, or which it
-   * makes too large. The latter is answered now, at the header of the record, as its end may never
-   * come.
+   * Returns whether the content of a record is skipped: that of a request which is already
+   * answered, or content that makes its request too large. An oversized request is rejected at the
+   * header of the record, as its end may never arrive.
    */
   private boolean isSkipped(int type, PendingRequest request, int length) {
     if (type != FastCgi.PARAMS && type != FastCgi.STDIN) {
@@ -216,96 +223,98 @@
     return true;
   }
 
-  private void record(int type, int id, ByteBuf content) throws ProtocolException {
+  private void handleRecord(int type, int id, ByteBuf content) throws ProtocolException {
     if (id == 0) {
-      managementRecord(type, content);
+      handleManagementRecord(type, content);
       return;
     }
     PendingRequest request = open.get(id);
     switch (type) {
-      case FastCgi.BEGIN_REQUEST -> begin(id, content);
+      case FastCgi.BEGIN_REQUEST -> beginRequest(id, content);
       case FastCgi.ABORT_REQUEST -> {
-        if (request != null) { // else the abort crossed the answer
+        // Without a request, the abort has crossed the response.
+        if (request != null) {
           request.abort();
         }
       }
-      case FastCgi.PARAMS -> params(request, content);
-      case FastCgi.STDIN -> body(request, content);
-      default -> throw new ProtocolException(CloseReason.MALFORMED, "record of type " + type);
+      case FastCgi.PARAMS -> appendParams(request, content);
+      case FastCgi.STDIN -> appendBody(request, content);
+      default ->
+          throw new ProtocolException(CloseReason.MALFORMED, "unexpected record type " + type);
     }
   }
 
-  private void managementRecord(int type, ByteBuf content) throws ProtocolException {
+  private void handleManagementRecord(int type, ByteBuf content) throws ProtocolException {
     ByteBuf out = allocate(128);
     if (type == FastCgi.GET_VALUES) {
       markIdentified();
       ByteBuf pairs = allocate(96);
-      FastCgi.pairs(
+      FastCgi.readPairs(
           content,
           (name, value) -> {
             switch (name) {
               case "FCGI_MAX_REQS", "FCGI_MAX_CONNS" ->
-                  FastCgi.pair(pairs, name, "" + Broker.MAX_OPEN_REQUESTS);
-              case "FCGI_MPXS_CONNS" -> FastCgi.pair(pairs, name, "1");
+                  FastCgi.writePair(pairs, name, "" + Broker.MAX_OPEN_REQUESTS);
+              case "FCGI_MPXS_CONNS" -> FastCgi.writePair(pairs, name, "1");
               default -> {}
             }
           });
-      FastCgi.head(out, FastCgi.GET_VALUES_RESULT, 0, pairs.readableBytes());
+      FastCgi.writeHeader(out, FastCgi.GET_VALUES_RESULT, 0, pairs.readableBytes());
       out.writeBytes(pairs);
       pairs.release();
     } else {
-      FastCgi.head(out, FastCgi.UNKNOWN_TYPE, 0, FastCgi.HEADER_BYTES);
+      FastCgi.writeHeader(out, FastCgi.UNKNOWN_TYPE, 0, FastCgi.HEADER_BYTES);
       out.writeByte(type).writeZero(7);
     }
     send(out);
   }
 
-  private void begin(int id, ByteBuf content) throws ProtocolException {
+  private void beginRequest(int id, ByteBuf content) throws ProtocolException {
     if (content.readableBytes() < FastCgi.HEADER_BYTES || open.containsKey(id)) {
-      throw new ProtocolException(CloseReason.MALFORMED, "begin of request " + id);
+      throw new ProtocolException(CloseReason.MALFORMED, "invalid begin of request " + id);
     }
     if (open.size() >= MAX_OPEN_REQUESTS) {
       throw new ProtocolException(
-          CloseReason.TOO_MANY_OPEN, "over " + MAX_OPEN_REQUESTS + " requests");
+          CloseReason.TOO_MANY_OPEN, "more than " + MAX_OPEN_REQUESTS + " open requests");
     }
     PendingRequest request = new PendingRequest(id, (content.getByte(2) & FastCgi.KEEP_CONN) != 0);
     open.put(id, request);
     if (content.getUnsignedShort(0) != FastCgi.RESPONDER) {
       open.remove(id);
       ByteBuf out = allocate(2 * FastCgi.HEADER_BYTES);
-      FastCgi.end(out, id, FastCgi.UNKNOWN_ROLE);
+      FastCgi.writeEndRequest(out, id, FastCgi.UNKNOWN_ROLE);
       count("unknown-role");
       send(out);
     }
   }
 
-  private void params(PendingRequest request, ByteBuf content) {
+  private void appendParams(PendingRequest request, ByteBuf content) {
     if (request == null || request.paramsComplete) {
       return;
     }
     if (!content.isReadable()) {
       request.paramsComplete = true;
     } else {
-      request.params = joined(request.params, content);
+      request.params = concatenate(request.params, content);
     }
   }
 
-  private void body(PendingRequest request, ByteBuf content) {
+  private void appendBody(PendingRequest request, ByteBuf content) {
     if (request == null || request.complete) {
       return;
     }
     if (content.isReadable()) {
-      request.body = joined(request.body, content);
+      request.body = concatenate(request.body, content);
     } else {
       request.complete = true;
       request.completed();
     }
   }
 
-  private static byte[] joined(byte[] before, ByteBuf more) {
-    byte[] all = Arrays.copyOf(before, before.length + more.readableBytes());
-    more.readBytes(all, before.length, more.readableBytes());
-    return all;
+  private static byte[] concatenate(byte[] before, ByteBuf more) {
+    byte[] joined = Arrays.copyOf(before, before.length + more.readableBytes());
+    more.readBytes(joined, before.length, more.readableBytes());
+    return joined;
   }
 
   @Override
--- a/src/main/java/mothwing/fastcgi/package-info.java
+++ b/src/main/java/mothwing/fastcgi/package-info.java
@@ -1,6 +1,6 @@
 /**
  * The FastCGI front: decodes the records of gateways into requests for the broker and encodes its
- * answers. Runs on the event loop of its connections. Every request that was read completely gets
- * one answer; bounds on open requests, parameters and body hold before anything is buffered.
+ * responses. Runs on the event loop of its connections. Every completely read request gets one
+ * response; the limits on open requests, parameters and body are enforced before buffering.
  */
 package mothwing.fastcgi;
--- a/src/test/java/mothwing/ajp/AjpConnectionTest.java
+++ b/src/test/java/mothwing/ajp/AjpConnectionTest.java
@@ -19,18 +19,18 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** A connection of one request at a time against the model of its states. */
+/** Compares a connection with one request at a time to the model of its states. */
 class AjpConnectionTest {
-  private static final int PLACE = 0;
+  private static final int REQUEST_ID = 0;
 
   private FrontModel model;
   private Gateway.Ajp gateway;
 
   @BeforeTry
-  void anew() {
+  void createModel() {
     model =
         new FrontModel(
-            stand -> new AjpConnection(stand.broker, stand.lines::add, stand.counters),
+            fixture -> new AjpConnection(fixture.broker, fixture.lines::add, fixture.counters),
             () -> {
               gateway = new Gateway.Ajp();
               return gateway;
@@ -41,7 +41,7 @@
     return Gateway.fields(BrokerFixture.id(1), model.stand.wallClockMillis());
   }
 
-  private Answer ask(String path, int length, byte[] chunk) {
+  private Answer sendRequest(String path, int length, byte[] chunk) {
     model.send(Gateway.Ajp.forward(path, "probe=1", fields(), length));
     if (length != 0) {
       model.send(Gateway.Ajp.chunk(chunk, 0, chunk.length));
@@ -52,18 +52,18 @@
   }
 
   @Property(seed = "1764576002")
-  void keepsToTheModel(
+  void behavesLikeModel(
       @ForAll @Size(min = 20, max = 150) List<@IntRange(max = 99_999) Integer> steps) {
     for (int step : steps) {
       switch (step % 8) {
-        case 0, 1, 2 -> model.ask(PLACE, step);
+        case 0, 1, 2 -> model.ask(REQUEST_ID, step);
         case 3, 4 -> model.endRun(step / 8);
         case 5 -> model.stand.pass(step * 10L);
         case 6 -> {
-          if (!model.busy(PLACE)) {
-            int before = gateway.pongs;
+          if (!model.busy(REQUEST_ID)) {
+            int pongsBefore = gateway.pongs;
             model.send(Gateway.Ajp.cping());
-            assertEquals(before + 1, gateway.pongs);
+            assertEquals(pongsBefore + 1, gateway.pongs);
           }
         }
         default -> {
@@ -79,23 +79,23 @@
   }
 
   @Property(seed = "1764576003")
-  void anyBytesEndInAnAnswerOrAClose(
+  void answersOrClosesOnArbitraryBytes(
       @ForAll @Size(max = 300) byte[] bytes, @ForAll boolean asPacket) {
     model.send(asPacket ? Gateway.Ajp.packet(bytes) : bytes);
     model.checkClosed();
   }
 
   @Property(seed = "1764576004", tries = 60)
-  void aForwardCutShortInItsPacketClosesTheConnection(
-      @ForAll @IntRange(min = 1, max = 150) int less) {
-    byte[] whole = Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0);
-    byte[] payload = Arrays.copyOfRange(whole, 4, Math.max(5, whole.length - less));
+  void closesConnectionOnTruncatedForwardRequest(
+      @ForAll @IntRange(min = 1, max = 150) int missingBytes) {
+    byte[] request = Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0);
+    byte[] payload = Arrays.copyOfRange(request, 4, Math.max(5, request.length - missingBytes));
     model.send(Gateway.Ajp.packet(payload));
     assertTrue(model.endedAs("malformed"));
   }
 
   @Example
-  void asksForTheBodyWhereItsLengthIsNotTold() {
+  void requestsBodyOfUnknownLength() {
     byte[] body = new byte[1500];
     model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), -1));
     assertTrue(gateway.asked >= body.length);
@@ -111,10 +111,10 @@
   }
 
   @Example
-  void asksForTheRestOfABodyThatComesInChunks() {
+  void requestsRemainderOfChunkedBody() {
     byte[] body = new byte[2000];
     model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), body.length));
-    assertEquals(0, gateway.asked, "the first chunk comes unasked");
+    assertEquals(0, gateway.asked, "the first chunk is sent without a request");
     model.send(Gateway.Ajp.chunk(body, 0, 1200));
     assertEquals(800, gateway.asked);
     model.send(Gateway.Ajp.chunk(body, 1200, 2000));
@@ -122,28 +122,28 @@
   }
 
   @Example
-  void failsARequestThatMakesNoSenseAndKeepsTheConnection() {
-    assertEquals(413, ask("/call/" + BrokerFixture.LOOK, 9000, new byte[8000]).status());
-    assertEquals(400, ask("/call/" + BrokerFixture.LOOK, 50, new byte[0]).status());
-    assertEquals(400, ask("/elsewhere", 0, null).status());
-    assertEquals(500, ask("/call/nothing", 0, null).status());
-    assertEquals(200, ask("/ping", 0, null).status());
+  void rejectsInvalidRequestsAndKeepsConnection() {
+    assertEquals(413, sendRequest("/call/" + BrokerFixture.LOOK, 9000, new byte[8000]).status());
+    assertEquals(400, sendRequest("/call/" + BrokerFixture.LOOK, 50, new byte[0]).status());
+    assertEquals(400, sendRequest("/elsewhere", 0, null).status());
+    assertEquals(500, sendRequest("/call/nothing", 0, null).status());
+    assertEquals(200, sendRequest("/ping", 0, null).status());
     assertTrue(model.channel.isOpen());
   }
 
   @Example
-  void aPacketBeforeTheAnswerClosesTheConnection() {
+  void closesConnectionOnPacketBeforeResponse() {
     model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0));
     model.send(Gateway.Ajp.cping());
     assertTrue(model.endedAs("too-many-open"));
-    assertEquals(0, model.stand.broker.pendingCount(), "its caller has left");
+    assertEquals(0, model.stand.broker.pendingCount(), "the request is cancelled");
   }
 
   @Example
-  void refusesWithAdviceAndWithoutReuseOnceTheServerLeaves() {
+  void rejectsWithRetryAdviceAndForbidsReuseDuringGracefulShutdown() {
     model.stand.broker.drain(model.stand.now(), model.stand.now() + 3_000_000, false);
     model.stand.pass(5_000);
-    Answer answer = ask("/call/" + BrokerFixture.ORDER, 0, null);
+    Answer answer = sendRequest("/call/" + BrokerFixture.ORDER, 0, null);
     assertEquals(503, answer.status());
     assertTrue(Long.parseLong(answer.fields().get("Hold-Off-Ms")) > 0);
     assertTrue(gateway.refusesReuse);
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -23,17 +23,17 @@
 import net.jqwik.api.constraints.Size;
 import net.jqwik.api.lifecycle.BeforeTry;
 
-/** A connection of many requests against the model of its states. */
+/** Compares a connection with many concurrent requests to the model of its states. */
 class FastCgiConnectionTest {
-  private static final int PLACES = 8;
+  private static final int REQUEST_IDS = 8;
 
   private FrontModel model;
 
   @BeforeTry
-  void anew() {
+  void createModel() {
     model =
         new FrontModel(
-            stand -> new FastCgiConnection(stand.broker, stand.lines::add, stand.counters),
+            fixture -> new FastCgiConnection(fixture.broker, fixture.lines::add, fixture.counters),
             Gateway.FastCgi::new);
   }
 
@@ -42,42 +42,45 @@
     return model.gateway.answers.remove().status();
   }
 
-  private String feedback() {
+  private String freeValue() {
     model.send(model.gateway.request(1, "/ping", "", Map.of(), new byte[0]));
     return model.gateway.answers.remove().fields().get("Feedback");
   }
 
   /**
-   * Guards against a free value that callers read as something else, or read at all where nothing
-   * is to be said.
+   * Guards against a free value that is sent in another meaning than that of the current settings,
+   * or is sent although the settings define none.
    */
   @Example
-  void theFreeValueLeavesAsTheSettingsInForceMeanIt() {
+  void sendsFreeValueInMeaningOfCurrentSettings() {
     Settings level = BrokerFixture.settings(4.5, 2);
     for (FreeValue meaning : FreeValue.values()) {
-      String all = meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
-      for (Settings now : List.of(SettingsVariants.meaning(level, meaning), level)) {
-        model.stand.broker.applySettings(now);
-        for (long span :
-            new long[] {0, 200_000}) { // in the same turn, and once the decisions have spoken
-          model.stand.pass(span);
-          assertEquals(now == level ? "0.0" : all, feedback(), () -> "as " + meaning);
+      String unloadedValue =
+          meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
+      for (Settings settings : List.of(SettingsVariants.meaning(level, meaning), level)) {
+        model.stand.broker.applySettings(settings);
+        // At once, and after the controller has published a value.
+        for (long elapsedMicros : new long[] {0, 200_000}) {
+          model.stand.pass(elapsedMicros);
+          assertEquals(
+              settings == level ? "0.0" : unloadedValue, freeValue(), () -> "meaning " + meaning);
         }
       }
     }
   }
 
   @Property(seed = "1764576000")
-  void keepsToTheModel(
+  void behavesLikeModel(
       @ForAll @Size(min = 20, max = 150) List<@IntRange(max = 99_999) Integer> steps) {
     for (int step : steps) {
-      int place = 1 + step / 10 % PLACES;
+      int requestId = 1 + step / 10 % REQUEST_IDS;
       switch (step % 10) {
-        case 0, 1, 2, 3 -> model.ask(place, step);
+        case 0, 1, 2, 3 -> model.ask(requestId, step);
         case 4 -> {
-          model.left(place);
-          model.send(Gateway.FastCgi.abort(place));
-          model.gateway.answers.removeIf(one -> one.id() == place); // one answer does no harm
+          model.left(requestId);
+          model.send(Gateway.FastCgi.abort(requestId));
+          // The response may cross the abort.
+          model.gateway.answers.removeIf(answer -> answer.id() == requestId);
         }
         case 5, 6, 7 -> model.endRun(step / 10);
         case 8 -> model.stand.pass(step * 10L);
@@ -93,7 +96,7 @@
   }
 
   @Property(seed = "1764576001")
-  void anyBytesEndInAnAnswerOrAClose(
+  void answersOrClosesOnArbitraryBytes(
       @ForAll @Size(max = 300) byte[] bytes, @ForAll boolean asRecord) {
     model.send(Gateway.FastCgi.begin(3));
     model.send(asRecord ? Gateway.FastCgi.record(4, 3, bytes) : bytes);
@@ -103,47 +106,53 @@
   }
 
   @Example
-  void failsARequestThatMakesNoSenseAndKeepsTheConnection() {
-    Map<String, String> good = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
+  void rejectsInvalidRequestsAndKeepsConnection() {
+    Map<String, String> fields = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
     assertEquals(
         413,
-        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", good, new byte[2049])));
-    assertEquals(500, status(model.gateway.request(1, "/call/nothing", "", good, new byte[0])));
-    assertEquals(400, status(model.gateway.request(1, "/elsewhere", "", good, new byte[0])));
+        status(
+            model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", fields, new byte[2049])));
+    assertEquals(500, status(model.gateway.request(1, "/call/nothing", "", fields, new byte[0])));
+    assertEquals(400, status(model.gateway.request(1, "/elsewhere", "", fields, new byte[0])));
     for (String name :
         List.of("Trace-Id", "Accepted-At-Ms", "Reserve-Kb", "Standing", "Client-No")) {
       for (String text : List.of("NaN", "-1", "", "0x1p-3", "1e400", "0.5f", " 0.5")) {
-        Map<String, String> bad = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
-        bad.put(name, text);
+        Map<String, String> invalidFields =
+            Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
+        invalidFields.put(name, text);
         assertEquals(
             400,
-            status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", bad, new byte[0])),
+            status(
+                model.gateway.request(
+                    1, "/call/" + BrokerFixture.LOOK, "", invalidFields, new byte[0])),
             name);
       }
     }
-    Map<String, String> strange = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
-    strange.put("Project", "nobody");
+    Map<String, String> unknownTenant = Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS);
+    unknownTenant.put("Project", "nobody");
     assertEquals(
         500,
-        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", strange, new byte[0])));
+        status(
+            model.gateway.request(
+                1, "/call/" + BrokerFixture.LOOK, "", unknownTenant, new byte[0])));
     assertEquals(Map.of(), model.stand.spawns);
-    good.put("Lookup-Key", "k".repeat(9000));
+    fields.put("Lookup-Key", "k".repeat(9000));
     assertEquals(
         413,
-        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", good, new byte[0])));
+        status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", fields, new byte[0])));
     assertEquals(200, status(model.gateway.request(1, "/ping", "probe=1", Map.of(), new byte[0])));
     assertTrue(model.channel.isOpen());
   }
 
   /**
-   * Guards against a wall clock that stepped between the stamp and the reading: the request neither
-   * fails at once nor is due hours away.
+   * Guards against a wall clock that was stepped between the arrival at the gateway and the
+   * reading: the request must neither fail at once nor get a deadline hours away.
    */
   @Example
-  void aStampOfAnotherHourCountsAsTheMomentItIsRead() {
+  void replacesImplausibleArrivalTimeByTimeOfReading() {
     int number = 0;
     for (long hours : new long[] {1, -1}) {
-      for (RunOutcome end : new RunOutcome[] {RunOutcome.SUCCEEDED, null}) {
+      for (RunOutcome outcome : new RunOutcome[] {RunOutcome.SUCCEEDED, null}) {
         String id = BrokerFixture.id(++number);
         model.send(
             model.gateway.request(
@@ -153,21 +162,21 @@
                 Gateway.fields(id, model.stand.wallClockMillis() + hours * 3_600_000),
                 new byte[0]));
         model.stand.pass(5_000);
-        assertEquals(1, model.stand.spawns.get(id), "it runs");
-        if (end != null) {
-          model.stand.finish(id, end);
+        assertEquals(1, model.stand.spawns.get(id), "the request runs");
+        if (outcome != null) {
+          model.stand.finish(id, outcome);
         }
-        model.stand.pass(
-            end == null ? 4_600_000 : 5_000); // by the deadline from its reading on, and the slack
+        // Without an outcome, past the deadline counted from the reading and the slack for answers.
+        model.stand.pass(outcome == null ? 4_600_000 : 5_000);
         model.stand.read(model.channel, model.gateway);
-        assertEquals(end == null ? 500 : 200, model.gateway.answers.remove().status());
+        assertEquals(outcome == null ? 500 : 200, model.gateway.answers.remove().status());
       }
     }
     assertEquals(4, model.stand.counters.get("arrival-times-ignored"));
   }
 
   @Example
-  void closesOnMoreRequestsThanMayBeOpen() {
+  void closesConnectionWithTooManyOpenRequests() {
     for (int id = 1; id <= 33; id++) {
       assertTrue(model.channel.isOpen());
       model.send(Gateway.FastCgi.begin(id));
@@ -176,32 +185,33 @@
   }
 
   /**
-   * Guards against a body that is answered once it has ended, or is gathered: it may never end, or
-   * take 60 MB.
+   * Guards against an oversized body that is rejected only at its end, or is buffered: it may never
+   * end, or take 60 MB.
    */
   @Example
-  void answersWhatIsTooLargeAtOnceAndClosesOnItsRest() {
-    byte[] all =
+  void rejectsOversizedBodyAtOnceAndClosesOnItsRemainder() {
+    byte[] request =
         model.gateway.request(
             1,
             "/call/" + BrokerFixture.LOOK,
             "",
             Gateway.fields(BrokerFixture.id(1), BrokerFixture.WALL_MS),
             new byte[0]);
-    byte[] head = {1, 5, 0, 1, (byte) 0xFF, (byte) 0xFF, 0, 0};
-    model.send(Arrays.copyOf(all, all.length - 8)); // all but the end of the body
-    assertEquals(413, status(head));
+    byte[] header = {1, 5, 0, 1, (byte) 0xFF, (byte) 0xFF, 0, 0};
+    // Without the record that ends the body.
+    model.send(Arrays.copyOf(request, request.length - 8));
+    assertEquals(413, status(header));
     for (int sent = 0; sent < 0xFFFF; sent += 15) {
       model.send(new byte[15]);
       assertTrue(model.channel.isOpen());
     }
-    model.send(head);
+    model.send(header);
     assertTrue(model.endedAs("oversized"));
     assertEquals(Map.of(), model.stand.spawns);
   }
 
   @Example
-  void answersQuestionsAboutItself() {
+  void answersGetValues() {
     byte[] name = "FCGI_MPXS_CONNS".getBytes(StandardCharsets.UTF_8);
     byte[] pair = new byte[2 + name.length];
     pair[0] = (byte) name.length;
