--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -77,15 +77,15 @@
       }
     }
 
-    void header(String name, String value) throws ProtocolException {
+    void setHeader(String name, String value) throws ProtocolException {
       switch (name.toLowerCase(Locale.ROOT)) {
-        case "content-length" -> length = length(value);
+        case "content-length" -> length = parseContentLength(value);
         case "transfer-encoding" -> chunked = value.toLowerCase(Locale.ROOT).contains("chunked");
         default -> fields.set(name, value);
       }
     }
 
-    private static long length(String value) throws ProtocolException {
+    private static long parseContentLength(String value) throws ProtocolException {
       try {
         long length = Long.parseLong(value);
         if (length >= 0) {
@@ -225,7 +225,7 @@
     in.skipBytes(Short.BYTES + 1);
     int headers = in.readUnsignedShort();
     for (int i = 0; i < headers; i++) {
-      request.header(Ajp.readHeaderName(in), Ajp.readString(in));
+      request.setHeader(Ajp.readHeaderName(in), Ajp.readString(in));
     }
     readAttributes(in, request);
     open = request;
--- a/src/main/java/mothwing/discovery/LoadReportConnection.java
+++ b/src/main/java/mothwing/discovery/LoadReportConnection.java
@@ -42,7 +42,7 @@
   /** Sends a report. */
   void sendReport(boolean accepting) {
     awaitsResponse = true;
-    String request = LoadReportProtocol.report(name, accepting);
+    String request = LoadReportProtocol.encodeReport(name, accepting);
     ByteBuf out = allocate(request.length());
     out.writeCharSequence(request, StandardCharsets.US_ASCII);
     count("reports");
--- a/src/main/java/mothwing/discovery/LoadReportProtocol.java
+++ b/src/main/java/mothwing/discovery/LoadReportProtocol.java
@@ -46,7 +46,7 @@
    * @param name the name of this server
    * @param accepting whether this server accepts requests
    */
-  static String report(String name, boolean accepting) {
+  static String encodeReport(String name, boolean accepting) {
     String body = "{\"accepting\":\"" + accepting + "\"}";
     return "PUT /announce/"
         + name
@@ -75,7 +75,7 @@
     if (headEnd < 0) {
       return Optional.empty();
     }
-    Head head = head(text.substring(0, headEnd).split(LINE_END));
+    Head head = parseHead(text.substring(0, headEnd).split(LINE_END));
     int bodyBytes = head.status() == NO_CONTENT_STATUS ? 0 : head.contentBytes();
     int responseBytes = headEnd + HEAD_END.length() + bodyBytes;
     if (text.length() < responseBytes && !head.isLast()) {
@@ -85,14 +85,14 @@
     return Optional.of(new Response(head.status(), head.isLast()));
   }
 
-  private static Head head(String[] lines) throws ProtocolException {
-    int status = status(lines[0]);
+  private static Head parseHead(String[] lines) throws ProtocolException {
+    int status = parseStatus(lines[0]);
     int contentBytes = 0;
     boolean isLast = false;
     for (String line : lines) {
       String field = line.toLowerCase(Locale.ROOT);
       if (field.startsWith("content-length:")) {
-        contentBytes = number(field.substring("content-length:".length()).strip());
+        contentBytes = parseNumber(field.substring("content-length:".length()).strip());
       } else if (field.startsWith("connection:")) {
         isLast = field.contains("close");
       } else if (field.startsWith("transfer-encoding:")) {
@@ -103,15 +103,15 @@
     return new Head(status, contentBytes, isLast);
   }
 
-  private static int status(String line) throws ProtocolException {
+  private static int parseStatus(String line) throws ProtocolException {
     String[] parts = line.split(" ");
     if (parts.length < 2 || !parts[0].startsWith("HTTP/1.")) {
       throw new ProtocolException(CloseReason.MALFORMED, "missing or malformed status line");
     }
-    return number(parts[1]);
+    return parseNumber(parts[1]);
   }
 
-  private static int number(String text) throws ProtocolException {
+  private static int parseNumber(String text) throws ProtocolException {
     try {
       int value = Integer.parseInt(text);
       if (value >= 0 && value <= MAX_RESPONSE_BYTES) {
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -103,7 +103,7 @@
     }
 
     /** Handles the request after its last record was read. */
-    void completed() {
+    void handleComplete() {
       count("requests");
       markIdentified();
       skippedBytes = 0;
@@ -136,7 +136,7 @@
     }
 
     /** Rejects the request because a part of it exceeds its limit. */
-    void oversized(String part) {
+    void rejectOversized(String part) {
       reject("oversized-" + part);
     }
 
@@ -211,12 +211,12 @@
         && !request.complete
         && type == FastCgi.PARAMS
         && request.params.length + length > MAX_PARAMS_BYTES) {
-      request.oversized("params");
+      request.rejectOversized("params");
     } else if (request != null
         && !request.complete
         && type == FastCgi.STDIN
         && request.body.length + length > InboundRequest.MAX_BODY_BYTES) {
-      request.oversized("body");
+      request.rejectOversized("body");
     } else if (request != null) {
       return false;
     }
@@ -307,7 +307,7 @@
       request.body = concatenate(request.body, content);
     } else {
       request.complete = true;
-      request.completed();
+      request.handleComplete();
     }
   }
 
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -37,8 +37,8 @@
     return new Settings(
         seed,
         options.integer("Round", 0),
-        classes(options, extra),
-        tenants(options),
+        readClasses(options, extra),
+        readTenants(options),
         (int) options.integer("ReplicasOfMe", 1),
         (int) extra.integer("Callers", 0),
         options.text("CountedBy", "request").equals("work"),
@@ -49,13 +49,13 @@
             objectiveWeights.number("WorstWindow", 0),
             objectiveWeights.number("WorstClass", 0),
             objectiveWeights.number("WorstTenant", 0)),
-        serverLimits(options.object("Contract")),
-        dependency(extra),
-        machine(extra),
-        signals(extra, options.object("Limits")));
+        readServerLimits(options.object("Contract")),
+        readDependency(extra),
+        readMachine(extra),
+        readSignals(extra, options.object("Limits")));
   }
 
-  private static List<RequestClass> classes(JsonFields options, JsonFields extra)
+  private static List<RequestClass> readClasses(JsonFields options, JsonFields extra)
       throws InvalidInputException {
     List<RequestClass> classes = new ArrayList<>();
     Set<String> names = new HashSet<>();
@@ -86,7 +86,7 @@
     return classes;
   }
 
-  private static List<Tenant> tenants(JsonFields options) throws InvalidInputException {
+  private static List<Tenant> readTenants(JsonFields options) throws InvalidInputException {
     List<Tenant> tenants = new ArrayList<>();
     for (JsonFields tenant : options.objects("Tenants")) {
       tenants.add(new Tenant(tenant.text("Name"), tenant.number("QuotaPerS", 0)));
@@ -94,7 +94,7 @@
     return tenants;
   }
 
-  private static ServerLimits serverLimits(JsonFields contract) throws InvalidInputException {
+  private static ServerLimits readServerLimits(JsonFields contract) throws InvalidInputException {
     return new ServerLimits(
         contract.integer("AnswerSlack", 0),
         contract.integer("DrainGrace", 0),
@@ -104,12 +104,12 @@
         contract.integer("WarmAfter", 0));
   }
 
-  private static Dependency dependency(JsonFields extra) throws InvalidInputException {
+  private static Dependency readDependency(JsonFields extra) throws InvalidInputException {
     return new Dependency(
         extra.number("CallsOut", 0), extra.integer("DepWindow", 0), extra.integer("Linger", 0));
   }
 
-  private static Machine machine(JsonFields extra) throws InvalidInputException {
+  private static Machine readMachine(JsonFields extra) throws InvalidInputException {
     StopMode stopMode =
         switch (extra.text("Halt", "silent")) {
           case "abort" -> StopMode.ABORT;
@@ -126,7 +126,8 @@
         stopMode);
   }
 
-  private static Signals signals(JsonFields extra, JsonFields limits) throws InvalidInputException {
+  private static Signals readSignals(JsonFields extra, JsonFields limits)
+      throws InvalidInputException {
     FreeValue freeValue =
         switch (extra.text("Say", "silent")) {
           case "threshold" -> FreeValue.LEVEL;
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -61,13 +61,13 @@
     builtins.put("zone", script::zone);
     builtins.put("allow", SiteScript::allow);
     Script.run(file.getFileName().toString(), Sources.below(directory), Limits.USUAL, builtins);
-    return script.site();
+    return script.createSite();
   }
 
   /**
    * Checks the zones and keys against each other and creates the settings, once the script has run.
    */
-  private Site site() throws ScriptError {
+  private Site createSite() throws ScriptError {
     if (dns == null && !zones.isEmpty()) {
       throw zoneCalls.get(zones.get(0)).wrong("there are zones but no dns(listen = ...)");
     }
@@ -92,11 +92,11 @@
         fleet);
   }
 
-  private static InetSocketAddress address(Arguments call, String name) throws ScriptError {
-    return address(call, name, call.text(name));
+  private static InetSocketAddress parseAddress(Arguments call, String name) throws ScriptError {
+    return parseAddress(call, name, call.text(name));
   }
 
-  private static InetSocketAddress address(Arguments call, String name, String text)
+  private static InetSocketAddress parseAddress(Arguments call, String name, String text)
       throws ScriptError {
     try {
       return Addresses.parse(text, name);
@@ -109,7 +109,7 @@
     if (ajp != null) {
       throw call.wrong("is called twice");
     }
-    ajp = address(call, "listen");
+    ajp = parseAddress(call, "listen");
     call.done(0);
     return null;
   }
@@ -118,16 +118,16 @@
     if (fleet != null) {
       throw call.wrong("is called twice");
     }
-    String name = memberName(call, "name", call.text("name"));
-    InetSocketAddress listen = requireReachable(call, "listen", address(call, "listen"));
+    String name = requireMemberName(call, "name", call.text("name"));
+    InetSocketAddress listen = requireReachable(call, "listen", parseAddress(call, "listen"));
     String advertised = call.text("advertise", "");
     InetSocketAddress advertise =
         advertised.isEmpty()
             ? listen
-            : requireReachable(call, "advertise", address(call, "advertise", advertised));
+            : requireReachable(call, "advertise", parseAddress(call, "advertise", advertised));
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (String seed : call.list("seeds", String.class, "an address")) {
-      seeds.add(requireReachable(call, "seeds", address(call, "seeds", seed)));
+      seeds.add(requireReachable(call, "seeds", parseAddress(call, "seeds", seed)));
     }
     if (seeds.size() > MAX_SEEDS) {
       throw call.wrong(
@@ -139,12 +139,13 @@
             listen,
             advertise,
             List.copyOf(seeds),
-            memberName(call, "zone", call.text("zone", "one")));
+            requireMemberName(call, "zone", call.text("zone", "one")));
     call.done(0);
     return null;
   }
 
-  private static String memberName(Arguments call, String name, String text) throws ScriptError {
+  private static String requireMemberName(Arguments call, String name, String text)
+      throws ScriptError {
     if (!Site.Fleet.isValidName(text)) {
       throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAME_FORMAT);
     }
@@ -166,7 +167,7 @@
       throw call.wrong("is called twice");
     }
     DnsLimits defaults = DnsLimits.DEFAULTS;
-    InetSocketAddress listen = address(call, "listen");
+    InetSocketAddress listen = parseAddress(call, "listen");
     Path state = resolve(call, call.text("state", "state"));
     DnsLimits limits =
         new DnsLimits(
@@ -199,7 +200,7 @@
     return path;
   }
 
-  private Path file(Arguments call, String argument) throws ScriptError {
+  private Path requireFile(Arguments call, String argument) throws ScriptError {
     String name = call.text(argument);
     resolve(call, name);
     try {
@@ -216,7 +217,7 @@
   /**
    * Returns a domain name in lower case without the trailing dot. The DNS server checks its labels.
    */
-  private static String domain(Arguments call, String name) throws ScriptError {
+  private static String domainName(Arguments call, String name) throws ScriptError {
     String text = call.text(name).toLowerCase(Locale.ROOT);
     text = text.endsWith(".") ? text.substring(0, text.length() - 1) : text;
     if (text.isEmpty()
@@ -229,7 +230,7 @@
   }
 
   private Object key(Arguments call) throws ScriptError {
-    String name = domain(call, "name");
+    String name = domainName(call, "name");
     String algorithm = call.text("algorithm", "hmac-sha256").toLowerCase(Locale.ROOT);
     if (!ALGORITHMS.contains(algorithm)) {
       throw call.wrong(
@@ -241,20 +242,20 @@
     if (keys.stream().anyMatch(existing -> existing.name().equals(name))) {
       throw call.wrong("key " + name + " is given twice");
     }
-    Site.Key key = new Site.Key(name, algorithm, file(call, "secret_file"));
+    Site.Key key = new Site.Key(name, algorithm, requireFile(call, "secret_file"));
     call.done(0);
     keys.add(key);
     return key;
   }
 
   private Object zone(Arguments call) throws ScriptError {
-    String name = domain(call, "name");
+    String name = domainName(call, "name");
     if (zones.stream().anyMatch(existing -> existing.name().equals(name))) {
       throw call.wrong("zone " + name + " is given twice");
     }
     Site.Zone zone =
         new Site.Zone(
-            name, file(call, "file"), call.list("updates", Site.Right.class, "allow(...)"));
+            name, requireFile(call, "file"), call.list("updates", Site.Right.class, "allow(...)"));
     call.done(0);
     for (Site.Right right : zone.rights()) {
       String names = right.names().startsWith("*.") ? right.names().substring(2) : right.names();
@@ -268,8 +269,8 @@
   }
 
   private static Object allow(Arguments call) throws ScriptError {
-    String key = domain(call, "key");
-    String names = domain(call, "names");
+    String key = domainName(call, "key");
+    String names = domainName(call, "names");
     Set<String> types = new LinkedHashSet<>();
     for (String type : call.list("types", String.class, "a type of records")) {
       types.add(type.toUpperCase(Locale.ROOT));
--- a/src/main/java/mothwing/store/ClaimTable.java
+++ b/src/main/java/mothwing/store/ClaimTable.java
@@ -101,7 +101,7 @@
   }
 
   private void clearIfOtherBoot(long boot) throws IOException {
-    FileLock lock = lock(MAX_OPENING_LOCK_ATTEMPTS);
+    FileLock lock = acquireLock(MAX_OPENING_LOCK_ATTEMPTS);
     if (lock == null) {
       throw new IOException("the lock of the claim table is held by another process");
     }
@@ -117,7 +117,7 @@
   }
 
   /** Returns the lock on the file, or null if it is not acquired within the given attempts. */
-  private FileLock lock(int maxAttempts) throws IOException {
+  private FileLock acquireLock(int maxAttempts) throws IOException {
     for (int attempt = 0; attempt < maxAttempts; attempt++) {
       try {
         FileLock lock = file.tryLock();
@@ -140,7 +140,7 @@
    * @return the result
    */
   public Claim claim(String key, long durationMicros) {
-    try (FileLock lock = lock(MAX_LOCK_ATTEMPTS)) {
+    try (FileLock lock = acquireLock(MAX_LOCK_ATTEMPTS)) {
       return lock == null
           ? Claim.UNKNOWN
           : claimLocked(hash(key), clock.getAsLong(), durationMicros);
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -114,7 +114,7 @@
     Disk.OpenFile opened = disk.open(logFile);
     boolean keepOpen = false;
     try {
-      OptionalLong first = RecordFraming.firstSequence(opened, logFile);
+      OptionalLong first = RecordFraming.readFirstSequence(opened, logFile);
       if (first.isEmpty() && last && RecordFraming.findFrame(opened, 0, nextSequence).isEmpty()) {
         log.accept("journal-cut file=" + logFile + " at=0 bytes=" + opened.size());
         // Its creation was interrupted, so nothing in it was acknowledged.
@@ -160,7 +160,7 @@
     long expected = sequence(logFile, LOG);
     long offset = RecordFraming.HEADER_BYTES;
     while (offset < opened.size()) {
-      Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
+      Optional<RecordFraming.Frame> read = RecordFraming.readFrame(opened, offset);
       if (read.isEmpty()) {
         truncateTornTail(opened, logFile, offset, last, expected);
         break;
@@ -209,7 +209,7 @@
     Disk.OpenFile opened = disk.open(newName);
     try {
       opened.truncate(0);
-      opened.append(RecordFraming.header(nextSequence));
+      opened.append(RecordFraming.encodeHeader(nextSequence));
       opened.force();
       disk.forceDirectory();
     } catch (IOException failed) {
@@ -241,7 +241,7 @@
           "records of more than " + RecordFraming.MAX_CONTENT_BYTES + " bytes in one append");
     }
     repair();
-    ByteBuffer frame = RecordFraming.frame(nextSequence, records);
+    ByteBuffer frame = RecordFraming.encodeFrame(nextSequence, records);
     int length = frame.remaining();
     // Reset once the frame is complete.
     hasTornFrame = true;
@@ -319,7 +319,7 @@
       }
       temporary = disk.open(TEMPORARY);
       temporary.truncate(0);
-      temporary.append(RecordFraming.header(lastCovered));
+      temporary.append(RecordFraming.encodeHeader(lastCovered));
     }
 
     /**
@@ -339,11 +339,11 @@
           bytes += chunk.length;
         }
         if (!frame.isEmpty()) {
-          temporary.append(RecordFraming.frame(frames++, frame));
+          temporary.append(RecordFraming.encodeFrame(frames++, frame));
           return true;
         }
         byte[] count = ByteBuffer.allocate(Long.BYTES).putLong(frames).array();
-        temporary.append(RecordFraming.frame(SnapshotReader.LAST_FRAME, List.of(count)));
+        temporary.append(RecordFraming.encodeFrame(SnapshotReader.LAST_FRAME, List.of(count)));
         temporary.force();
       } catch (IOException failed) {
         abandon();
--- a/src/main/java/mothwing/store/RecordFraming.java
+++ b/src/main/java/mothwing/store/RecordFraming.java
@@ -46,7 +46,7 @@
   private RecordFraming() {}
 
   /** Encodes the header of a file. */
-  static ByteBuffer header(long firstSequence) {
+  static ByteBuffer encodeHeader(long firstSequence) {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
     header.putLong(FILE_MAGIC).putInt(VERSION).putLong(firstSequence);
     CRC32C crc = new CRC32C();
@@ -59,7 +59,7 @@
    *
    * @throws CorruptRecordException if a newer version of this program wrote the file
    */
-  static OptionalLong firstSequence(Disk.OpenFile file, String name) throws IOException {
+  static OptionalLong readFirstSequence(Disk.OpenFile file, String name) throws IOException {
     ByteBuffer header = ByteBuffer.allocate(HEADER_BYTES);
     if (file.read(header, 0) < HEADER_BYTES) {
       return OptionalLong.empty();
@@ -80,7 +80,7 @@
   }
 
   /** Encodes a frame of records. */
-  static ByteBuffer frame(long firstSequence, List<byte[]> records) {
+  static ByteBuffer encodeFrame(long firstSequence, List<byte[]> records) {
     int length = records.stream().mapToInt(record -> Integer.BYTES + record.length).sum();
     ByteBuffer frame = ByteBuffer.allocate(FRAME_HEADER_BYTES + length);
     frame
@@ -104,7 +104,7 @@
   }
 
   /** Reads the frame at an offset of a file; empty if it is incomplete or damaged. */
-  static Optional<Frame> read(Disk.OpenFile file, long offset) throws IOException {
+  static Optional<Frame> readFrame(Disk.OpenFile file, long offset) throws IOException {
     ByteBuffer header = ByteBuffer.allocate(FRAME_HEADER_BYTES);
     if (file.read(header, offset) < FRAME_HEADER_BYTES || header.getInt(0) != FRAME_MAGIC) {
       return Optional.empty();
@@ -145,7 +145,7 @@
       int read = file.read(bytes, windowStart);
       for (int i = 0; i + Integer.BYTES <= read; i++) {
         if (bytes.getInt(i) == FRAME_MAGIC) {
-          Optional<Frame> frame = read(file, windowStart + i);
+          Optional<Frame> frame = readFrame(file, windowStart + i);
           if (frame.isPresent() && frame.get().firstSequence() >= minSequence) {
             return OptionalLong.of(windowStart + i);
           }
--- a/src/main/java/mothwing/store/SnapshotReader.java
+++ b/src/main/java/mothwing/store/SnapshotReader.java
@@ -24,7 +24,7 @@
   static void read(Disk disk, String snapshot, long sequence, Journal.Replay replay)
       throws IOException {
     try (Disk.OpenFile opened = disk.open(snapshot)) {
-      OptionalLong covers = RecordFraming.firstSequence(opened, snapshot);
+      OptionalLong covers = RecordFraming.readFirstSequence(opened, snapshot);
       if (covers.isEmpty() || covers.getAsLong() != sequence) {
         throw new CorruptRecordException(snapshot, 0, "the snapshot is truncated");
       }
@@ -48,7 +48,7 @@
   /** Reads a frame of a snapshot. The last frame holds the number of frames before it. */
   private static RecordFraming.Frame readFrame(
       Disk.OpenFile opened, String snapshot, long offset, long number) throws IOException {
-    Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
+    Optional<RecordFraming.Frame> read = RecordFraming.readFrame(opened, offset);
     if (read.isEmpty()
         || (read.get().firstSequence() != number && read.get().firstSequence() != LAST_FRAME)) {
       throw new CorruptRecordException(snapshot, offset, "a damaged frame of the snapshot");
