--- a/src/main/java/mothwing/trial/Oracles.java
+++ b/src/main/java/mothwing/trial/Oracles.java
@@ -44,8 +44,7 @@
   private static final long GRACE = 2000 * MILLI; // after the notice, for arrivals that may run
   private static final int FALL_PER_CORE = 8; // that of the settings
   private static final long FALL_SPAN = 2000 * MILLI; // that of the settings
-  private static final long CROSSING =
-      200 * MILLI; // in which the end of a process reaches its gateways
+  private static final long CROSSING = 200 * MILLI; // for a process's end to reach its gateways
   private static final long TOO_LATE = 50 * MILLI;
   private static final double LATE_SHARE = 0.01;
 
@@ -88,11 +87,12 @@
     List<Breach> breaches = new ArrayList<>(one.all);
     breaches.removeIf(breach -> !trial.rules().contains(breach.rule()));
     List<String> doubts = new ArrayList<>(history.troubles);
-    long late = history.lateness.stream().filter(by -> by > TOO_LATE).count();
-    if (late > LATE_SHARE * history.lateness.size()) {
+    List<Long> lateness = List.of(history.lateness.toArray(Long[]::new)); // still appended to
+    long late = lateness.stream().filter(by -> by > TOO_LATE).count();
+    if (late > LATE_SHARE * lateness.size()) {
       doubts.add(
           "the machine was too slow to judge: of "
-              + history.lateness.size()
+              + lateness.size()
               + " looks at the rig's clock "
               + late
               + " were more than "
