--- a/src/main/java/mothwing/ajp/Ajp.java
+++ b/src/main/java/mothwing/ajp/Ajp.java
@@ -110,7 +110,6 @@
     out.writeByte(0);
   }
 
-  /** Writes a Send Headers packet. */
   static void writeHeaders(ByteBuf out, int status, String phrase, List<Header> headers) {
     int lengthIndex = beginPacket(out, SEND_HEADERS);
     out.writeShort(status);
@@ -133,7 +132,6 @@
     }
   }
 
-  /** Writes an End Response packet. */
   static void writeEndResponse(ByteBuf out, boolean reuse) {
     int lengthIndex = beginPacket(out, END_RESPONSE);
     out.writeByte(reuse ? 1 : 0);
@@ -147,7 +145,6 @@
     finishPacket(out, lengthIndex);
   }
 
-  /** Writes a CPong packet. */
   static void writeCpong(ByteBuf out) {
     finishPacket(out, beginPacket(out, CPONG));
   }
--- a/src/main/java/mothwing/ajp/AjpConnection.java
+++ b/src/main/java/mothwing/ajp/AjpConnection.java
@@ -91,15 +91,15 @@
         if (length >= 0) {
           return length;
         }
-      } catch (NumberFormatException notNumber) {
+      } catch (NumberFormatException notANumber) {
         // Reported below.
       }
       throw new ProtocolException(CloseReason.MALFORMED, "invalid content-length");
     }
 
     /**
-     * Appends a chunk of the body; an empty chunk is the last one. No more is requested than the
-     * maximum length of a body.
+     * Appends a chunk of the body; an empty chunk is the last one. At most one byte more than the
+     * maximum length of a body is requested.
      */
     void appendChunk(byte[] chunk) {
       int bytesBefore = body.length;
@@ -154,11 +154,11 @@
     if (in.readableBytes() < Ajp.HEADER_BYTES) {
       return false;
     }
-    int at = in.readerIndex();
-    if (in.getUnsignedShort(at) != Ajp.TO_CONTAINER) {
+    int packetStart = in.readerIndex();
+    if (in.getUnsignedShort(packetStart) != Ajp.TO_CONTAINER) {
       throw new ProtocolException(CloseReason.MALFORMED, "invalid magic number of a packet");
     }
-    int length = in.getUnsignedShort(at + Short.BYTES);
+    int length = in.getUnsignedShort(packetStart + Short.BYTES);
     if (length > Ajp.MAX_PACKET_BYTES - Ajp.HEADER_BYTES) {
       throw new ProtocolException(
           CloseReason.OVERSIZED, "oversized packet of " + length + " bytes");
@@ -166,7 +166,7 @@
     if (in.readableBytes() < Ajp.HEADER_BYTES + length) {
       return false;
     }
-    handlePacket(in.slice(at + Ajp.HEADER_BYTES, length));
+    handlePacket(in.slice(packetStart + Ajp.HEADER_BYTES, length));
     in.skipBytes(Ajp.HEADER_BYTES + length);
     return true;
   }
--- a/src/main/java/mothwing/discovery/LoadReportConnection.java
+++ b/src/main/java/mothwing/discovery/LoadReportConnection.java
@@ -39,7 +39,6 @@
     return awaitsResponse;
   }
 
-  /** Sends a report. */
   void sendReport(boolean accepting) {
     awaitsResponse = true;
     String request = LoadReportProtocol.encodeReport(name, accepting);
--- a/src/main/java/mothwing/discovery/LoadReportProtocol.java
+++ b/src/main/java/mothwing/discovery/LoadReportProtocol.java
@@ -96,7 +96,8 @@
       } else if (field.startsWith("connection:")) {
         isLast = field.contains("close");
       } else if (field.startsWith("transfer-encoding:")) {
-        // The service sends responses without a body, so no transfer encoding is decoded.
+        // Transfer encodings are not decoded, so the end of the body is unknown; the connection
+        // carries no further report.
         isLast = true;
       }
     }
--- a/src/main/java/mothwing/discovery/LoadReporter.java
+++ b/src/main/java/mothwing/discovery/LoadReporter.java
@@ -17,7 +17,7 @@
 public final class LoadReporter {
   static final long REPORT_PERIOD_MICROS = 1_000_000;
 
-  /** The maximum number of connect attempts in progress at once. */
+  /** The maximum number of connect attempts to the current address in progress at once. */
   static final int MAX_CONNECT_ATTEMPTS = 3;
 
   private final String name;
@@ -102,7 +102,8 @@
   }
 
   /**
-   * Changes the address of the discovery service and connects to the new address at once.
+   * Changes the address of the discovery service and connects to the new address at once; the first
+   * report is sent when the connection opens.
    *
    * @param replacement opens connections to the new address
    */
@@ -116,7 +117,10 @@
     }
   }
 
-  /** Stops the reports, so that the entry of this server on the endpoint list expires. */
+  /**
+   * Stops the reports and closes the connection. The entry of this server on the endpoint list then
+   * expires.
+   */
   public void stop() {
     stopped = true;
     closeConnection(CloseReason.DRAIN);
--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -30,11 +30,11 @@
 
   private static final int MAX_PADDING_BYTES = 0xFF;
 
-  // A larger record is skipped without being buffered.
+  // The maximum bytes buffered of one record.
   private static final int MAX_RECORD_BYTES =
       FastCgi.HEADER_BYTES + MAX_PARAMS_BYTES + MAX_PADDING_BYTES;
 
-  // Counted since the last complete request.
+  // The maximum bytes of skipped records since the last complete request.
   private static final int MAX_SKIPPED_BYTES = 128 << 10;
 
   private static final String HEADER_PREFIX = "HTTP_";
@@ -172,15 +172,15 @@
     if (in.readableBytes() < FastCgi.HEADER_BYTES) {
       return false;
     }
-    int at = in.readerIndex();
-    if (in.getByte(at) != FastCgi.VERSION) {
+    int recordStart = in.readerIndex();
+    if (in.getByte(recordStart) != FastCgi.VERSION) {
       throw new ProtocolException(
-          CloseReason.MALFORMED, "unsupported version " + in.getUnsignedByte(at));
+          CloseReason.MALFORMED, "unsupported version " + in.getUnsignedByte(recordStart));
     }
-    int type = in.getUnsignedByte(at + 1);
-    int id = in.getUnsignedShort(at + 2);
-    int length = in.getUnsignedShort(at + 4);
-    int size = FastCgi.HEADER_BYTES + length + in.getUnsignedByte(at + 6);
+    int type = in.getUnsignedByte(recordStart + 1);
+    int id = in.getUnsignedShort(recordStart + 2);
+    int length = in.getUnsignedShort(recordStart + 4);
+    int size = FastCgi.HEADER_BYTES + length + in.getUnsignedByte(recordStart + 6);
     if (isSkipped(type, open.get(id), length)) {
       skippedBytes += size;
       if (skippedBytes > MAX_SKIPPED_BYTES) {
@@ -193,15 +193,15 @@
     if (in.readableBytes() < size) {
       return false;
     }
-    handleRecord(type, id, in.slice(at + FastCgi.HEADER_BYTES, length));
+    handleRecord(type, id, in.slice(recordStart + FastCgi.HEADER_BYTES, length));
     in.skipBytes(size);
     return true;
   }
 
   /**
-   * Returns whether the content of a record is skipped: that of a request which is already
-   * answered, or content that makes its request too large. An oversized request is rejected at the
-   * header of the record, as its end may never arrive.
+   * Returns whether a record is skipped: that of a request which is not open, that which makes its
+   * request too large, or that of a record of another type over {@link #MAX_PARAMS_BYTES}. An
+   * oversized request is rejected at the header of the record, as its end may never arrive.
    */
   private boolean isSkipped(int type, PendingRequest request, int length) {
     if (type != FastCgi.PARAMS && type != FastCgi.STDIN) {
--- a/src/main/java/mothwing/settings/JsonFields.java
+++ b/src/main/java/mothwing/settings/JsonFields.java
@@ -80,8 +80,8 @@
   }
 
   /**
-   * Requires that another object has every key of this one, at every depth. Each object of a list
-   * must have the keys that all objects of the same list in this object share. Values are not
+   * Requires that another object has every key that this one has with a value, at every depth. For
+   * a list of objects, the required keys are those that all its objects here share. Values are not
    * compared.
    *
    * @param other the object to check
@@ -185,7 +185,8 @@
   }
 
   /**
-   * Returns an optional reference. A number, 0 on the wire, also means that there is none.
+   * Returns an optional reference. Any number, such as the 0 that is sent on the wire, means that
+   * there is none.
    *
    * @param name the name of the field
    * @return the value, or null if there is none
@@ -333,7 +334,8 @@
   }
 
   /**
-   * Returns a list of strings, or an empty list if it is absent. Other items become strings.
+   * Returns a list of strings, or an empty list if it is absent. Items that are not strings are
+   * converted, null to "null".
    *
    * @param name the name of the field
    * @return the value
--- a/src/main/java/mothwing/settings/Secret.java
+++ b/src/main/java/mothwing/settings/Secret.java
@@ -20,8 +20,8 @@
    *
    * @param key the key
    * @return the bytes of the secret
-   * @throws IOException if the file cannot be read or is not base64 of 16 bytes or more; the
-   *     message names the key and the file, never their content
+   * @throws IOException if the file cannot be read, is not base64 of 16 bytes or more, or is longer
+   *     than 4096 bytes; the message names the key and the file, never their content
    */
   public static byte[] read(Site.Key key) throws IOException {
     String source = "key " + key.name() + ": " + key.secretFile().getFileName();
--- a/src/main/java/mothwing/settings/Site.java
+++ b/src/main/java/mothwing/settings/Site.java
@@ -51,9 +51,9 @@
    *
    * @param listen the address for UDP and TCP
    * @param state the directory of its durable state
-   * @param limits the limits
+   * @param limits the limits on responses, connections and memory
    * @param keys the keys that sign updates
-   * @param zones the zones
+   * @param zones the zones to serve
    */
   public record Dns(
       InetSocketAddress listen, Path state, DnsLimits limits, List<Key> keys, List<Zone> zones) {}
@@ -117,7 +117,7 @@
    * A right to update records, granted to a key.
    *
    * @param key the key's name
-   * @param names a name, or {@code *} and a suffix for all names below the suffix
+   * @param names a domain name, or {@code *.NAME} for all names below NAME
    * @param types the record types, in upper case
    */
   public record Right(String key, String names, Set<String> types) {}
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -119,15 +119,15 @@
       throw call.wrong("is called twice");
     }
     String name = requireMemberName(call, "name", call.text("name"));
-    InetSocketAddress listen = requireReachable(call, "listen", parseAddress(call, "listen"));
+    InetSocketAddress listen = requireSpecific(call, "listen", parseAddress(call, "listen"));
     String advertised = call.text("advertise", "");
     InetSocketAddress advertise =
         advertised.isEmpty()
             ? listen
-            : requireReachable(call, "advertise", parseAddress(call, "advertise", advertised));
+            : requireSpecific(call, "advertise", parseAddress(call, "advertise", advertised));
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (String seed : call.list("seeds", String.class, "an address")) {
-      seeds.add(requireReachable(call, "seeds", parseAddress(call, "seeds", seed)));
+      seeds.add(requireSpecific(call, "seeds", parseAddress(call, "seeds", seed)));
     }
     if (seeds.size() > MAX_SEEDS) {
       throw call.wrong(
@@ -153,7 +153,7 @@
   }
 
   /** Requires a specific address and port, so that other members can send to it. */
-  private static InetSocketAddress requireReachable(
+  private static InetSocketAddress requireSpecific(
       Arguments call, String name, InetSocketAddress address) throws ScriptError {
     if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
       throw call.wrong(
--- a/src/main/java/mothwing/store/ClaimTable.java
+++ b/src/main/java/mothwing/store/ClaimTable.java
@@ -53,12 +53,15 @@
   private static final int EXPIRY_OFFSET = 16;
 
   /**
-   * Attempts to acquire the lock for a claim. Each attempt takes some microseconds, about as long
-   * as a claim holds the lock.
+   * The maximum number of attempts to acquire the lock for a claim. Each attempt takes some
+   * microseconds, about as long as a claim holds the lock.
    */
   private static final int MAX_LOCK_ATTEMPTS = 2000;
 
-  /** Attempts to acquire the lock on opening, while another process may initialize the table. */
+  /**
+   * The maximum number of attempts to acquire the lock on opening, while another process may
+   * initialize the table.
+   */
   private static final int MAX_OPENING_LOCK_ATTEMPTS = 1_000_000;
 
   private final FileChannel file;
@@ -92,7 +95,7 @@
             path, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
     try {
       ClaimTable opened = new ClaimTable(file, owner, clock);
-      opened.clearIfOtherBoot(boot);
+      opened.clearIfStale(boot);
       return opened;
     } catch (IOException | RuntimeException failed) {
       file.close();
@@ -100,10 +103,10 @@
     }
   }
 
-  private void clearIfOtherBoot(long boot) throws IOException {
+  private void clearIfStale(long boot) throws IOException {
     FileLock lock = acquireLock(MAX_OPENING_LOCK_ATTEMPTS);
     if (lock == null) {
-      throw new IOException("the lock of the claim table is held by another process");
+      throw new IOException("the lock of the claim table is held elsewhere");
     }
     try (lock) {
       if (table.getLong(MAGIC_OFFSET) != MAGIC || table.getLong(BOOT_OFFSET) != boot) {
@@ -133,7 +136,8 @@
   }
 
   /**
-   * Claims the lease of a key. The owner of a lease extends it by a further claim.
+   * Claims the lease of a key. The owner may extend its lease by claiming again; a shorter claim
+   * does not shorten it.
    *
    * @param key any text
    * @param durationMicros microseconds from now for which the key is leased
--- a/src/main/java/mothwing/store/Disk.java
+++ b/src/main/java/mothwing/store/Disk.java
@@ -21,7 +21,10 @@
     /** Returns the length in bytes. */
     long size() throws IOException;
 
-    /** Reads from an offset until the buffer is full or the file ends; returns the bytes read. */
+    /**
+     * Reads from an offset until the buffer is full or the file ends; returns the number of bytes
+     * read.
+     */
     int read(ByteBuffer buffer, long offset) throws IOException;
 
     /** Appends all remaining bytes of a buffer. */
@@ -59,7 +62,7 @@
    * mothwing.disk.control} names a control file, the faults in it are injected.
    *
    * @param directory the directory
-   * @return its files
+   * @return the disk
    * @throws IOException if the directory cannot be created
    */
   static Disk of(Path directory) throws IOException {
--- a/src/main/java/mothwing/store/GroupCommitter.java
+++ b/src/main/java/mothwing/store/GroupCommitter.java
@@ -11,11 +11,11 @@
 
 /**
  * Appends the records of one owner to a {@link Journal} without blocking the owner's thread.
- * Records are queued; a writer thread writes all queued records as one frame and forces it (group
- * commit), and the completions run on the owner's thread. If a write fails, all queued records of
- * the same epoch fail with it, in order, because each may depend on the one before. The next epoch
- * starts when the owner is notified of the failure; records appended from then on are written
- * again.
+ * Records are queued; a writer thread writes the queued records in batches, each as one frame of
+ * about 8 MiB at most, and forces each (group commit), and the completions run on the owner's
+ * thread. If a write fails, all queued records of the same epoch fail with it, in order, because
+ * each may depend on the one before. The next epoch starts when the owner is notified of the
+ * failure; records appended after that are written normally.
  */
 public final class GroupCommitter {
   private static final int MAX_FRAME_BYTES = 8 << 20;
@@ -46,19 +46,19 @@
   // Shared, guarded by the queue.
   private final ArrayDeque<Task> queue = new ArrayDeque<>();
   private boolean scheduled;
-  // Confined to the writer thread, except the size.
+  // Written by the writer thread only; the size is read by any thread.
   private int failedEpoch = -1;
   private Journal.Snapshot snapshot;
   private Task snapshotTask;
   private volatile long size;
 
   /**
-   * Creates a committer.
+   * Creates a committer for a journal.
    *
    * @param journal the journal, which only the writer thread uses from now on
    * @param owner runs completions on the owner's thread
    * @param writer runs tasks on the writer thread
-   * @param maxPending number of uncompleted records and snapshots at which appends are refused
+   * @param maxPending maximum uncompleted records and snapshots; appends beyond it are refused
    */
   public GroupCommitter(Journal journal, Executor owner, Executor writer, int maxPending) {
     this.journal = journal;
--- a/src/main/java/mothwing/store/Journal.java
+++ b/src/main/java/mothwing/store/Journal.java
@@ -14,8 +14,9 @@
  * appended together are written as one frame and forced before {@link #append} returns. A snapshot
  * is written to a temporary file, forced and renamed; the log continues in a new file, and the
  * files that the snapshot covers are deleted. Opening reads the newest snapshot and all records
- * after it. A torn frame at the very end was never acknowledged; it is truncated and logged. A
- * damaged frame before the end was acknowledged, so opening fails with the file and the offset.
+ * after it. A damaged frame at the very end is taken for a torn write that was never acknowledged;
+ * it is truncated and logged. A damaged frame before the end was acknowledged, so opening fails
+ * with the file and the offset.
  *
  * <p>All operations block. Used by one thread at a time. After a failed append the file is
  * truncated to its acknowledged length; if that fails too, each further append first retries it.
@@ -157,39 +158,39 @@
 
   private LogEnd replayRecords(Disk.OpenFile opened, String logFile, boolean last, Replay replay)
       throws IOException {
-    long expected = sequence(logFile, LOG);
+    long expectedSequence = sequence(logFile, LOG);
     long offset = RecordFraming.HEADER_BYTES;
     while (offset < opened.size()) {
       Optional<RecordFraming.Frame> read = RecordFraming.readFrame(opened, offset);
       if (read.isEmpty()) {
-        truncateTornTail(opened, logFile, offset, last, expected);
+        truncateTornTail(opened, logFile, offset, last, expectedSequence);
         break;
       }
       RecordFraming.Frame frame = read.get();
-      if (frame.firstSequence() != expected) {
+      if (frame.firstSequence() != expectedSequence) {
         throw new CorruptRecordException(
             logFile,
             offset,
-            "a frame with record " + frame.firstSequence() + ", expected " + expected);
+            "a frame with record " + frame.firstSequence() + ", expected " + expectedSequence);
       }
       for (byte[] record : frame.records()) {
         // The snapshot covers the records before.
-        if (expected >= nextSequence) {
+        if (expectedSequence >= nextSequence) {
           replay.record(record);
-          nextSequence = expected + 1;
+          nextSequence = expectedSequence + 1;
         }
-        expected++;
+        expectedSequence++;
       }
       offset = frame.end();
     }
-    return new LogEnd(expected, offset);
+    return new LogEnd(expectedSequence, offset);
   }
 
   /** Truncates a torn frame at the end of the last file; fails if the damage is elsewhere. */
   private void truncateTornTail(
-      Disk.OpenFile opened, String logFile, long offset, boolean last, long expected)
+      Disk.OpenFile opened, String logFile, long offset, boolean last, long expectedSequence)
       throws IOException {
-    OptionalLong later = RecordFraming.findFrame(opened, offset + 1, expected);
+    OptionalLong later = RecordFraming.findFrame(opened, offset + 1, expectedSequence);
     if (!last || later.isPresent()) {
       throw new CorruptRecordException(
           logFile,
--- a/src/main/java/mothwing/store/SnapshotReader.java
+++ b/src/main/java/mothwing/store/SnapshotReader.java
@@ -24,8 +24,8 @@
   static void read(Disk disk, String snapshot, long sequence, Journal.Replay replay)
       throws IOException {
     try (Disk.OpenFile opened = disk.open(snapshot)) {
-      OptionalLong covers = RecordFraming.readFirstSequence(opened, snapshot);
-      if (covers.isEmpty() || covers.getAsLong() != sequence) {
+      OptionalLong lastCovered = RecordFraming.readFirstSequence(opened, snapshot);
+      if (lastCovered.isEmpty() || lastCovered.getAsLong() != sequence) {
         throw new CorruptRecordException(snapshot, 0, "the snapshot is truncated");
       }
       long offset = RecordFraming.HEADER_BYTES;
@@ -47,16 +47,17 @@
 
   /** Reads a frame of a snapshot. The last frame holds the number of frames before it. */
   private static RecordFraming.Frame readFrame(
-      Disk.OpenFile opened, String snapshot, long offset, long number) throws IOException {
+      Disk.OpenFile opened, String snapshot, long offset, long frameNumber) throws IOException {
     Optional<RecordFraming.Frame> read = RecordFraming.readFrame(opened, offset);
     if (read.isEmpty()
-        || (read.get().firstSequence() != number && read.get().firstSequence() != LAST_FRAME)) {
+        || (read.get().firstSequence() != frameNumber
+            && read.get().firstSequence() != LAST_FRAME)) {
       throw new CorruptRecordException(snapshot, offset, "a damaged frame of the snapshot");
     }
     RecordFraming.Frame frame = read.get();
     if (frame.firstSequence() == LAST_FRAME
         && (frame.records().size() != 1
-            || ByteBuffer.wrap(frame.records().get(0)).getLong() != number)) {
+            || ByteBuffer.wrap(frame.records().get(0)).getLong() != frameNumber)) {
       throw new CorruptRecordException(snapshot, offset, "frames of the snapshot are missing");
     }
     return frame;
--- a/src/test/java/mothwing/discovery/LoadReporterTest.java
+++ b/src/test/java/mothwing/discovery/LoadReporterTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Tests reports to a discovery service that leaves some unanswered, drops connections, changes its
- * address or is unreachable. The entry on its list must not expire.
+ * address or is unreachable. The entry on its list must be renewed within half of its lifetime.
  */
 class LoadReporterTest {
   private static final long ENTRY_LIFETIME_MICROS = 3_000_000;
@@ -92,7 +92,7 @@
         unreachableSince = unreachable ? fixture.now() : unreachableSince;
         assertTrue(
             fixture.now() - Math.max(lastReportAt, unreachableSince) < ENTRY_LIFETIME_MICROS / 2,
-            "the list entry is about to expire");
+            "no report for half of the entry's lifetime");
         assertTrue(
             channels.stream().filter(EmbeddedChannel::isOpen).count() <= 1,
             "at most one connection");
@@ -100,10 +100,10 @@
     }
     reporter.stop();
     readReports(true);
-    long lastReportBeforeStop = lastReportAt;
+    long lastReportAtStop = lastReportAt;
     fixture.pass(ENTRY_LIFETIME_MICROS);
     readReports(true);
-    assertEquals(lastReportBeforeStop, lastReportAt, "no report after the stop");
+    assertEquals(lastReportAtStop, lastReportAt, "no report after the stop");
   }
 
   /**
@@ -127,7 +127,7 @@
       readReports(true);
       assertTrue(
           fixture.now() - lastReportAt < ENTRY_LIFETIME_MICROS / 2,
-          "the list entry is about to expire");
+          "no report for half of the entry's lifetime");
       if (i == openedAtStep) {
         // The first connection opens after another one.
         channels.add(fixture.open(attempts.get(0).get()));
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -48,11 +48,11 @@
   }
 
   /**
-   * Guards against a free value that is sent in another meaning than that of the current settings,
-   * or is sent although the settings define none.
+   * Guards against a free value that is encoded with a meaning other than that of the current
+   * settings, or is sent although the settings define none.
    */
   @Example
-  void sendsFreeValueInMeaningOfCurrentSettings() {
+  void encodesFreeValueAsCurrentSettingsDefine() {
     Settings level = BrokerFixture.settings(4.5, 2);
     for (FreeValue meaning : FreeValue.values()) {
       String unloadedValue =
@@ -79,7 +79,7 @@
         case 4 -> {
           model.left(requestId);
           model.send(Gateway.FastCgi.abort(requestId));
-          // The response may cross the abort.
+          // An aborted request may still get its one response; the model does not expect it.
           model.gateway.answers.removeIf(answer -> answer.id() == requestId);
         }
         case 5, 6, 7 -> model.endRun(step / 10);
@@ -149,7 +149,7 @@
    * reading: the request must neither fail at once nor get a deadline hours away.
    */
   @Example
-  void replacesImplausibleArrivalTimeByTimeOfReading() {
+  void ignoresArrivalTimeOfSteppedClock() {
     int number = 0;
     for (long hours : new long[] {1, -1}) {
       for (RunOutcome outcome : new RunOutcome[] {RunOutcome.SUCCEEDED, null}) {
@@ -166,7 +166,8 @@
         if (outcome != null) {
           model.stand.finish(id, outcome);
         }
-        // Without an outcome, past the deadline counted from the reading and the slack for answers.
+        // Without an outcome, wait until the deadline, counted from the time of reading, plus the
+        // answer slack.
         model.stand.pass(outcome == null ? 4_600_000 : 5_000);
         model.stand.read(model.channel, model.gateway);
         assertEquals(outcome == null ? 500 : 200, model.gateway.answers.remove().status());
--- a/src/test/java/mothwing/store/ClaimTableTest.java
+++ b/src/test/java/mothwing/store/ClaimTableTest.java
@@ -32,7 +32,10 @@
     try (ClaimTable first = open(1, 5);
         ClaimTable second = open(2, 5)) {
       assertEquals(Claim.GRANTED, first.claim("a", 1000));
-      assertEquals(Claim.GRANTED, first.claim("a", 500), "the owner extends its lease");
+      assertEquals(
+          Claim.GRANTED,
+          first.claim("a", 500),
+          "a shorter claim by the owner is granted and keeps the longer lease");
       assertEquals(Claim.HELD, second.claim("a", 1000));
       assertEquals(Claim.GRANTED, second.claim("b", 1000));
       clock.addAndGet(999);
--- a/src/test/java/mothwing/store/FaultyDisk.java
+++ b/src/test/java/mothwing/store/FaultyDisk.java
@@ -21,9 +21,9 @@
   }
 
   private final Random random;
-  private Map<String, Content> names = new TreeMap<>();
-  private Map<String, Content> forcedNames = new TreeMap<>();
-  private final List<Map<String, Content>> pendingNames = new ArrayList<>();
+  private Map<String, Content> files = new TreeMap<>();
+  private Map<String, Content> forcedFiles = new TreeMap<>();
+  private final List<Map<String, Content>> unforcedDirectories = new ArrayList<>();
   private int operations;
   private int failFrom = Integer.MAX_VALUE;
   private int failUntil = Integer.MAX_VALUE;
@@ -34,7 +34,8 @@
   }
 
   /**
-   * Fails the operations numbered from {@code from} up to before {@code until}, counted from now.
+   * Fails operations from {@code from} (inclusive) to {@code until} (exclusive); 1 is the next
+   * operation.
    */
   public void failOperations(int from, int until) {
     failFrom = operations + from;
@@ -48,12 +49,12 @@
 
   /** Simulates a power loss: forced data survives, and a random part of the data written since. */
   public void powerLoss() {
-    int kept = random.nextInt(pendingNames.size() + 1);
-    names = kept == 0 ? forcedNames : pendingNames.get(kept - 1);
-    names = new TreeMap<>(names);
-    forcedNames = new TreeMap<>(names);
-    pendingNames.clear();
-    for (Content content : names.values()) {
+    int kept = random.nextInt(unforcedDirectories.size() + 1);
+    files = kept == 0 ? forcedFiles : unforcedDirectories.get(kept - 1);
+    files = new TreeMap<>(files);
+    forcedFiles = new TreeMap<>(files);
+    unforcedDirectories.clear();
+    for (Content content : files.values()) {
       content.written = surviving(content);
       content.forced = content.written;
     }
@@ -83,20 +84,20 @@
   }
 
   /** Flips a random bit of the byte at an offset of a file. */
-  public void flipBit(String name, int at) {
-    Content content = names.get(name);
+  public void flipBit(String name, int offset) {
+    Content content = files.get(name);
     content.written = content.written.clone();
-    content.written[at] = (byte) (content.written[at] ^ 1 << random.nextInt(8));
+    content.written[offset] = (byte) (content.written[offset] ^ 1 << random.nextInt(8));
     content.forced = content.written;
   }
 
   /** Returns the length of a file in bytes. */
   public int size(String name) {
-    return names.get(name).written.length;
+    return files.get(name).written.length;
   }
 
   /** Counts an operation, and fails it if the test selected it. */
-  private void countOperation() throws IOException {
+  private void countOrFail() throws IOException {
     operations++;
     if (operations >= failFrom && operations < failUntil) {
       throw new IOException("no space left on device");
@@ -105,38 +106,38 @@
 
   @Override
   public List<String> list() {
-    return List.copyOf(names.keySet());
+    return List.copyOf(files.keySet());
   }
 
   @Override
   public void rename(String from, String to) throws IOException {
-    countOperation();
-    names.put(to, names.remove(from));
-    pendingNames.add(new TreeMap<>(names));
+    countOrFail();
+    files.put(to, files.remove(from));
+    unforcedDirectories.add(new TreeMap<>(files));
   }
 
   @Override
   public void delete(String name) throws IOException {
-    countOperation();
-    names.remove(name);
-    pendingNames.add(new TreeMap<>(names));
+    countOrFail();
+    files.remove(name);
+    unforcedDirectories.add(new TreeMap<>(files));
   }
 
   @Override
   public void forceDirectory() throws IOException {
-    countOperation();
-    forcedNames = new TreeMap<>(names);
-    pendingNames.clear();
+    countOrFail();
+    forcedFiles = new TreeMap<>(files);
+    unforcedDirectories.clear();
   }
 
   @Override
   public OpenFile open(String name) throws IOException {
-    if (!names.containsKey(name)) {
-      countOperation();
-      names.put(name, new Content());
-      pendingNames.add(new TreeMap<>(names));
+    if (!files.containsKey(name)) {
+      countOrFail();
+      files.put(name, new Content());
+      unforcedDirectories.add(new TreeMap<>(files));
     }
-    Content content = names.get(name);
+    Content content = files.get(name);
     return new OpenFile() {
       @Override
       public long size() {
@@ -156,7 +157,7 @@
         int length = bytes.remaining();
         int offset = content.written.length;
         try {
-          countOperation();
+          countOrFail();
         } catch (IOException full) {
           // A random part of the bytes still fits.
           length = random.nextInt(length + 1);
@@ -169,13 +170,13 @@
 
       @Override
       public void force() throws IOException {
-        countOperation();
+        countOrFail();
         content.forced = content.written;
       }
 
       @Override
       public void truncate(long size) throws IOException {
-        countOperation();
+        countOrFail();
         content.written = Arrays.copyOf(content.written, (int) size);
       }
 
