--- a/src/main/java/mothwing/fastcgi/FastCgiConnection.java
+++ b/src/main/java/mothwing/fastcgi/FastCgiConnection.java
@@ -199,9 +199,9 @@
   }
 
   /**
-   * Returns whether a record is skipped: that of a request which is not open, that which makes its
-   * request too large, or that of a record of another type over {@link #MAX_PARAMS_BYTES}. An
-   * oversized request is rejected at the header of the record, as its end may never arrive.
+   * Returns whether a record is skipped: its request is not open, it makes its request too large,
+   * or it is of another type and over {@link #MAX_PARAMS_BYTES}. An oversized request is rejected
+   * at the header of the record, as its end may never arrive.
    */
   private boolean isSkipped(int type, PendingRequest request, int length) {
     if (type != FastCgi.PARAMS && type != FastCgi.STDIN) {
