--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -29,12 +29,12 @@
     apply(next, Set.of());
   }
 
-  /** Replaces the settings; open requests keep the class that they were read under. */
-  void apply(Settings next, Collection<Exchange> open) {
+  /** Replaces the settings; open requests keep the class that applied when they were read. */
+  void apply(Settings next, Collection<Exchange> openRequests) {
     BitSet classesUsed = new BitSet();
     BitSet tenantsUsed = new BitSet();
-    for (Exchange exchange : open) {
-      // an open request always has a known class, but possibly no tenant, which is bit 0
+    for (Exchange exchange : openRequests) {
+      // bit 0 of tenantsUsed stands for requests without a tenant
       classesUsed.set(exchange.classIndex());
       tenantsUsed.set(exchange.tenantIndex() + 1);
     }
--- a/src/main/java/mothwing/broker/AwaitedCall.java
+++ b/src/main/java/mothwing/broker/AwaitedCall.java
@@ -19,12 +19,15 @@
     return inProgress;
   }
 
-  /** When the call times out, in microseconds of the monotonic clock. */
+  /**
+   * When the broker ends the call, which is later than the dependency's limit, in microseconds of
+   * the monotonic clock.
+   */
   long timeoutAt() {
     return timeoutAt;
   }
 
-  /** Whether the last command to the pool was the answer to a call. */
+  /** Whether the run was resumed over a connection, and has awaited no call since. */
   boolean isAnswerSent() {
     return answerSent;
   }
@@ -34,7 +37,10 @@
     return answerUnsent;
   }
 
-  /** The result of an answer that is not sent yet; null if the run is resumed without a result. */
+  /**
+   * The result of the unsent answer; null if none is unsent, or the run is resumed without a
+   * result.
+   */
   byte[] unsentResult() {
     return unsentResult;
   }
@@ -56,7 +62,11 @@
     return wasInProgress;
   }
 
-  /** Records that the run is resumed, with a result or null: now or once there is a connection. */
+  /**
+   * Records that the run is resumed, at once if connected, otherwise after the next connection.
+   *
+   * @param result null to resume without one
+   */
   void answer(byte[] result, boolean connected) {
     content = null;
     unsentResult = connected ? null : result;
--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -19,7 +19,7 @@
  * broker.
  */
 public final class Broker implements ControllerHost {
-  /** Bounds the open requests; any beyond the bound are rejected without asking the controller. */
+  /** The maximum number of open requests; more are rejected without asking the controller. */
   public static final int MAX_OPEN_REQUESTS = RequestIntake.MAX_OPEN_REQUESTS;
 
   /** Returned by {@link #retryAfterIfOverloaded} for a request that is to be submitted. */
@@ -57,7 +57,7 @@
 
   /**
    * Replaces the settings. Classes and tenants keep their indexes by name, open requests keep the
-   * class and the deadline that they were read under, and statistics are preserved.
+   * class and the deadline that applied when they were read, and statistics are preserved.
    *
    * @param settings the new settings of the server
    */
@@ -89,7 +89,7 @@
   /**
    * Sets the check for whether this process lags too far behind to decide on a request.
    *
-   * @param isOverloaded called once for each request; true if the request is to be rejected
+   * @param isOverloaded called once for each request; true to reject without asking the controller
    */
   public void setOverloadCheck(BooleanSupplier isOverloaded) {
     parts.intake.setOverloadCheck(isOverloaded);
@@ -214,8 +214,8 @@
   }
 
   /**
-   * Requests a graceful shutdown. In a handover another process serves clients at the same address:
-   * no answer or health check keeps gateways away, and new requests are still run for a while.
+   * Requests a graceful shutdown. In a handover, where another process serves clients at the same
+   * address, no answer or health check turns gateways away, and new requests run for a while.
    *
    * @param requestedAt when it was requested, in microseconds of the monotonic clock
    * @param stopAt when the process is stopped, on the same clock
@@ -236,7 +236,7 @@
   }
 
   /**
-   * Reports that the pool is connected; the notices that were missed follow.
+   * Reports that the pool is connected. Only the first call has an effect.
    *
    * @param coldStart whether the machine had just started when the pool started
    * @param ageMicros microseconds since the start of the pool
--- a/src/main/java/mothwing/broker/DependencyCalls.java
+++ b/src/main/java/mothwing/broker/DependencyCalls.java
@@ -11,7 +11,7 @@
 final class DependencyCalls {
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** Time past a call's limit in which the dependency's own report of the timeout may arrive. */
+  /** The time that the dependency's own report of a timeout may take to arrive. */
   private static final long TIMEOUT_SLACK_MICROS = 20 * MICROS_PER_MILLI;
 
   private final OpenRequests open;
@@ -64,8 +64,12 @@
     events.enqueue((to, at) -> to.callAwaited(at, id));
   }
 
-  /** Starts the call that a run awaits; it times out at a time of the monotonic clock. */
-  void start(String id, long timeoutAt) {
+  /**
+   * Starts the call that a run awaits.
+   *
+   * @param limitAt the time that the dependency is given, in microseconds of the monotonic clock
+   */
+  void start(String id, long limitAt) {
     Exchange exchange = open.get(id);
     if (exchange == null
         || !exchange.isPending()
@@ -73,7 +77,7 @@
         || exchange.call().isInProgress()) {
       return;
     }
-    long limit = Math.max(MICROS_PER_MILLI, timeoutAt - scheduler.now());
+    long limit = Math.max(MICROS_PER_MILLI, limitAt - scheduler.now());
     exchange.call().start(scheduler.now() + limit + TIMEOUT_SLACK_MICROS);
     counters.add(CounterNames.CALLS_STARTED);
     if (!client.startCall(id, limit / MICROS_PER_MILLI, exchange.call().content())) {
--- a/src/main/java/mothwing/broker/EventBatcher.java
+++ b/src/main/java/mothwing/broker/EventBatcher.java
@@ -30,7 +30,10 @@
   private Controller controller;
   private boolean batchScheduled;
 
-  /** Initially half the minimum, so that adding an interval cannot overflow. */
+  /**
+   * When the last batch was delivered; the initial value is so early that adding an interval to it
+   * cannot overflow.
+   */
   private long lastBatchAt = Long.MIN_VALUE / 2;
 
   EventBatcher(
--- a/src/main/java/mothwing/broker/Exchange.java
+++ b/src/main/java/mothwing/broker/Exchange.java
@@ -35,7 +35,7 @@
     HELD,
     /** Handed to the pool. */
     RUNNING,
-    /** Stopped at the controller's request; the pool keeps the run. */
+    /** Stopped; the pool keeps the run. */
     PAUSED,
     /** Its final answer was sent. */
     ANSWERED,
@@ -84,7 +84,8 @@
    * The times of a request, in microseconds of the monotonic clock.
    *
    * @param readAt when its last byte was read: the latest time at which it can have been sent
-   * @param arrivedAt when it reached the machine, as its gateway states if that is plausible
+   * @param arrivedAt when it reached the machine, as its gateway states, or when it was read if
+   *     that is implausible
    * @param deadline when its answer is due
    */
   record Times(long readAt, long arrivedAt, long deadline) {}
@@ -212,7 +213,11 @@
     return run.start(polls, connected);
   }
 
-  /** Records that its paused run is resumed, after this number of polls. */
+  /**
+   * Records that its paused run is resumed.
+   *
+   * @param polls the number of polls sent before the command
+   */
   void runResumed(long polls) {
     apply(Event.RUN_RESUMED);
     run.resume(polls);
@@ -237,7 +242,11 @@
     call.await(content);
   }
 
-  /** Records that its run is resumed with the call's result or null, after this number of polls. */
+  /**
+   * Records that its run is resumed with the call's result or null.
+   *
+   * @param polls the number of polls sent before the command
+   */
   void callAnswered(byte[] result, long polls, boolean connected) {
     call.answer(result, connected);
     run.commandSent(polls);
--- a/src/main/java/mothwing/broker/FailureReason.java
+++ b/src/main/java/mothwing/broker/FailureReason.java
@@ -23,7 +23,7 @@
   CLAIM_UNKNOWN("claim-unknown"),
   /** It repeats a request whose run failed. */
   REPLAYED_FAILURE("replayed-failure"),
-  /** The pool did not start it, because its deadline had passed. */
+  /** The pool did not start it, because its deadline had passed when the pool came to start it. */
   STALE("stale"),
   /** Its run ended without a result. */
   CRASHED("crashed"),
--- a/src/main/java/mothwing/broker/HealthChecks.java
+++ b/src/main/java/mothwing/broker/HealthChecks.java
@@ -10,7 +10,7 @@
  * progress and their duration are bounded; a check that exceeds a bound fails.
  */
 final class HealthChecks {
-  /** Bounds the deep checks in progress. */
+  /** The maximum number of deep checks in progress. */
   static final int MAX_CHECKS = 64;
 
   private static final long CHECK_TIMEOUT_MICROS = 2_000_000;
@@ -34,7 +34,7 @@
     this.counters = counters;
   }
 
-  /** Starts with the controller; all earlier checks fail. */
+  /** Starts answering; called with the controller. Checks before this call fail. */
   void start() {
     started = true;
   }
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -14,7 +14,7 @@
  * with a new key is run.
  */
 final class IdempotencyKeys {
-  /** Bounds the entries. */
+  /** The maximum number of entries. */
   static final int MAX_ENTRIES = 4096;
 
   /**
@@ -67,7 +67,9 @@
       return original != null && (original.isPending() || original.isInPool());
     }
 
-    /** The result of the run; null if it failed, or there was no room for its result. */
+    /**
+     * The result of the run; null unless the run has succeeded and there was room for its result.
+     */
     byte[] result() {
       return result;
     }
@@ -93,9 +95,7 @@
     }
   }
 
-  /**
-   * The entry of the original that a request repeats, having arrived within its window; or null.
-   */
+  /** The entry of the original whose window the request arrived in, or null if it repeats none. */
   Entry findOriginal(Exchange exchange) {
     if (!exchange.hasIdempotencyKey()) {
       return null;
@@ -115,7 +115,10 @@
     return entry != null && entry.runStarted;
   }
 
-  /** Whether a request needs no new entry, or there is room for one. */
+  /**
+   * Whether there is room for the entry of a request, or it needs none: it has no key, or its key
+   * has an entry.
+   */
   boolean hasRoom(Exchange exchange) {
     return !exchange.hasIdempotencyKey()
         || entries.containsKey(IdempotencyKey.of(exchange))
--- a/src/main/java/mothwing/broker/InboundRequest.java
+++ b/src/main/java/mothwing/broker/InboundRequest.java
@@ -29,10 +29,10 @@
   /** The value of {@link #maxWaitMs} in a request that states none. */
   public static final long NOT_STATED = -1;
 
-  /** Bounds the characters of an idempotency key. */
+  /** The maximum number of characters of an idempotency key. */
   public static final int MAX_KEY_CHARS = 128;
 
-  /** Bounds the bytes of a body. */
+  /** The maximum number of bytes of a body. */
   public static final int MAX_BODY_BYTES = 2048;
 
   /** The prefix of a request's path, followed by the name of its class. */
--- a/src/main/java/mothwing/broker/PublishedFreeValue.java
+++ b/src/main/java/mothwing/broker/PublishedFreeValue.java
@@ -25,8 +25,8 @@
   }
 
   /**
-   * The value, or none if the settings give it no meaning. It is also none for a window, which the
-   * controller does not compute: callers would take a 0 for a window that permits no request.
+   * The value, or none if the settings give it no meaning. It is none also if the meaning is a
+   * window, because the controller computes none, and a 0 would tell callers to send nothing.
    */
   OptionalDouble value() {
     return meaning == FreeValue.LEVEL || meaning == FreeValue.SHARE
--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -37,7 +37,9 @@
     this.statistics = statistics;
   }
 
-  /** Starts with the controller; all earlier requests are rejected. */
+  /**
+   * Starts accepting requests; called with the controller. Requests before this call are rejected.
+   */
   void start() {
     ready = true;
   }
@@ -102,7 +104,7 @@
   private Exchange exchange(
       InboundRequest request, ResponseSink caller, RequestClass requestClass) {
     long now = context.scheduler().now();
-    long arrivedAt = now - unreadMicros(request, requestClass);
+    long arrivedAt = now - microsFromArrivalToReading(request, requestClass);
     long deadline = arrivedAt + waitMicros(request, requestClass);
     boolean idempotent = requestClass.idempotency() == Idempotency.ALWAYS;
     boolean keyed =
@@ -123,9 +125,10 @@
   /**
    * The time from a request's arrival to its reading, in microseconds. Only here is wall-clock time
    * converted to a span of the monotonic clock. Because the wall clock may have been stepped since,
-   * an arrival in the future, or longer ago than the deadline of the class, is ignored.
+   * an arrival further in the future than the permitted lead, or longer ago than the deadline of
+   * the class, is ignored; a smaller lead counts as 0.
    */
-  private long unreadMicros(InboundRequest request, RequestClass requestClass) {
+  private long microsFromArrivalToReading(InboundRequest request, RequestClass requestClass) {
     long millis = context.scheduler().wallClockMillis() - request.acceptedAtMs();
     boolean plausible =
         millis >= -MAX_CLOCK_LEAD_MILLIS && millis <= requestClass.deadline() / MICROS_PER_MILLI;
--- a/src/main/java/mothwing/broker/RequestStatistics.java
+++ b/src/main/java/mothwing/broker/RequestStatistics.java
@@ -11,7 +11,9 @@
  * settings keeps its counts.
  */
 public final class RequestStatistics {
-  /** Bounds the classes with own counts; any further class is counted as {@link #OTHERS}. */
+  /**
+   * The maximum number of classes with own counts; any further class is counted as {@link #OTHERS}.
+   */
   static final int MAX_CLASSES = 256;
 
   /** The common name of all classes beyond the bound. */
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -25,7 +25,7 @@
  * and it is resumed; without a report, the start</td><td>its end</td></tr>
  * </table>
  *
- * <p>Used on the event loop's thread only. Holds no request of its own.
+ * <p>Used on the event loop's thread only. Keeps no list of requests.
  */
 final class RunReconciler {
   /** The actions on runs in doubt. */
@@ -54,7 +54,9 @@
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** The delay before an unanswered poll is repeated: ten round trips on a busy machine. */
+  /**
+   * The delay before an unanswered poll is repeated, ten times the round trip on a busy machine.
+   */
   private static final long REPEAT_POLL_MICROS = 300 * MICROS_PER_MILLI;
 
   /** The delay before a stop without effect is repeated, as cores that hung may have recovered. */
@@ -66,7 +68,10 @@
   /** The interval of polls for whether any thread is runnable, while the end of a run is lost. */
   private static final long IDLE_POLL_INTERVAL_MICROS = 100 * MICROS_PER_MILLI;
 
-  /** Consecutive idle answers that prove that nothing runs; at one, a run may wait for a disk. */
+  /**
+   * The number of consecutive idle answers after which nothing runs. A single one is no proof, as a
+   * run may be waiting for the disk.
+   */
   private static final int REQUIRED_IDLE_ANSWERS = 3;
 
   /** The interval of probes for a run whose end is lost. */
@@ -163,7 +168,7 @@
     } else if (exchange.isInPool() && exchange.state() == Exchange.State.RUNNING && mayBeLost) {
       return reconcileRunning(exchange);
     } else if (exchange.isInPool() && !exchange.isPending() && mayBeLost) {
-      // it was not stopped, as the pool cannot stop runs; its start may be lost
+      // no stop is pending, for example as the pool cannot stop runs; its start may be lost
       return markInDoubt(exchange);
     }
     return false;
@@ -178,7 +183,7 @@
     } else if (stopMode.get() == StopMode.SUSPEND) {
       return markInDoubt(exchange);
     }
-    // a stop would abort it, so it is left until its end or its deadline
+    // if no branch applies, neither a start nor a stop is safe: left until its end or its deadline
     return false;
   }
 
@@ -241,13 +246,14 @@
   }
 
   /**
-   * Probes for the run of a request that has ended by sending its start: the pool either reports
-   * the request as stale, or has the run and ignores the command.
+   * Probes for the run of a request that has ended by sending its start, if that cannot run it
+   * twice, and a stop, if the pool can stop runs. On a start the pool either reports the request as
+   * stale, or has the run and ignores the command.
    */
   private void probe(Exchange exchange) {
     counters.add(CounterNames.RUNS_PROBED);
     log.write(EventNames.RUN_IN_DOUBT + " id=" + exchange);
-    // an abort in progress may discard the work, after which the start would run it again
+    // after an abort that is in progress, the start would run the request a second time
     boolean isStartSafe = exchange.isIdempotent() || stopMode.get() != StopMode.ABORT;
     if (isStartSafe) {
       pool.startRun(exchange);
--- a/src/main/java/mothwing/broker/RunRecord.java
+++ b/src/main/java/mothwing/broker/RunRecord.java
@@ -26,7 +26,10 @@
     return inPool;
   }
 
-  /** Whether a start was ever written to a connection; if not, the pool cannot have run it. */
+  /**
+   * Whether a start was written to a connection, or confirmed by a report of the pool; if not, the
+   * pool cannot have run it.
+   */
   boolean isSent() {
     return sent;
   }
@@ -103,7 +106,10 @@
     inDoubt = false;
   }
 
-  /** Records that the pool has stopped the run: a paused run is kept, an aborted one is dropped. */
+  /**
+   * Records that the pool has stopped the run. Only a paused run whose answer is still pending is
+   * kept.
+   */
   void stopped(boolean paused, boolean answerPending) {
     stopping = false;
     knownToHaveRun = paused;
--- a/src/main/java/mothwing/broker/ShutdownState.java
+++ b/src/main/java/mothwing/broker/ShutdownState.java
@@ -20,7 +20,7 @@
   private boolean outOfRotation;
   private long requestedAt;
   private long stopAt;
-  private long gracePeriod;
+  private long gracePeriodMicros;
 
   /** Takes the server out of rotation or puts it back; false after a shutdown was requested. */
   boolean setOutOfRotation(boolean isOut) {
@@ -44,7 +44,7 @@
       mode = handover ? Mode.HANDING_OVER : Mode.LEAVING;
       requestedAt = shutdownAt;
       stopAt = processStopAt;
-      gracePeriod = graceMicros;
+      gracePeriodMicros = graceMicros;
     }
   }
 
@@ -61,12 +61,12 @@
   }
 
   /**
-   * The time from which the controller rejects new requests: when the shutdown was requested, or in
-   * a handover after the grace period, but no later than half of the time until the process stops.
+   * The time from which the controller rejects new requests. In a handover it is the end of the
+   * grace period, or half-way to the stop, whichever is earlier; otherwise the time of the request.
    */
   long admissionClosesAt() {
     return isHandingOver()
-        ? requestedAt + Math.min(gracePeriod, (stopAt - requestedAt) / 2)
+        ? requestedAt + Math.min(gracePeriodMicros, (stopAt - requestedAt) / 2)
         : requestedAt;
   }
 
@@ -75,7 +75,7 @@
    * time that its gateway states is not used, as its last byte may have been sent long after.
    */
   boolean mayStillRun(long readAt) {
-    return !isDraining() || readAt <= requestedAt + gracePeriod;
+    return !isDraining() || readAt <= requestedAt + gracePeriodMicros;
   }
 
   /** Whether health checks may succeed, given whether the controller permits it. */
--- a/src/main/java/mothwing/broker/StableIndex.java
+++ b/src/main/java/mothwing/broker/StableIndex.java
@@ -11,8 +11,8 @@
 /**
  * Assigns each named entry of the settings an index that does not change while an open request
  * refers to it. A removed entry keeps its index until no request refers to it, but can no longer be
- * found by its name. The number of indexes never exceeds the largest number of entries and
- * references held at one time.
+ * found by its name. The number of indexes never exceeds the largest number of entries in force and
+ * removed entries still referred to, at one time.
  *
  * @param <T> the type of the entries
  */
--- a/src/main/java/mothwing/dependency/DependencyConnectionManager.java
+++ b/src/main/java/mothwing/dependency/DependencyConnectionManager.java
@@ -17,13 +17,13 @@
 
 /**
  * Makes the calls of all runs over one connection, which is opened for the first call, and opened
- * again for the next call after it has ended. The connection is retired when a request makes
- * another call while an answer to an earlier one may still arrive, and when it has been silent for
- * too long with a call unanswered, which may block all later calls. A retired connection accepts no
- * further call and is closed when its last pending call ends.
+ * again for the next call after it has ended. The connection is retired when the address changes,
+ * when it cannot take a call (see {@link DependencyConnection#isUnusableFor}), and when a call has
+ * been unanswered in silence for too long, because that call may block all later ones. A retired
+ * connection accepts no further call and is closed when its last pending call ends.
  */
 public final class DependencyConnectionManager implements DependencyClient {
-  /** Bounds the retired connections; at the bound, a silent connection is not retired. */
+  /** The number of retired connections from which a silent connection is no longer retired. */
   static final int MAX_RETIRED_CONNECTIONS = 8;
 
   /** The weight of one answer in the average latency. */
--- a/src/main/java/mothwing/pool/ReconnectBackoff.java
+++ b/src/main/java/mothwing/pool/ReconnectBackoff.java
@@ -9,7 +9,8 @@
   private static final long STABLE_MICROS = 2_000_000;
 
   /**
-   * Bounds the share of time without a connection to one ninth if all connections are short-lived.
+   * Bounds the share of time without a connection to one ninth if all connections are short-lived,
+   * unless the minimum delay is longer.
    */
   private static final int OPEN_TO_DELAY_RATIO = 8;
 
@@ -30,8 +31,9 @@
   }
 
   /**
-   * Updates the delay after the end of a usable connection: it is 0 after a stable connection, and
-   * grows with successive short-lived ones.
+   * Updates the delay after the end of a usable connection. After a stable connection it is 0;
+   * after a short-lived one it is at most one eighth of the time that the connection was open, but
+   * at least the minimum.
    *
    * @param openMicros the time for which the connection was open
    */
--- a/src/main/java/mothwing/pool/WorkerPoolClient.java
+++ b/src/main/java/mothwing/pool/WorkerPoolClient.java
@@ -81,10 +81,10 @@
   }
 
   /**
-   * Opens another connection if the current one is silent and may be half open. The silent one is
-   * closed only when the pool has accepted the other, so that a slow pool loses nothing. The
-   * permitted silence doubles each time, up to a bound, so that attempts to reach a pool that has
-   * not started yet become less frequent.
+   * Opens a second connection if the current one is silent and may be half open. The silent one is
+   * closed only when the pool has accepted the second, so that no command or notice of a slow pool
+   * is lost. The permitted silence doubles each time, up to a bound, so that attempts to reach a
+   * pool that has not started yet become less frequent.
    */
   private void checkSilence() {
     if (stopped) {
--- a/src/main/java/mothwing/pool/WorkerPoolConnection.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -60,7 +60,9 @@
     }
   }
 
-  /** Microseconds without any input while an answer is pending, or 0 if none is pending. */
+  /**
+   * Microseconds since the oldest query that no input has followed, or 0 if input has followed all.
+   */
   long silentMicros(long now) {
     return awaitsAnswerSince == NEVER ? 0 : now - awaitsAnswerSince;
   }
@@ -82,7 +84,8 @@
 
   /**
    * Decodes one line. A malformed line is skipped and the connection stays open, because the pool
-   * would replay the same line after each reconnect.
+   * would replay the same line after each reconnect, unless more than {@link #MAX_SKIPPED_BYTES}
+   * are skipped.
    */
   @Override
   protected boolean decode(ByteBuf in) throws ProtocolException {
@@ -110,7 +113,7 @@
     skippedBytes += bytes;
     if (skippedBytes > MAX_SKIPPED_BYTES) {
       throw new ProtocolException(
-          CloseReason.OVERSIZED, "over " + MAX_SKIPPED_BYTES + " bytes without an end");
+          CloseReason.OVERSIZED, "line longer than " + MAX_SKIPPED_BYTES + " bytes");
     } else if (length >= 0) {
       events.noticeMalformed("a line of " + skippedBytes + " bytes");
       skippedBytes = 0;
@@ -128,7 +131,7 @@
       accepted = true;
       client.connectionAccepted();
     } else if (kind == PoolNotice.Kind.GAUGES && !resynchronized) {
-      // gauges with any echo prove it: the pool sends all missed notices before them
+      // gauges prove that all missed notices were read, because the pool sends those first
       resynchronized = true;
       client.resynchronized();
       broker.resynchronized();
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -193,7 +193,7 @@
 
   /** Guards against the rejection of an order that ran: a rejection states that nothing ran. */
   @Test
-  void failsInsteadOfRejectingOrderThatRan() {
+  void failsInsteadOfRejectingNonIdempotentRequestThatRan() {
     submit(1, BrokerFixture.ORDER);
     submit(2, BrokerFixture.ORDER);
     fixture.broker.startRun(BrokerFixture.id(1));
@@ -526,7 +526,7 @@
   }
 
   @Test
-  void failsRequestWithTraceIdOfOpenRequest() {
+  void failsRequestWithIdOfOpenRequest() {
     submit(1, BrokerFixture.ORDER);
     submit(1, BrokerFixture.ORDER);
     assertEquals(List.of("failed repeated-trace-id"), answers);
@@ -630,7 +630,7 @@
    * against a key that stays reserved for a request that never ran.
    */
   @Test
-  void limitsKeyToTenantAndBodyOfRequestThatMayHaveRun() {
+  void matchesRepeatByTenantAndBody() {
     useKeyedClass(null);
     submitWithKey(1);
     submitWithKey(2, "k", 1, "one");
@@ -639,8 +639,8 @@
     assertEquals(List.of("failed key-of-another"), answers);
     fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
     // cancelled in the batch in which it was read, so that it never ran
-    fixture.broker.cancelled(submitWithKey(4, "other", 0, "one"));
-    submitWithKey(5, "other", 0, "one");
+    fixture.broker.cancelled(submitWithKey(4, "key-2", 0, "one"));
+    submitWithKey(5, "key-2", 0, "one");
     fixture.pass(10_000);
     assertEquals(
         Set.of(BrokerFixture.id(1), BrokerFixture.id(3), BrokerFixture.id(5)),
--- a/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -139,19 +139,13 @@
   /** Ignores the answer to a request. */
   private static final class IgnoringSink implements ResponseSink {
     @Override
-    public void sendResult(byte[] result) {
-      // not needed here
-    }
+    public void sendResult(byte[] result) {}
 
     @Override
-    public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
-      // not needed here
-    }
+    public void sendRejection(boolean finalAnswer, long retryAfterMillis) {}
 
     @Override
-    public void sendFailure(String code) {
-      // not needed here
-    }
+    public void sendFailure(String code) {}
   }
 
   private void startRun(String id) {
--- a/src/test/java/mothwing/pool/WorkerPoolClientTest.java
+++ b/src/test/java/mothwing/pool/WorkerPoolClientTest.java
@@ -120,7 +120,7 @@
       case "spawn" -> {
         boolean hasEnded = answers.containsKey(id) || cancelled.contains(id);
         if (hasEnded && !paused.contains(id) && !running.contains(id)) {
-          // the protocol requires that nothing is started
+          // the protocol requires that the pool starts nothing for a request that has ended
           sendNumbered(
               "\"finished\",\"uid\":\""
                   + id
@@ -235,7 +235,7 @@
       }
       fixture.pass(step % 9_000);
       if (step % 3 > 0) {
-        processCommands(); // otherwise the pool is slow to read
+        processCommands(); // in the other cases the pool has not read yet
       }
     }
     for (int i = 0; i < 400; i++) {
@@ -355,7 +355,7 @@
             + BrokerFixture.id(1)
             + "\",\"code\":\"done\",\"wall_ms\":7,\"content\":\""
             + Base64.getEncoder().encodeToString(BrokerFixture.result(BrokerFixture.id(1)))
-            + "\"}"); // never arrives
+            + "\"}"); // this notice is lost
     sendNumbered("\"chatter\",\"code\":\"all is well\"");
     assertEquals(null, answers.get(BrokerFixture.id(1)));
     for (int i = 0; i < 5; i++) {
