--- a/src/main/java/mothwing/adapter/ActionWriter.java
+++ b/src/main/java/mothwing/adapter/ActionWriter.java
@@ -84,12 +84,12 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
+  public void rejectRequest(String id, boolean dontRetry, long retryAfter) {
     writeAction(
         Action.REJECT_REQUEST,
         json -> {
           json.name(Field.REQUEST).value(id);
-          if (finalAnswer) {
+          if (dontRetry) {
             json.name(Field.IS_FINAL).value(true);
           }
           if (retryAfter > 0) {
--- a/src/main/java/mothwing/broker/ActiveSettings.java
+++ b/src/main/java/mothwing/broker/ActiveSettings.java
@@ -43,7 +43,7 @@
     settings = withStableIndexes(next);
   }
 
-  /** Records whether the machine has just started, as the pool reports it. */
+  /** Records whether the pool reports a fresh start, so that a slow start is needed. */
   void setColdStart(boolean isColdStart) {
     coldStart = isColdStart;
     settings = withStableIndexes(settings);
--- a/src/main/java/mothwing/broker/AwaitedCall.java
+++ b/src/main/java/mothwing/broker/AwaitedCall.java
@@ -5,8 +5,8 @@
   private byte[] content;
   private byte[] unsentResult;
   private boolean inProgress;
-  private boolean answerSent;
-  private boolean answerUnsent;
+  private boolean resumeSent;
+  private boolean resumeUnsent;
   private long timeoutAt;
 
   /** The content of the call, or null if the run awaits none. */
@@ -28,13 +28,13 @@
   }
 
   /** Whether the run was resumed over a connection, and has awaited no call since. */
-  boolean isAnswerSent() {
-    return answerSent;
+  boolean isResumeSent() {
+    return resumeSent;
   }
 
   /** Whether the command to resume the run has not been written to a connection yet. */
-  boolean isAnswerUnsent() {
-    return answerUnsent;
+  boolean isResumeUnsent() {
+    return resumeUnsent;
   }
 
   /**
@@ -70,15 +70,15 @@
   void answer(byte[] result, boolean connected) {
     content = null;
     unsentResult = connected ? null : result;
-    answerUnsent = !connected;
-    answerSent = connected;
+    resumeUnsent = !connected;
+    resumeSent = connected;
   }
 
   void clear() {
     content = null;
     unsentResult = null;
     inProgress = false;
-    answerSent = false;
-    answerUnsent = false;
+    resumeSent = false;
+    resumeUnsent = false;
   }
 }
--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -68,7 +68,7 @@
     context.settings().classNames().forEach(parts.statistics::register);
     if (controller != null) {
       Settings current = context.settings().settings();
-      context.events().enqueue((to, at) -> to.settingsChanged(at, current));
+      context.events().enqueue((receiver, at) -> receiver.settingsChanged(at, current));
     }
   }
 
@@ -103,10 +103,10 @@
   /**
    * Sets the claims that decide which process runs a request with an idempotency key.
    *
-   * @param shared the claims, shared by all processes at this address
+   * @param claims the claims, shared by all processes at this address
    */
-  public void setRunClaims(RunClaims shared) {
-    parts.admission.setClaims(shared);
+  public void setRunClaims(RunClaims claims) {
+    parts.admission.setClaims(claims);
   }
 
   /**
@@ -145,13 +145,13 @@
     String id = exchange.request().id();
     if (context.open().get(id) == exchange) {
       parts.calls.abandon(exchange);
-      context.events().enqueue((to, at) -> reportCancelled(exchange, to, at));
+      context.events().enqueue((receiver, at) -> reportCancelled(exchange, receiver, at));
     }
   }
 
-  private void reportCancelled(Exchange exchange, Controller to, long at) {
+  private void reportCancelled(Exchange exchange, Controller receiver, long at) {
     parts.context.open().removeUnlessInPool(exchange);
-    to.requestCancelled(at, exchange.request().id());
+    receiver.requestCancelled(at, exchange.request().id());
   }
 
   /**
@@ -229,7 +229,7 @@
   public void failPending() {
     for (Exchange exchange : parts.context.open().snapshot()) {
       if (exchange.isPending()) {
-        parts.answers.fail(exchange, FailureReason.LEAVING);
+        parts.answers.fail(exchange, FailureReason.PROCESS_ENDING);
         parts.context.open().removeUnlessInPool(exchange);
       }
     }
@@ -238,7 +238,7 @@
   /**
    * Reports that the pool is connected. Only the first call has an effect.
    *
-   * @param coldStart whether the machine had just started when the pool started
+   * @param coldStart whether the pool reports a fresh start, so that a slow start is needed
    * @param ageMicros microseconds since the start of the pool
    */
   public void poolConnected(boolean coldStart, long ageMicros) {
@@ -278,11 +278,11 @@
    *
    * @param id the request
    * @param outcome how it ended
-   * @param tookMicros its duration in microseconds
+   * @param durationMicros its duration in microseconds
    * @param result the result, or null unless the run succeeded
    */
-  public void runEnded(String id, RunOutcome outcome, long tookMicros, byte[] result) {
-    parts.runs.ended(id, outcome, tookMicros, result);
+  public void runEnded(String id, RunOutcome outcome, long durationMicros, byte[] result) {
+    parts.runs.ended(id, outcome, durationMicros, result);
   }
 
   /**
@@ -337,8 +337,8 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
-    actions.rejectRequest(id, dontRetry, stayAway);
+  public void rejectRequest(String id, boolean dontRetry, long retryAfterMicros) {
+    actions.rejectRequest(id, dontRetry, retryAfterMicros);
   }
 
   @Override
@@ -347,8 +347,8 @@
   }
 
   @Override
-  public void startCall(String id, long until) {
-    actions.startCall(id, until);
+  public void startCall(String id, long timeoutAt) {
+    actions.startCall(id, timeoutAt);
   }
 
   @Override
@@ -357,8 +357,8 @@
   }
 
   @Override
-  public void rememberKey(String id, long span) {
-    actions.rememberKey(id, span);
+  public void rememberKey(String id, long keepMicros) {
+    actions.rememberKey(id, keepMicros);
   }
 
   @Override
@@ -382,13 +382,13 @@
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean good) {
-    actions.setHealth(cheap, good);
+  public void setHealth(boolean shallow, boolean mayPass) {
+    actions.setHealth(shallow, mayPass);
   }
 
   @Override
-  public void closeIdleConnections(long span) {
-    actions.closeIdleConnections(span);
+  public void closeIdleConnections(long idleMicros) {
+    actions.closeIdleConnections(idleMicros);
   }
 
   @Override
--- a/src/main/java/mothwing/broker/ControllerActions.java
+++ b/src/main/java/mothwing/broker/ControllerActions.java
@@ -12,7 +12,7 @@
 
   private final BrokerParts parts;
   private final OpenRequests open;
-  private Consumer<Long> idleConnectionCloser = span -> {};
+  private Consumer<Long> idleConnectionCloser = idleMicros -> {};
 
   ControllerActions(BrokerParts parts) {
     this.parts = parts;
@@ -34,7 +34,7 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long retryAfter) {
+  public void rejectRequest(String id, boolean dontRetry, long retryAfterMicros) {
     Exchange exchange = open.get(id);
     if (exchange == null) {
       return;
@@ -43,8 +43,8 @@
       // a rejection would state that nothing ran
       parts.answers.fail(exchange, FailureReason.RAN_BEFORE);
     } else {
-      long retryAfterMicros = parts.shutdownState.allowedRetryAfter(retryAfter);
-      long retryAfterMillis = (retryAfterMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+      long allowedMicros = parts.shutdownState.allowedRetryAfter(retryAfterMicros);
+      long retryAfterMillis = (allowedMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
       parts.answers.reject(exchange, RejectionReason.DECIDED, dontRetry, retryAfterMillis);
     }
     open.removeUnlessInPool(exchange);
@@ -60,8 +60,8 @@
   }
 
   @Override
-  public void startCall(String id, long until) {
-    parts.calls.start(id, until);
+  public void startCall(String id, long timeoutAt) {
+    parts.calls.start(id, timeoutAt);
   }
 
   @Override
@@ -70,10 +70,10 @@
   }
 
   @Override
-  public void rememberKey(String id, long span) {
+  public void rememberKey(String id, long keepMicros) {
     Exchange exchange = open.get(id);
     if (exchange != null) {
-      parts.keys.remember(exchange, parts.context.scheduler().now() + span);
+      parts.keys.remember(exchange, parts.context.scheduler().now() + keepMicros);
     }
   }
 
@@ -104,13 +104,13 @@
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean good) {
-    parts.checks.setHealth(cheap, good);
+  public void setHealth(boolean shallow, boolean mayPass) {
+    parts.checks.setHealth(shallow, mayPass);
   }
 
   @Override
-  public void closeIdleConnections(long span) {
-    idleConnectionCloser.accept(span);
+  public void closeIdleConnections(long idleMicros) {
+    idleConnectionCloser.accept(idleMicros);
   }
 
   @Override
--- a/src/main/java/mothwing/broker/DeadlineWatch.java
+++ b/src/main/java/mothwing/broker/DeadlineWatch.java
@@ -6,8 +6,8 @@
 /**
  * Scans the open requests periodically and enforces time limits: the timeouts of dependency calls,
  * the deadlines of requests (the controller gets a batch shortly before, and any request that it
- * leaves pending is failed here), and the time limits of health checks, idempotency keys and
- * queries to the pool.
+ * leaves pending is failed here), and the time limits of health checks, idempotency keys and polls
+ * of the pool.
  */
 final class DeadlineWatch {
   private static final long INTERVAL_MICROS = 20_000;
@@ -58,7 +58,7 @@
     if (almostDue) {
       context.events().requestBatch();
     }
-    parts.replays().answerEnded();
+    parts.replays().answerRepeatsOfEndedOriginals();
     parts.keys().expire(now);
     parts.checks().expire(now);
   }
--- a/src/main/java/mothwing/broker/DependencyCalls.java
+++ b/src/main/java/mothwing/broker/DependencyCalls.java
@@ -61,7 +61,7 @@
     counters.add(CounterNames.CALLS_AWAITED);
     abandon(exchange);
     exchange.callAwaited(content);
-    events.enqueue((to, at) -> to.callAwaited(at, id));
+    events.enqueue((receiver, at) -> receiver.callAwaited(at, id));
   }
 
   /**
@@ -105,7 +105,7 @@
     if (outcome == RunOutcome.SUCCEEDED) {
       resume(exchange, result);
     }
-    events.enqueue((to, at) -> to.callEnded(at, id, outcome, 0));
+    events.enqueue((receiver, at) -> receiver.callEnded(at, id, outcome, 0));
   }
 
   /** Ends a call that the client has not ended within its limit. */
--- a/src/main/java/mothwing/broker/EventBatcher.java
+++ b/src/main/java/mothwing/broker/EventBatcher.java
@@ -31,8 +31,8 @@
   private boolean batchScheduled;
 
   /**
-   * When the last batch was delivered; the initial value is so early that adding an interval to it
-   * cannot overflow.
+   * When the last batch was delivered. Initially half the minimum value, so that the first batch is
+   * due at once and adding an interval cannot overflow.
    */
   private long lastBatchAt = Long.MIN_VALUE / 2;
 
@@ -60,7 +60,7 @@
 
   /** Schedules an empty batch, so that the controller can react to the elapsed time alone. */
   void requestBatch() {
-    enqueue((to, at) -> {});
+    enqueue((receiver, at) -> {});
   }
 
   private void deliverBatch() {
--- a/src/main/java/mothwing/broker/FailureReason.java
+++ b/src/main/java/mothwing/broker/FailureReason.java
@@ -22,7 +22,7 @@
   /** The process that holds its idempotency key cannot be determined. */
   CLAIM_UNKNOWN("claim-unknown"),
   /** It repeats a request whose run failed. */
-  REPLAYED_FAILURE("replayed-failure"),
+  ORIGINAL_FAILED("replayed-failure"),
   /** The pool did not start it, because its deadline had passed when the pool came to start it. */
   STALE("stale"),
   /** Its run ended without a result. */
@@ -30,7 +30,7 @@
   /** Its deadline passed without a decision of the controller. */
   OVERDUE("overdue"),
   /** The process ends while it is pending. */
-  LEAVING("leaving");
+  PROCESS_ENDING("leaving");
 
   private final String code;
 
--- a/src/main/java/mothwing/broker/GaugeSampler.java
+++ b/src/main/java/mothwing/broker/GaugeSampler.java
@@ -57,7 +57,7 @@
   private void timerDue(String tag) {
     if (!pool.isReady()) {
       GaugeSample absent = absentSample();
-      events.enqueue((to, at) -> to.timerFired(at, tag, absent));
+      events.enqueue((receiver, at) -> receiver.timerFired(at, tag, absent));
       return;
     }
     String echo = reconciler.nextPoll();
@@ -104,7 +104,7 @@
   private void deliver(String echo, GaugeSample sample) {
     String tag = tagsByEcho.remove(echo);
     if (tag != null) {
-      events.enqueue((to, at) -> to.timerFired(at, tag, sample));
+      events.enqueue((receiver, at) -> receiver.timerFired(at, tag, sample));
     }
   }
 }
--- a/src/main/java/mothwing/broker/IdempotencyKeys.java
+++ b/src/main/java/mothwing/broker/IdempotencyKeys.java
@@ -63,7 +63,7 @@
     }
 
     /** Whether the original has not ended: its answer is pending, or the pool has its run. */
-    boolean isPending() {
+    boolean isUnfinished() {
       return original != null && (original.isPending() || original.isInPool());
     }
 
@@ -80,7 +80,7 @@
     }
 
     private boolean isValid() {
-      return runStarted || isPending();
+      return runStarted || isUnfinished();
     }
   }
 
@@ -197,7 +197,7 @@
   }
 
   private boolean expire(Entry entry, long now) {
-    boolean pastWindow = now > entry.expiresAt + READ_DELAY_MICROS && !entry.isPending();
+    boolean pastWindow = now > entry.expiresAt + READ_DELAY_MICROS && !entry.isUnfinished();
     boolean expired = !entry.isValid() || pastWindow;
     reservedBytes -= expired ? entry.reservedBytes : 0;
     return expired;
--- a/src/main/java/mothwing/broker/RejectionReason.java
+++ b/src/main/java/mothwing/broker/RejectionReason.java
@@ -14,11 +14,11 @@
   /** The controller decided that it is rejected. */
   DECIDED("decided"),
   /** It was read after the grace period of the shutdown. */
-  DRAINED("drained"),
+  READ_AFTER_GRACE_PERIOD("drained"),
   /** It repeats a request that was never run. */
-  REPLAYED_NOTHING("replayed-nothing"),
+  ORIGINAL_NEVER_RAN("replayed-nothing"),
   /** The process lags so far behind that it cannot decide in time. */
-  BEHIND("behind");
+  OVERLOADED("behind");
 
   private final String code;
 
--- a/src/main/java/mothwing/broker/Replays.java
+++ b/src/main/java/mothwing/broker/Replays.java
@@ -39,18 +39,18 @@
     IdempotencyKeys.Entry original = keys.findOriginal(repeat);
     if (original != null) {
       originalsByRepeatId.put(id, original);
-      answerEnded();
+      answerRepeatsOfEndedOriginals();
     }
   }
 
   /** Answers the repeats whose original has ended, and drops those that no longer wait. */
-  void answerEnded() {
+  void answerRepeatsOfEndedOriginals() {
     for (Map.Entry<String, IdempotencyKeys.Entry> entry :
         new ArrayList<>(originalsByRepeatId.entrySet())) {
       String id = entry.getKey();
       Exchange repeat = open.get(id);
       boolean isWaiting = repeat != null && repeat.isPending();
-      if (isWaiting && entry.getValue().isPending()) {
+      if (isWaiting && entry.getValue().isUnfinished()) {
         continue;
       }
       originalsByRepeatId.remove(id);
@@ -66,13 +66,13 @@
     if (hasResult) {
       answers.complete(repeat, original.result());
     } else if (original.isRunStarted()) {
-      answers.fail(repeat, FailureReason.REPLAYED_FAILURE);
+      answers.fail(repeat, FailureReason.ORIGINAL_FAILED);
     } else {
-      answers.reject(repeat, RejectionReason.REPLAYED_NOTHING, false, 0);
+      answers.reject(repeat, RejectionReason.ORIGINAL_NEVER_RAN, false, 0);
     }
     String id = repeat.request().id();
     open.remove(id);
     RunOutcome outcome = hasResult ? RunOutcome.SUCCEEDED : RunOutcome.FAILED;
-    events.enqueue((to, at) -> to.runEnded(at, id, outcome, 0));
+    events.enqueue((receiver, at) -> receiver.runEnded(at, id, outcome, 0));
   }
 }
--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -63,7 +63,7 @@
       return Broker.NOT_OVERLOADED;
     }
     context.counters().add(CounterNames.REQUESTS_READ);
-    context.counters().add(CounterNames.REJECTED_PREFIX + RejectionReason.BEHIND.code());
+    context.counters().add(CounterNames.REJECTED_PREFIX + RejectionReason.OVERLOADED.code());
     statistics.recordEnd(className, RequestStatistics.End.REJECTED);
     return retryAfterMillis();
   }
@@ -90,7 +90,7 @@
       reject(exchange, RejectionReason.KEYS_FULL);
     } else {
       context.open().add(exchange);
-      context.events().enqueue((to, at) -> deliver(exchange, to, at));
+      context.events().enqueue((receiver, at) -> deliver(exchange, receiver, at));
     }
     return exchange;
   }
@@ -159,7 +159,7 @@
    * Reports a request to the controller. The original of a repeat is looked up only here, because
    * requests read earlier in the same batch have been decided by now.
    */
-  private void deliver(Exchange exchange, Controller to, long at) {
+  private void deliver(Exchange exchange, Controller receiver, long at) {
     IdempotencyKeys.Entry original = keys.findOriginal(exchange);
     if (original != null && !original.hasSameBody(exchange)) {
       answers.fail(exchange, FailureReason.KEY_OF_ANOTHER);
@@ -170,7 +170,7 @@
       context.counters().add(CounterNames.REPEATS);
     }
     exchange.reported();
-    to.requestRead(at, report(exchange, original == null ? null : original.originalId(), at));
+    receiver.requestRead(at, report(exchange, original == null ? null : original.originalId(), at));
   }
 
   private static Request report(Exchange exchange, String originalId, long at) {
--- a/src/main/java/mothwing/broker/ResponseSink.java
+++ b/src/main/java/mothwing/broker/ResponseSink.java
@@ -14,10 +14,10 @@
   /**
    * Answers that the request was rejected and never ran.
    *
-   * @param finalAnswer whether the caller should try no other server
+   * @param dontRetry whether the caller should try no other server
    * @param retryAfterMillis milliseconds after which the caller may retry, or 0 for no advice
    */
-  void sendRejection(boolean finalAnswer, long retryAfterMillis);
+  void sendRejection(boolean dontRetry, long retryAfterMillis);
 
   /**
    * Answers that the request failed; it may have taken effect.
--- a/src/main/java/mothwing/broker/RunAdmission.java
+++ b/src/main/java/mothwing/broker/RunAdmission.java
@@ -35,7 +35,8 @@
     }
     if (!shutdown.mayStillRun(exchange.readAt())) {
       long retryAfter = shutdown.allowedRetryAfter(context.settings().maxRetryAfterMicros());
-      answers.reject(exchange, RejectionReason.DRAINED, false, retryAfter / MICROS_PER_MILLI);
+      answers.reject(
+          exchange, RejectionReason.READ_AFTER_GRACE_PERIOD, false, retryAfter / MICROS_PER_MILLI);
       return false;
     }
     return !exchange.hasIdempotencyKey() || claim(exchange);
--- a/src/main/java/mothwing/broker/RunLifecycle.java
+++ b/src/main/java/mothwing/broker/RunLifecycle.java
@@ -83,7 +83,9 @@
   /** Reports the end of a run that was not started, since the controller counts it as running. */
   private void reportNotStarted(String id) {
     context.open().remove(id);
-    context.events().enqueue((to, at) -> to.runEnded(at, id, RunOutcome.NOT_STARTED, 0));
+    context
+        .events()
+        .enqueue((receiver, at) -> receiver.runEnded(at, id, RunOutcome.NOT_STARTED, 0));
   }
 
   /** Stops a run in the stop mode of the settings. */
@@ -97,7 +99,7 @@
   }
 
   /** Handles the pool's report of the end of a run; the result is null unless it succeeded. */
-  void ended(String id, RunOutcome outcome, long tookMicros, byte[] result) {
+  void ended(String id, RunOutcome outcome, long durationMicros, byte[] result) {
     context.counters().add(CounterNames.RUN_ENDED_PREFIX + outcome.name().toLowerCase(Locale.ROOT));
     Exchange exchange = context.open().get(id);
     if (exchange == null || !exchange.isInPool()) {
@@ -123,8 +125,8 @@
     if (!exchange.isInPool() && !exchange.isPending()) {
       context.open().remove(id);
     }
-    context.events().enqueue((to, at) -> to.runEnded(at, id, outcome, tookMicros));
-    replays.answerEnded();
+    context.events().enqueue((receiver, at) -> receiver.runEnded(at, id, outcome, durationMicros));
+    replays.answerRepeatsOfEndedOriginals();
   }
 
   /** Whether a run was stopped only to determine whether the pool has it. */
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -43,7 +43,7 @@
     void giveUp(Exchange exchange);
   }
 
-  /** The echo of the poll that follows the queries about runs in doubt. */
+  /** The echo of the poll whose answer resolves the runs in doubt. */
   private static final String DOUBT_POLL_ECHO = "resolve";
 
   /** The echo of a poll for whether any thread of the pool is runnable. */
@@ -86,8 +86,8 @@
   private long sentPolls;
   private long lastAnsweredPoll;
   private boolean awaitingDoubtAnswer;
-  private long queriesSentAt;
-  private long pollsBeforeQueries;
+  private long doubtPollSentAt;
+  private long pollsBeforeDoubtPoll;
   private long idlePolledAt;
   private int idleAnswers;
   private int runsWithLostEnd;
@@ -155,12 +155,12 @@
     boolean mayBeLost = exchange.run().pollsBeforeCommand() >= lastAnsweredPoll;
     if (exchange.isInPool() && exchange.run().isStopping()) {
       return markInDoubt(exchange);
-    } else if (exchange.call().isAnswerUnsent()) {
+    } else if (exchange.call().isResumeUnsent()) {
       actions.deliverCallResult(exchange);
     } else if (exchange.call().content() != null) {
       // the run reported the call after its last command, so no command is lost
       counters.add(CounterNames.CALLS_AWAITED_AT_RECONNECT);
-    } else if (exchange.call().isAnswerSent() && mayBeLost) {
+    } else if (exchange.call().isResumeSent() && mayBeLost) {
       if (exchange.isIdempotent() && stopMode.get() == StopMode.ABORT) {
         // the result is not sent again, because the run may already await its next call
         actions.abort(exchange);
@@ -197,8 +197,8 @@
 
   private void sendDoubtPoll(long now) {
     awaitingDoubtAnswer = true;
-    queriesSentAt = now;
-    pollsBeforeQueries = sentPolls;
+    doubtPollSentAt = now;
+    pollsBeforeDoubtPoll = sentPolls;
     pool.requestGauges(DOUBT_POLL_ECHO);
   }
 
@@ -215,7 +215,7 @@
     }
     long number = pollNumber(echo);
     lastAnsweredPoll = Math.max(lastAnsweredPoll, number);
-    if (awaitingDoubtAnswer && (echo.equals(DOUBT_POLL_ECHO) || number > pollsBeforeQueries)) {
+    if (awaitingDoubtAnswer && (echo.equals(DOUBT_POLL_ECHO) || number > pollsBeforeDoubtPoll)) {
       awaitingDoubtAnswer = false;
       resolve();
     }
@@ -230,7 +230,7 @@
     return number <= sentPolls ? number : -1;
   }
 
-  /** Resolves the runs still in doubt, as the pool has read all queries without reporting them. */
+  /** Resolves the runs still in doubt, as the pool has read all commands without reporting them. */
   private void resolve() {
     for (Exchange exchange : open.snapshot()) {
       if (!exchange.run().isInDoubt()) {
@@ -263,7 +263,7 @@
     }
   }
 
-  /** Discards the pending polls; the queries are sent again after the next resynchronization. */
+  /** Discards the pending polls; the next resynchronization determines the runs in doubt again. */
   void poolDisconnected() {
     awaitingDoubtAnswer = false;
     idleAnswers = 0;
@@ -274,8 +274,8 @@
     if (!pool.isReady()) {
       return;
     }
-    if (awaitingDoubtAnswer && now - queriesSentAt >= REPEAT_POLL_MICROS) {
-      queriesSentAt = now;
+    if (awaitingDoubtAnswer && now - doubtPollSentAt >= REPEAT_POLL_MICROS) {
+      doubtPollSentAt = now;
       pool.requestGauges(DOUBT_POLL_ECHO);
     }
     runsWithLostEnd = 0;
--- a/src/main/java/mothwing/broker/ShutdownSequence.java
+++ b/src/main/java/mothwing/broker/ShutdownSequence.java
@@ -56,7 +56,7 @@
   }
 
   private void closeAdmission() {
-    context.events().enqueue((to, at) -> to.shutdownRequested(at, state.stopAt()));
+    context.events().enqueue((receiver, at) -> receiver.shutdownRequested(at, state.stopAt()));
   }
 
   private void log(String event, String details) {
--- a/src/main/java/mothwing/control/ControllerHost.java
+++ b/src/main/java/mothwing/control/ControllerHost.java
@@ -21,10 +21,10 @@
    * Rejects a request that has had no effect.
    *
    * @param id the request
-   * @param finalAnswer whether the caller should not retry at another server
+   * @param dontRetry whether the caller should not retry at another server
    * @param retryAfter duration for which the caller should avoid this server; 0 for no advice
    */
-  void rejectRequest(String id, boolean finalAnswer, long retryAfter);
+  void rejectRequest(String id, boolean dontRetry, long retryAfter);
 
   /**
    * Answers a request with a failure; ends the run of a request that is answered already and awaits
--- a/src/main/java/mothwing/dns/server/DnsEngine.java
+++ b/src/main/java/mothwing/dns/server/DnsEngine.java
@@ -82,10 +82,10 @@
     this.counters = counters;
     this.log = log;
     this.sockets = sockets;
-    control = limits.control();
+    control = limits.isControlled();
     udpBytes = limits.udpBytes();
     unprovenBytes = limits.unprovenBytes();
-    cache = new AnswerCache(limits.cached());
+    cache = new AnswerCache(limits.cachedResponses());
   }
 
   void broker(Broker to) {
--- a/src/main/java/mothwing/dns/server/DnsFront.java
+++ b/src/main/java/mothwing/dns/server/DnsFront.java
@@ -106,7 +106,7 @@
     tcp =
         new Listener(
             "dns-tcp",
-            () -> new DnsTcp(engine, limits.pipelined(), log, counters),
+            () -> new DnsTcp(engine, limits.pipelinedQueries(), log, counters),
             limits.connections(),
             TCP_PATIENCE,
             timers,
--- a/src/main/java/mothwing/dns/server/ZoneKeeper.java
+++ b/src/main/java/mothwing/dns/server/ZoneKeeper.java
@@ -239,7 +239,7 @@
     Pending waiting = pending.get(signature);
     if (waiting != null) {
       counters.add("dns-updates-repeated");
-      if (waiting.replies().size() < limits.pipelined()) {
+      if (waiting.replies().size() < limits.pipelinedQueries()) {
         waiting.replies().add(reply);
       } else {
         reply.with(Rcode.SERVFAIL, "too many repeats of one update");
@@ -249,7 +249,7 @@
     if (committer == null) {
       reply.with(Rcode.SERVFAIL, "the journal is damaged; the zone is read only");
       return;
-    } else if (repeats.size() + pending.size() >= limits.repeats()) {
+    } else if (repeats.size() + pending.size() >= limits.rememberedUpdates()) {
       counters.add("dns-updates-repeats-full");
       reply.with(Rcode.REFUSED, "too many updates within the time in which they may be repeated");
       return;
--- a/src/main/java/mothwing/membership/FailureDetectorSettings.java
+++ b/src/main/java/mothwing/membership/FailureDetectorSettings.java
@@ -26,8 +26,8 @@
  *     suspected or died within {@code massFailureHoldMicros}, declarations of death are held back
  * @param massFailureHoldMicros the maximum time by which a declaration of death is then delayed;
  *     also the time for which a death counts as recent
- * @param maxLocalHealthMultiplier the maximum local health score; each step adds one to the factor
- *     of the timeouts
+ * @param maxLocalHealthScore the maximum local health score; each step adds one to the factor of
+ *     the timeouts
  */
 public record FailureDetectorSettings(
     long probeIntervalMicros,
@@ -47,14 +47,14 @@
     long isolationTimeoutMicros,
     double massFailureRatio,
     long massFailureHoldMicros,
-    int maxLocalHealthMultiplier) {
+    int maxLocalHealthScore) {
 
   /** Defaults for machines at one site, which respond within milliseconds. */
   public static final FailureDetectorSettings DEFAULTS = new Builder().build();
 
   /** Returns a copy that disables local health, to measure its effect. */
   public FailureDetectorSettings withoutLocalHealth() {
-    return new Builder(this).maxLocalHealthMultiplier(0).build();
+    return new Builder(this).maxLocalHealthScore(0).build();
   }
 
   /** Creates a builder that starts with the defaults. */
@@ -84,7 +84,7 @@
     private long isolationTimeoutMicros = 3 * SECOND_MICROS;
     private double massFailureRatio = 0.3;
     private long massFailureHoldMicros = 10 * SECOND_MICROS;
-    private int maxLocalHealthMultiplier = 8;
+    private int maxLocalHealthScore = 8;
 
     private Builder() {}
 
@@ -106,7 +106,7 @@
       isolationTimeoutMicros = from.isolationTimeoutMicros;
       massFailureRatio = from.massFailureRatio;
       massFailureHoldMicros = from.massFailureHoldMicros;
-      maxLocalHealthMultiplier = from.maxLocalHealthMultiplier;
+      maxLocalHealthScore = from.maxLocalHealthScore;
     }
 
     /** Sets {@link FailureDetectorSettings#massFailureRatio}. */
@@ -115,9 +115,9 @@
       return this;
     }
 
-    /** Sets {@link FailureDetectorSettings#maxLocalHealthMultiplier}. */
-    public Builder maxLocalHealthMultiplier(int value) {
-      maxLocalHealthMultiplier = value;
+    /** Sets {@link FailureDetectorSettings#maxLocalHealthScore}. */
+    public Builder maxLocalHealthScore(int value) {
+      maxLocalHealthScore = value;
       return this;
     }
 
@@ -141,7 +141,7 @@
           isolationTimeoutMicros,
           massFailureRatio,
           massFailureHoldMicros,
-          maxLocalHealthMultiplier);
+          maxLocalHealthScore);
     }
   }
 }
--- a/src/main/java/mothwing/membership/Membership.java
+++ b/src/main/java/mothwing/membership/Membership.java
@@ -56,7 +56,7 @@
     this.self = new LocalMember(cluster, self, settings, scheduler, random, host);
     ring = new ProbeRing(members, this.self);
     dissemination = new Dissemination(this.self, members, ring);
-    health = new LocalHealth(settings.maxLocalHealthMultiplier());
+    health = new LocalHealth(settings.maxLocalHealthScore());
     suspicions = new SuspicionTable(this.self, members, dissemination, health, this::merge);
     detector = new FailureDetector(this.self, ring, dissemination, suspicions, health);
     List<String> others = seeds.stream().filter(seed -> !seed.equals(self.address())).toList();
--- a/src/main/java/mothwing/pool/PoolNotice.java
+++ b/src/main/java/mothwing/pool/PoolNotice.java
@@ -33,20 +33,20 @@
   /**
    * Reports that the pool has accepted the connection; the missed notices follow.
    *
-   * @param freshlyStarted whether its workers were not warmed up when it started
-   * @param uptimeMicros microseconds since that start
+   * @param coldStart whether the pool reports a fresh start, so that a slow start is needed
+   * @param ageMicros microseconds since the start of the pool
    */
-  record Connected(boolean freshlyStarted, long uptimeMicros) implements PoolNotice {}
+  record Connected(boolean coldStart, long ageMicros) implements PoolNotice {}
 
   /**
    * Reports that a run has ended.
    *
    * @param requestId the request
    * @param outcome how it ended
-   * @param wallMicros its duration in microseconds
+   * @param durationMicros its duration in microseconds
    * @param result the result, or null unless it succeeded
    */
-  record RunEnded(String requestId, RunOutcome outcome, long wallMicros, byte[] result)
+  record RunEnded(String requestId, RunOutcome outcome, long durationMicros, byte[] result)
       implements PoolNotice {}
 
   /**
--- a/src/main/java/mothwing/pool/WorkerPoolConnection.java
+++ b/src/main/java/mothwing/pool/WorkerPoolConnection.java
@@ -141,10 +141,10 @@
 
   private void apply(PoolNotice notice) throws IOException, ProtocolException {
     if (notice instanceof PoolNotice.Connected connected) {
-      broker.poolConnected(connected.freshlyStarted(), connected.uptimeMicros());
+      broker.poolConnected(connected.coldStart(), connected.ageMicros());
       requestGauges(PoolProtocol.RESYNC_ECHO);
     } else if (notice instanceof PoolNotice.RunEnded run) {
-      broker.runEnded(run.requestId(), run.outcome(), run.wallMicros(), run.result());
+      broker.runEnded(run.requestId(), run.outcome(), run.durationMicros(), run.result());
     } else if (notice instanceof PoolNotice.UnreadableRunEnd run) {
       broker.runEnded(run.requestId(), RunOutcome.FAILED, 0, null);
       events.noticeMalformed(run.cause().getMessage());
--- a/src/main/java/mothwing/server/Config.java
+++ b/src/main/java/mothwing/server/Config.java
@@ -67,8 +67,8 @@
         address(fields, "announce"),
         ledger(fields.text("ledger", "")),
         management(fields.text("management", "")),
-        fields.positive("stop_ms"),
-        (int) fields.requiredObject("limits").positive("sockets"),
+        fields.positiveInteger("stop_ms"),
+        (int) fields.requiredObject("limits").positiveInteger("sockets"),
         settings,
         fields);
   }
--- a/src/main/java/mothwing/settings/JsonFields.java
+++ b/src/main/java/mothwing/settings/JsonFields.java
@@ -135,7 +135,7 @@
    * @return the value, rounded down
    * @throws InvalidInputException if it is missing, not a number or not above 0
    */
-  public long positive(String name) throws InvalidInputException {
+  public long positiveInteger(String name) throws InvalidInputException {
     long value = integer(name);
     if (value <= 0) {
       throw new InvalidInputException("field " + path + name + ": not above 0");
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -74,8 +74,8 @@
       classes.add(
           new RequestClass(
               requestClass.text("Name"),
-              requestClass.positive("Target"),
-              requestClass.positive("GiveUp"),
+              requestClass.positiveInteger("Target"),
+              requestClass.positiveInteger("GiveUp"),
               requestClass.number("Worth", 0),
               requestClass.number("LateValue", 0),
               idempotency,
--- a/src/main/java/mothwing/settings/Site.java
+++ b/src/main/java/mothwing/settings/Site.java
@@ -66,29 +66,30 @@
    *     (RFC 7873), up to 4,096; 0 limits it to the size of the query
    * @param connections maximum TCP connections
    * @param idleMs milliseconds after which an idle or slowly sending TCP connection is closed
-   * @param pipelined maximum pending queries of one TCP connection (RFC 7766 section 6.2.1.1)
+   * @param pipelinedQueries maximum pending queries of one TCP connection (RFC 7766 section
+   *     6.2.1.1)
    * @param responsesPerSecond maximum responses per second over UDP to one client prefix, 0 for no
    *     limit
    * @param prefixes maximum client prefixes whose rate is tracked
-   * @param cached maximum responses in the cache
+   * @param cachedResponses maximum responses in the cache
    * @param records maximum records of one zone
    * @param journalBytes length of a journal in bytes above which it is compacted
-   * @param repeats maximum accepted updates that are kept to answer their retries
-   * @param control whether the overload controller admits queries
+   * @param rememberedUpdates maximum accepted updates that are kept to answer their retries
+   * @param isControlled whether the overload controller admits queries
    */
   public record DnsLimits(
       int udpBytes,
       int unprovenBytes,
       int connections,
       int idleMs,
-      int pipelined,
+      int pipelinedQueries,
       int responsesPerSecond,
       int prefixes,
-      int cached,
+      int cachedResponses,
       int records,
       long journalBytes,
-      int repeats,
-      boolean control) {
+      int rememberedUpdates,
+      boolean isControlled) {
     /** The default limits. */
     public static final DnsLimits DEFAULTS =
         new DnsLimits(
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -175,13 +175,13 @@
             (int) call.whole("unproven_bytes", defaults.unprovenBytes(), 0, 4096),
             (int) call.whole("connections", defaults.connections(), 1, 65_536),
             (int) call.whole("idle_ms", defaults.idleMs(), 100, 600_000),
-            (int) call.whole("pipelined", defaults.pipelined(), 1, 1024),
+            (int) call.whole("pipelined", defaults.pipelinedQueries(), 1, 1024),
             (int) call.whole("responses_per_second", defaults.responsesPerSecond(), 0, MAX_ENTRIES),
             (int) call.whole("prefixes", defaults.prefixes(), 16, MAX_ENTRIES),
-            (int) call.whole("cached", defaults.cached(), 0, MAX_ENTRIES),
+            (int) call.whole("cached", defaults.cachedResponses(), 0, MAX_ENTRIES),
             (int) call.whole("records", defaults.records(), 1, MAX_ENTRIES),
             call.whole("journal_bytes", defaults.journalBytes(), 4096, 1L << 40),
-            (int) call.whole("repeats", defaults.repeats(), 16, MAX_ENTRIES),
+            (int) call.whole("repeats", defaults.rememberedUpdates(), 16, MAX_ENTRIES),
             !call.text("control", "on").equals("off"));
     dns = new Site.Dns(listen, state, limits, List.of(), List.of());
     dnsCall = call;
--- a/src/main/java/mothwing/trial/MembershipStatistics.java
+++ b/src/main/java/mothwing/trial/MembershipStatistics.java
@@ -140,7 +140,7 @@
         SLOW_BY / 1000,
         100 * LOSS,
         seconds,
-        pace.maxLocalHealthMultiplier() > 0 ? "with" : "without",
+        pace.maxLocalHealthScore() > 0 ? "with" : "without",
         deaths.size(),
         healthy,
         deaths.size() * 3600 / seconds);
--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -119,8 +119,8 @@
       }
 
       @Override
-      public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
-        answers.add("rejected " + finalAnswer + " " + retryAfterMillis);
+      public void sendRejection(boolean dontRetry, long retryAfterMillis) {
+        answers.add("rejected " + dontRetry + " " + retryAfterMillis);
       }
 
       @Override
--- a/src/test/java/mothwing/broker/ExchangeTest.java
+++ b/src/test/java/mothwing/broker/ExchangeTest.java
@@ -42,8 +42,8 @@
           }
 
           @Override
-          public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
-            answers.add("rejection " + finalAnswer + " " + retryAfterMillis);
+          public void sendRejection(boolean dontRetry, long retryAfterMillis) {
+            answers.add("rejection " + dontRetry + " " + retryAfterMillis);
           }
 
           @Override
--- a/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
+++ b/src/test/java/mothwing/dependency/DependencyConnectionManagerTest.java
@@ -142,7 +142,7 @@
     public void sendResult(byte[] result) {}
 
     @Override
-    public void sendRejection(boolean finalAnswer, long retryAfterMillis) {}
+    public void sendRejection(boolean dontRetry, long retryAfterMillis) {}
 
     @Override
     public void sendFailure(String code) {}
--- a/src/test/java/mothwing/membership/ProtocolFixture.java
+++ b/src/test/java/mothwing/membership/ProtocolFixture.java
@@ -23,7 +23,7 @@
   final MemberTable members = new MemberTable();
   final ProbeRing ring;
   final Dissemination dissemination;
-  final LocalHealth health = new LocalHealth(SETTINGS.maxLocalHealthMultiplier());
+  final LocalHealth health = new LocalHealth(SETTINGS.maxLocalHealthScore());
   private long now;
   private long nextOrder;
 
--- a/src/test/java/mothwing/overload/RecordingHost.java
+++ b/src/test/java/mothwing/overload/RecordingHost.java
@@ -369,7 +369,7 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean finalAnswer, long retryAfter) {
+  public void rejectRequest(String id, boolean dontRetry, long retryAfter) {
     RequestState state = markAnswered(id);
     assertFalse(
         state.ran && state.requestClass.idempotency() != Idempotency.ALWAYS,
@@ -382,7 +382,7 @@
     }
     state.ended = true;
     actions.add(
-        "reject " + id + (finalAnswer ? " final" : "") + (retryAfter > 0 ? " retryAfter" : ""));
+        "reject " + id + (dontRetry ? " final" : "") + (retryAfter > 0 ? " retryAfter" : ""));
   }
 
   @Override
--- a/src/test/java/mothwing/pool/PoolProtocolTest.java
+++ b/src/test/java/mothwing/pool/PoolProtocolTest.java
@@ -27,7 +27,7 @@
       PoolNotice.RunEnded run =
           assertInstanceOf(PoolNotice.RunEnded.class, decode(line.formatted(codes[i])));
       assertEquals(outcomes[i], run.outcome());
-      assertEquals(7_000, run.wallMicros());
+      assertEquals(7_000, run.durationMicros());
       assertArrayEquals(i == 0 ? new byte[] {'x', 'y'} : null, run.result());
     }
     assertEquals(
--- a/src/test/java/mothwing/pool/WorkerPoolClientTest.java
+++ b/src/test/java/mothwing/pool/WorkerPoolClientTest.java
@@ -192,7 +192,7 @@
           }
 
           @Override
-          public void sendRejection(boolean finalAnswer, long retryAfterMillis) {
+          public void sendRejection(boolean dontRetry, long retryAfterMillis) {
             assertFalse(order && runs.containsKey(id), id + " ran and is rejected");
             recordAnswer("rejected");
           }
--- a/src/test/java/mothwing/witness/ScriptWitnessTest.java
+++ b/src/test/java/mothwing/witness/ScriptWitnessTest.java
@@ -67,14 +67,14 @@
     assertEquals(1002, dns.limits().unprovenBytes());
     assertEquals(1003, dns.limits().connections());
     assertEquals(1004, dns.limits().idleMs());
-    assertEquals(105, dns.limits().pipelined());
+    assertEquals(105, dns.limits().pipelinedQueries());
     assertEquals(1006, dns.limits().responsesPerSecond());
     assertEquals(1007, dns.limits().prefixes());
-    assertEquals(1008, dns.limits().cached());
+    assertEquals(1008, dns.limits().cachedResponses());
     assertEquals(1009, dns.limits().records());
     assertEquals(5010, dns.limits().journalBytes());
-    assertEquals(1011, dns.limits().repeats());
-    assertFalse(dns.limits().control());
+    assertEquals(1011, dns.limits().rememberedUpdates());
+    assertFalse(dns.limits().isControlled());
   }
 
   @Test
@@ -113,14 +113,14 @@
     assertEquals(512, limits.unprovenBytes());
     assertEquals(512, limits.connections());
     assertEquals(10_000, limits.idleMs());
-    assertEquals(32, limits.pipelined());
+    assertEquals(32, limits.pipelinedQueries());
     assertEquals(0, limits.responsesPerSecond());
     assertEquals(16_384, limits.prefixes());
-    assertEquals(8192, limits.cached());
+    assertEquals(8192, limits.cachedResponses());
     assertEquals(2_000_000, limits.records());
     assertEquals(64L << 20, limits.journalBytes());
-    assertEquals(65_536, limits.repeats());
-    assertTrue(limits.control());
+    assertEquals(65_536, limits.rememberedUpdates());
+    assertTrue(limits.isControlled());
   }
 
   /**
