--- a/src/main/java/mothwing/adapter/EventDecoder.java
+++ b/src/main/java/mothwing/adapter/EventDecoder.java
@@ -13,7 +13,9 @@
 import mothwing.settings.InvalidInputException;
 import mothwing.settings.JsonFields;
 
-/** Decodes the events of one instance, whose settings name its classes and tenants. */
+/**
+ * Decodes the events of one instance; the settings of the instance name its classes and tenants.
+ */
 final class EventDecoder {
   private static final int UNKNOWN_TENANT = -1;
 
@@ -32,9 +34,9 @@
   /**
    * Decodes an event.
    *
-   * @param name its name on the wire
-   * @param event its fields
-   * @throws InvalidInputException where the name is unknown, or a field is missing or malformed
+   * @param name the name of the event in the protocol
+   * @param event the fields of the event
+   * @throws InvalidInputException if the name is unknown, or a field is missing or malformed
    */
   InstanceEvent decode(String name, JsonFields event) throws InvalidInputException {
     return switch (name) {
@@ -65,17 +67,17 @@
         requestId(event),
         classIndex,
         tenantIndexes.getOrDefault(tenant, UNKNOWN_TENANT),
-        event.integer(Field.COST, 0),
-        event.integer(Field.UNREAD_FOR, 0),
-        event.text(Field.AFFINITY, null),
-        event.number(Field.SIZE_KIBIBYTES, 0),
+        event.integer(Field.ESTIMATED_CORE_TIME, 0),
+        event.integer(Field.QUEUEING_DELAY, 0),
+        event.text(Field.CACHE_KEY, null),
+        event.number(Field.MEMORY_KB, 0),
         originalRequest(event),
-        event.number(Field.PRIORITY, 0),
+        event.number(Field.RANK, 0),
         event.integer(Field.DEADLINE, 0),
         event.flag(Field.MUTATES));
   }
 
-  /** The request that this one repeats, or null. */
+  /** Returns the request that an event's request repeats, or null. */
   private static String originalRequest(JsonFields event) throws InvalidInputException {
     String id = event.optionalReference(Field.ORIGINAL_REQUEST);
     return id == null || id.isEmpty() || id.equals(SimulatorProtocol.NO_REQUEST) ? null : id;
--- a/src/main/java/mothwing/adapter/InstanceEvent.java
+++ b/src/main/java/mothwing/adapter/InstanceEvent.java
@@ -4,15 +4,15 @@
 import mothwing.control.Request;
 import mothwing.control.RunOutcome;
 
-/** An event of a running instance, in the controller's terms; times are in microseconds. */
+/** An event of a running instance, in the types of the controller. Times are microseconds. */
 sealed interface InstanceEvent {
   /** A request was read. */
   record RequestRead(Request request) implements InstanceEvent {}
 
-  /** The client of a request has cancelled it. */
+  /** The caller of a request has cancelled it. */
   record RequestCancelled(String requestId) implements InstanceEvent {}
 
-  /** A run is suspended until its dependency call ends. */
+  /** A run has reached a dependency call and waits for permission to make it. */
   record CallAwaited(String requestId) implements InstanceEvent {}
 
   /** A dependency call has ended. */
@@ -24,8 +24,8 @@
       implements InstanceEvent {}
 
   /** A timer has fired, with the gauges of that moment. */
-  record TimerFired(String tag, GaugeSample gauges) implements InstanceEvent {}
+  record TimerFired(String tag, GaugeSample sample) implements InstanceEvent {}
 
-  /** The instance is to shut down by a deadline. */
-  record ShutdownRequested(long deadline) implements InstanceEvent {}
+  /** A graceful shutdown was requested; the process is stopped at the given time. */
+  record ShutdownRequested(long stopAt) implements InstanceEvent {}
 }
--- a/src/main/java/mothwing/adapter/SimulatorProtocol.java
+++ b/src/main/java/mothwing/adapter/SimulatorProtocol.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import mothwing.control.RunOutcome;
 
-/** The words of the simulator's wire. */
+/** Names of the fields, events, actions and outcomes of the simulator's protocol. */
 final class SimulatorProtocol {
   /** Fields of batches, events and actions. */
   static final class Field {
@@ -23,12 +23,12 @@
     static final String SETTINGS = "Options";
     static final String CLASS = "Band";
     static final String TENANT = "Team";
-    static final String COST = "Cost";
-    static final String UNREAD_FOR = "UnreadFor";
-    static final String AFFINITY = "Affinity";
-    static final String SIZE_KIBIBYTES = "Kb";
+    static final String ESTIMATED_CORE_TIME = "Cost";
+    static final String QUEUEING_DELAY = "UnreadFor";
+    static final String CACHE_KEY = "Affinity";
+    static final String MEMORY_KB = "Kb";
     static final String ORIGINAL_REQUEST = "Forerunner";
-    static final String PRIORITY = "Prio";
+    static final String RANK = "Prio";
     static final String MUTATES = "Mutates";
     static final String GAUGES = "Stats";
 
@@ -36,7 +36,7 @@
     static final String CALL_DEADLINE = "TryUntil";
     static final String IS_FINAL = "DontRetry";
     static final String RETRY_AFTER = "Pause";
-    static final String SPAN = "Lifetime";
+    static final String LIFETIME = "Lifetime";
     static final String TIMER_AT = "Time";
     static final String FREE_VALUE = "X";
     static final String IS_SHALLOW = "Cheap";
@@ -93,7 +93,7 @@
           "CXL", RunOutcome.STOPPED,
           "NOP", RunOutcome.NOT_STARTED);
 
-  /** Stands for no request where a request's id is optional. */
+  /** Request id that stands for no request in an optional field. */
   static final String NO_REQUEST = "0";
 
   private SimulatorProtocol() {}
--- a/src/main/java/mothwing/broker/AwaitedCall.java
+++ b/src/main/java/mothwing/broker/AwaitedCall.java
@@ -1,52 +1,58 @@
 package mothwing.broker;
 
-/** The dependency call that the run of one request awaits, if there is one, and its result. */
+/** The dependency call, if any, that the run of one request awaits, and the result of the call. */
 final class AwaitedCall {
   private byte[] content;
   private byte[] unsentResult;
   private boolean inProgress;
-  private boolean answerSent;
-  private boolean answerUnsent;
-  private long until;
+  private boolean resumeSent;
+  private boolean resumeUnsent;
+  private long timeoutAt;
 
-  /** What the run asks for, or null where it awaits no call. */
+  /** The content of the call, or null if the run awaits none. */
   byte[] content() {
     return content;
   }
 
-  /** Whether the call was started and has not ended. */
+  /** Whether the call has been started and has not ended. */
   boolean isInProgress() {
     return inProgress;
   }
 
-  /** When the call counts as timed out. */
-  long until() {
-    return until;
+  /**
+   * When the broker ends the call, which is later than the dependency's limit, in microseconds of
+   * the monotonic clock.
+   */
+  long timeoutAt() {
+    return timeoutAt;
   }
 
-  /** Whether the last command to the pool was the answer to a call. */
-  boolean isAnswerSent() {
-    return answerSent;
+  /** Whether the run was resumed over a connection, and has awaited no call since. */
+  boolean isResumeSent() {
+    return resumeSent;
   }
 
-  /** Whether the run is to be resumed, and no connection has carried that yet. */
-  boolean isAnswerUnsent() {
-    return answerUnsent;
+  /** Whether the command to resume the run has not been written to a connection yet. */
+  boolean isResumeUnsent() {
+    return resumeUnsent;
   }
 
-  /** The result for an answer that is unsent; null where the run is resumed without one. */
+  /**
+   * The result of the unsent answer; null if none is unsent, or the run is resumed without a
+   * result.
+   */
   byte[] unsentResult() {
     return unsentResult;
   }
 
-  void await(byte[] asked) {
+  void await(byte[] callContent) {
     clear();
-    content = asked;
+    content = callContent;
   }
 
-  void start(long timeOutAt) {
+  void start(long callTimeoutAt) {
     inProgress = true;
-    until = timeOutAt;
+    timeoutAt = callTimeoutAt;
   }
 
   /** Ends the call. Returns whether it was in progress. */
@@ -56,19 +62,23 @@
     return wasInProgress;
   }
 
-  /** The run is resumed, with a result or null, now or once there is a connection. */
+  /**
+   * Records that the run is resumed, at once if connected, otherwise after the next connection.
+   *
+   * @param result null to resume without one
+   */
   void answer(byte[] result, boolean connected) {
     content = null;
     unsentResult = connected ? null : result;
-    answerUnsent = !connected;
-    answerSent = connected;
+    resumeUnsent = !connected;
+    resumeSent = connected;
   }
 
   void clear() {
     content = null;
     unsentResult = null;
     inProgress = false;
-    answerSent = false;
-    answerUnsent = false;
+    resumeSent = false;
+    resumeUnsent = false;
   }
 }
--- a/src/main/java/mothwing/broker/ControllerActions.java
+++ b/src/main/java/mothwing/broker/ControllerActions.java
@@ -4,15 +4,15 @@
 import mothwing.control.ControllerHost;
 
 /**
- * Carries out the actions of the controller. An action on a request that is no longer open has no
- * effect.
+ * Carries out the actions that the controller requests. An action on a request that is no longer
+ * open has no effect.
  */
 final class ControllerActions implements ControllerHost {
   private static final long MICROS_PER_MILLI = 1000;
 
   private final BrokerParts parts;
   private final OpenRequests open;
-  private Consumer<Long> idleConnectionCloser = span -> {};
+  private Consumer<Long> idleConnectionCloser = idleMicros -> {};
 
   ControllerActions(BrokerParts parts) {
     this.parts = parts;
@@ -34,16 +34,17 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
+  public void rejectRequest(String id, boolean dontRetry, long retryAfterMicros) {
     Exchange exchange = open.get(id);
     if (exchange == null) {
       return;
     }
-    if (exchange.hasRunForGood()) {
-      parts.answers.fail(exchange, FailureReason.RAN_BEFORE); // a rejection states: nothing ran
+    if (exchange.mustNotRunAgain()) {
+      // a rejection would state that nothing ran
+      parts.answers.fail(exchange, FailureReason.RAN_BEFORE);
     } else {
-      long retryAfterMicros = parts.shutdownState.retryAfter(stayAway);
-      long retryAfterMillis = (retryAfterMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
+      long allowedMicros = parts.shutdownState.allowedRetryAfter(retryAfterMicros);
+      long retryAfterMillis = (allowedMicros + MICROS_PER_MILLI - 1) / MICROS_PER_MILLI;
       parts.answers.reject(exchange, RejectionReason.DECIDED, dontRetry, retryAfterMillis);
     }
     open.removeUnlessInPool(exchange);
@@ -59,8 +60,8 @@
   }
 
   @Override
-  public void startCall(String id, long until) {
-    parts.calls.start(id, until);
+  public void startCall(String id, long timeoutAt) {
+    parts.calls.start(id, timeoutAt);
   }
 
   @Override
@@ -69,10 +70,10 @@
   }
 
   @Override
-  public void rememberKey(String id, long span) {
+  public void rememberKey(String id, long keepMicros) {
     Exchange exchange = open.get(id);
     if (exchange != null) {
-      parts.keys.remember(exchange, parts.context.scheduler().now() + span);
+      parts.keys.remember(exchange, parts.context.scheduler().now() + keepMicros);
     }
   }
 
@@ -96,19 +97,20 @@
 
   @Override
   public void publishFreeValue(double value) {
-    if (!parts.shutdownState.isHandingOver()) { // it would be taken for that of the next process
+    // during a handover gateways would apply the value to the process that takes over
+    if (!parts.shutdownState.isHandingOver()) {
       parts.freeValue.publish(value);
     }
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean good) {
-    parts.checks.setHealth(cheap, good);
+  public void setHealth(boolean shallow, boolean mayPass) {
+    parts.checks.setHealth(shallow, mayPass);
   }
 
   @Override
-  public void closeIdleConnections(long span) {
-    idleConnectionCloser.accept(span);
+  public void closeIdleConnections(long idleMicros) {
+    idleConnectionCloser.accept(idleMicros);
   }
 
   @Override
--- a/src/main/java/mothwing/control/GaugeSample.java
+++ b/src/main/java/mothwing/control/GaugeSample.java
@@ -4,43 +4,36 @@
 import java.util.List;
 
 /**
- * The gauges of one moment, or their absence. A sample is never delivered twice, since a controller
+ * The gauges at one time, or their absence. A sample is never delivered twice, since a controller
  * counts each as a new measurement.
  *
- * @param gauges in the order of the settings; empty where they are not known
- * @param age microseconds since gauges were last known; 0 where these are of this moment
+ * @param gauges the gauges in the order of the settings; empty if unknown
+ * @param age microseconds since gauges were last known; 0 if these are current
  */
 public record GaugeSample(List<Double> gauges, long age) {
-  /** Copies the gauges. */
   public GaugeSample {
     gauges = List.copyOf(gauges);
   }
 
   /**
-   * Gauges of this moment.
+   * Returns a sample of current gauges.
    *
-   * @param gauges in the order of the settings
-   * @return the sample
+   * @param gauges the gauges in the order of the settings
    */
   public static GaugeSample of(double... gauges) {
     return new GaugeSample(Arrays.stream(gauges).boxed().toList(), 0);
   }
 
   /**
-   * No gauges.
+   * Returns a sample without gauges.
    *
-   * @param age microseconds since they were last known
-   * @return the sample
+   * @param age microseconds since gauges were last known
    */
   public static GaugeSample absent(long age) {
     return new GaugeSample(List.of(), age);
   }
 
-  /**
-   * Whether gauges are known.
-   *
-   * @return true if so
-   */
+  /** Returns whether gauges are known. */
   public boolean isKnown() {
     return !gauges.isEmpty();
   }
--- a/src/main/java/mothwing/membership/SuspicionTable.java
+++ b/src/main/java/mothwing/membership/SuspicionTable.java
@@ -5,18 +5,19 @@
 import java.util.function.Consumer;
 
 /**
- * Suspicion and its timeouts: a suspect that does not refute in time is declared dead. While many
- * are suspected at once the fault is likely near this process, and deaths are held back for longer.
+ * Tracks suspicions and their timeouts: a suspect that does not refute in time is declared dead.
+ * While many members are suspected at once, the fault is likely near this process, and declarations
+ * of death are held back for up to {@code massFailureHoldMicros}.
  */
 final class SuspicionTable {
-  private static final int MIN_MASS_FAILURE = 2;
+  private static final int MAX_INDEPENDENT_FAILURES = 2;
 
   private final LocalMember self;
   private final MemberTable members;
   private final Dissemination dissemination;
   private final LocalHealth health;
   private final Consumer<MemberRecord> declareDead;
-  private final List<Long> deathsMicros = new ArrayList<>();
+  private final List<Long> recentDeathTimesMicros = new ArrayList<>();
 
   SuspicionTable(
       LocalMember self,
@@ -34,8 +35,8 @@
   /** Suspects a member that this process cannot reach. */
   void suspect(Member member) {
     long now = self.now();
-    boolean first = member.state() == MemberState.ALIVE;
-    if (first) {
+    boolean newlySuspected = member.state() == MemberState.ALIVE;
+    if (newlySuspected) {
       member.setRecord(member.record().withState(MemberState.SUSPECT, self.name()));
       member.beginSuspicion(now);
       self.publish(MembershipEvent.Type.SUSPECTED, member.record());
@@ -45,13 +46,13 @@
     }
     dissemination.enqueue(member.record().withState(MemberState.SUSPECT, self.name()));
     dissemination.sendUnawaitedPing(member.address(), List.of(member.record()));
-    if (!first) {
+    if (!newlySuspected) {
       member.suspicion().startNoEarlierThan(now - self.settings().minSuspicionMicros());
     }
     scheduleTimeout(member);
   }
 
-  /** Takes over a suspicion that was gossiped. */
+  /** Adopts a suspicion that was gossiped. */
   void adopt(Member member) {
     member.beginSuspicion(self.now());
     member.suspicion().addAccuser(member.record().reportedBy());
@@ -59,21 +60,24 @@
     scheduleTimeout(member);
   }
 
-  /** Counts a further accuser of the incarnation that is suspected, as far as one is of use. */
+  /**
+   * Counts a further accuser of the suspected incarnation, unless enough accusers have been counted
+   * already.
+   */
   void confirm(Member member, MemberRecord record) {
-    boolean same =
+    boolean sameSuspicion =
         record.state() == MemberState.SUSPECT
             && member.state() == MemberState.SUSPECT
             && record.incarnation() == member.record().incarnation();
-    if (same
-        && member.suspicion().accusers() <= self.settings().suspicionConfirmations()
+    if (sameSuspicion
+        && member.suspicion().accuserCount() <= self.settings().suspicionConfirmations()
         && member.suspicion().addAccuser(record.reportedBy())) {
       dissemination.enqueue(record);
       scheduleTimeout(member);
     }
   }
 
-  /** Extends all suspicions by a time in which this process was stopped. */
+  /** Extends all suspicions by a pause of this process. */
   void postponeAll(long spanMicros) {
     members.all().forEach(member -> member.suspicion().postpone(spanMicros));
   }
@@ -108,16 +112,18 @@
   }
 
   private boolean isMassFailure(Member member, long now) {
-    long hold = self.settings().massFailureHoldMicros();
-    deathsMicros.removeIf(at -> at < now - hold);
-    int recentDeaths = deathsMicros.size();
+    long holdMicros = self.settings().massFailureHoldMicros();
+    recentDeathTimesMicros.removeIf(at -> at < now - holdMicros);
+    int recentDeaths = recentDeathTimesMicros.size();
     int failing = members.inState(MemberState.SUSPECT).size() + recentDeaths;
     int total = members.presentCount() + 1 + recentDeaths;
-    boolean many = failing > Math.max(MIN_MASS_FAILURE, self.settings().massFailureRatio() * total);
-    if (many && now - member.suspicion().startedAtMicros() <= timeoutMicros(member) + hold) {
+    boolean aboveThreshold =
+        failing > Math.max(MAX_INDEPENDENT_FAILURES, self.settings().massFailureRatio() * total);
+    if (aboveThreshold
+        && now - member.suspicion().startedAtMicros() <= timeoutMicros(member) + holdMicros) {
       return true;
     }
-    deathsMicros.add(now);
+    recentDeathTimesMicros.add(now);
     return false;
   }
 }
--- a/src/main/java/mothwing/overload/DeadlineEnforcer.java
+++ b/src/main/java/mothwing/overload/DeadlineEnforcer.java
@@ -3,8 +3,9 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Answers every request before it is due, and rejects held requests that can no longer be answered
- * in time.
+ * Answers every request before it is due, rejects held requests that can no longer be answered in
+ * time, and fails requests that wait for a call or a replay once an answer no longer earns
+ * anything.
  */
 final class DeadlineEnforcer {
   private final ControllerContext context;
@@ -23,7 +24,7 @@
     this.completion = completion;
   }
 
-  /** Checks all open requests. */
+  /** Checks the deadlines of all open requests. */
   void enforce() {
     for (TrackedRequest request : requests.snapshot()) {
       if (!request.isAnswered()) {
@@ -34,17 +35,18 @@
 
   private void enforce(TrackedRequest request) {
     long now = context.now();
-    boolean due = now + context.dueMargin() >= request.dueAt();
-    boolean neverRan = request.is(State.HELD) && !request.everRan();
-    boolean waits = request.is(State.AWAITING_CALL) || request.is(State.REPLAYING);
-    if (neverRan && (due || isOutOfReach(request))) {
+    boolean isDue = now + context.dueMargin() >= request.dueAt();
+    boolean neverStarted = request.is(State.HELD) && !request.hasStarted();
+    boolean isWaiting = request.is(State.AWAITING_CALL) || request.is(State.REPLAYING);
+    // A run past its objective is failed only when due, as it may still end in time.
+    if (neverStarted && (isDue || cannotFinishInTime(request))) {
       completion.reject(request);
-    } else if (due || (waits && now > request.valuableUntil())) {
-      completion.fail(request); // a run that is late goes on: its end may still be in time
+    } else if (isDue || (isWaiting && now > request.valuableUntil())) {
+      completion.fail(request);
     }
   }
 
-  private boolean isOutOfReach(TrackedRequest request) {
-    return context.now() + deadlines.runTime(request) > deadlines.soughtUntil(request);
+  private boolean cannotFinishInTime(TrackedRequest request) {
+    return context.now() + deadlines.runTime(request) > deadlines.latestUsefulAnswerAt(request);
   }
 }
--- a/src/main/java/mothwing/overload/DependencyCallScheduler.java
+++ b/src/main/java/mothwing/overload/DependencyCallScheduler.java
@@ -8,11 +8,11 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Makes dependency calls in the order of priority, retries those that may be repeated, and leaves a
- * call out where the answer without it still earns something.
+ * Starts dependency calls in priority order, retries those that may be repeated, and skips a call
+ * that cannot succeed in time if an answer without it still earns part of the priority weight.
  */
 final class DependencyCallScheduler {
-  /** Attempts of one call. */
+  /** Maximum number of attempts of one call. */
   private static final int MAX_ATTEMPTS = 4;
 
   private final ControllerContext context;
@@ -21,14 +21,14 @@
   private final ProcessorSharingClock clock;
   private final CostEstimator costs;
   private final ConcurrencyCeiling ceiling;
-  private final DependencyCallLimiter limiter;
+  private final DependencyCallLimiter callLimiter;
   private final FaultAdmission faults;
   private final RequestCompletion completion;
 
   DependencyCallScheduler(
       ControllerState state,
       ConcurrencyCeiling ceiling,
-      DependencyCallLimiter limiter,
+      DependencyCallLimiter callLimiter,
       FaultAdmission faults,
       RequestCompletion completion) {
     context = state.context();
@@ -37,13 +37,13 @@
     clock = state.clock();
     costs = state.costs();
     this.ceiling = ceiling;
-    this.limiter = limiter;
+    this.callLimiter = callLimiter;
     this.faults = faults;
     this.completion = completion;
   }
 
-  /** A run reaches a call. */
-  void awaited(TrackedRequest request) {
+  /** Handles a run that has reached a dependency call. */
+  void handleAwaited(TrackedRequest request) {
     clock.leave(request);
     request.awaitCall(context.now());
     if (request.isAnswered()) {
@@ -51,84 +51,91 @@
     }
   }
 
-  /** A call in flight has ended. */
-  void ended(TrackedRequest request, RunOutcome outcome) {
-    limiter.ended(request.call().attemptStartedAt());
+  /** Handles the end of a call in flight. */
+  void handleEnded(TrackedRequest request, RunOutcome outcome) {
+    callLimiter.recordEnd(request.callProgress().attemptStartedAt());
     faults.recordCall(outcome == RunOutcome.SUCCEEDED);
     if (outcome == RunOutcome.SUCCEEDED) {
       clock.enter(request);
       return;
     }
-    boolean mayStillRun = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
-    if (mayStillRun) {
-      limiter.lingers();
+    boolean calleeMayStillWork = !outcome.provesNoEffect() && outcome != RunOutcome.FAILED;
+    if (calleeMayStillWork) {
+      callLimiter.countAsOutstanding();
     }
     request.retryCallAt(context.now() + backoff(request));
     boolean isLastAttempt = !mayRepeat(request, outcome) || attemptsExhausted(request);
     if (!isLastAttempt || request.isAnswered()) {
       return;
     }
-    if (request.mayLeaveCallOut()) {
-      request.call().exhaust(MAX_ATTEMPTS);
+    if (request.maySkipCall()) {
+      request.callProgress().exhaust(MAX_ATTEMPTS);
     } else {
       completion.fail(request);
     }
   }
 
-  /** The wait before the next attempt, which doubles with each. */
+  /** Returns the wait before the next attempt, which doubles with each attempt. */
   private long backoff(TrackedRequest request) {
-    return context.samplePeriod() << Math.min(request.call().attempts(), 2 * MAX_ATTEMPTS);
+    return context.samplePeriod() << Math.min(request.callProgress().attempts(), 2 * MAX_ATTEMPTS);
   }
 
   private static boolean mayRepeat(TrackedRequest request, RunOutcome outcome) {
-    return outcome.provesNoEffect() || request.requestClass().idempotency() == Idempotency.SAFE;
+    return outcome.provesNoEffect() || request.requestClass().idempotency() == Idempotency.ALWAYS;
   }
 
   private static boolean attemptsExhausted(TrackedRequest request) {
-    return request.call().attempts() >= MAX_ATTEMPTS;
+    return request.callProgress().attempts() >= MAX_ATTEMPTS;
   }
 
-  /** Makes the calls that may be made now. */
-  void startWaiting() {
+  /** Starts or skips the waiting calls in priority order, as far as the limits allow. */
+  void startWaitingCalls() {
     List<TrackedRequest> waiting = new ArrayList<>();
-    for (TrackedRequest request : requests.all()) {
+    for (TrackedRequest request : requests.openRequests()) {
       boolean awaitsCall = request.is(State.AWAITING_CALL) && !request.isAnswered();
-      if (awaitsCall && context.now() >= request.call().nextAttemptAt()) {
+      if (awaitsCall && context.now() >= request.callProgress().nextAttemptAt()) {
         waiting.add(request);
       }
     }
     waiting.sort(PriorityOrder.HIGHEST_FIRST);
     for (TrackedRequest request : waiting) {
-      if (wouldCrowdCores()) {
+      if (wouldReachCeiling()) {
         return;
       }
-      if (request.mayLeaveCallOut() && isHopeless(request)) {
+      if (request.maySkipCall() && cannotSucceedInTime(request)) {
         host.skipCall(request.id());
         clock.enter(request);
-      } else if (limiter.mayStart()) {
+      } else if (callLimiter.mayStart()) {
         start(request);
       }
     }
   }
 
-  /** Whether the runs that return from their calls would be more than the machine survives. */
-  private boolean wouldCrowdCores() {
-    return clock.running() + limiter.inFlight() >= Math.max(1, ceiling.ceiling());
+  /**
+   * Returns whether the number of runs would reach the concurrency ceiling once all calls in flight
+   * return to the cores.
+   */
+  private boolean wouldReachCeiling() {
+    return clock.running() + callLimiter.inFlight() >= Math.max(1, ceiling.ceiling());
   }
 
-  /** Whether a call has failed for good, or would leave the run too little time. */
-  private boolean isHopeless(TrackedRequest request) {
+  /** Returns whether a call has no attempts left, or would leave the run too little time. */
+  private boolean cannotSucceedInTime(TrackedRequest request) {
     double endsAt =
-        context.now() + limiter.expectedCallTime() + costs.remaining(request) + context.dueMargin();
+        context.now()
+            + callLimiter.averageCallDuration()
+            + costs.remainingCoreTime(request)
+            + context.dueMargin();
     return attemptsExhausted(request) || endsAt > request.valuableUntil();
   }
 
   private void start(TrackedRequest request) {
     long now = context.now();
     request.startCall(now);
-    limiter.started();
-    long lastUse = Math.min(request.dueAt() - 2 * context.dueMargin(), request.valuableUntil());
-    long until = Math.min(lastUse, now + limiter.longestCall());
-    host.startCall(request.id(), Math.max(now + context.settings().batchInterval(), until));
+    callLimiter.recordStart();
+    long latestUsefulEnd =
+        Math.min(request.dueAt() - 2 * context.dueMargin(), request.valuableUntil());
+    long abandonAt = Math.min(latestUsefulEnd, now + callLimiter.maxCallDuration());
+    host.startCall(request.id(), Math.max(now + context.settings().batchInterval(), abandonAt));
   }
 }
--- a/src/main/java/mothwing/overload/FaultAdmission.java
+++ b/src/main/java/mothwing/overload/FaultAdmission.java
@@ -4,17 +4,17 @@
 import mothwing.control.Settings;
 
 /**
- * Holds back requests while runs or dependency calls fail. A server whose runs fail looks fast and
- * idle, and calls to a failing dependency waste core time: only a few attempts are made.
+ * Rejects most requests while runs or dependency calls fail. A server whose runs fail looks fast
+ * and idle, and calls to a failing dependency waste core time, so only a few attempts are made.
  */
 final class FaultAdmission {
-  private final FaultBudget runs = new FaultBudget();
-  private final FaultBudget calls = new FaultBudget();
-  private double maxCallingWeight;
+  private final FaultBudget runFaults = new FaultBudget();
+  private final FaultBudget callFaults = new FaultBudget();
+  private double maxCallingClassWeight;
 
-  /** Takes the classes of new settings. */
+  /** Applies new settings. */
   void apply(Settings settings) {
-    maxCallingWeight =
+    maxCallingClassWeight =
         settings.classes().stream()
             .filter(RequestClass::callsDependency)
             .mapToDouble(RequestClass::priorityWeight)
@@ -24,34 +24,37 @@
 
   /** Counts the outcome of a run. */
   void recordRun(boolean success) {
-    runs.record(success);
+    runFaults.record(success);
   }
 
   /** Counts the outcome of a dependency call. */
   void recordCall(boolean success) {
-    calls.record(success);
+    callFaults.record(success);
   }
 
-  /** Lets both budgets recover. */
-  void forget(int cores, double seconds) {
-    runs.forget(cores, seconds);
-    calls.forget(cores, seconds);
+  /** Reduces the faults in both budgets for the given number of seconds. */
+  void recover(int cores, double seconds) {
+    runFaults.recover(cores, seconds);
+    callFaults.recover(cores, seconds);
   }
 
-  /** Whether the runs of this server fail. */
-  boolean runsFail() {
-    return runs.isExhausted();
+  /** Returns whether the runs of this server fail. */
+  boolean areRunsFailing() {
+    return runFaults.isExhausted();
   }
 
-  /** Whether a request is held back; calls are left to the classes of the highest weight. */
-  boolean holdsBack(TrackedRequest request) {
-    if (runs.isExhausted()) {
+  /**
+   * Returns whether a request is rejected; the last attempts at dependency calls are left to the
+   * classes of the highest weight.
+   */
+  boolean shouldReject(TrackedRequest request) {
+    if (runFaults.isExhausted()) {
       return true;
     }
     if (!request.callsDependency()) {
       return false;
     }
-    boolean hasMaxWeight = request.requestClass().priorityWeight() >= maxCallingWeight;
-    return hasMaxWeight ? calls.isExhausted() : calls.isHalfSpent();
+    boolean hasMaxWeight = request.requestClass().priorityWeight() >= maxCallingClassWeight;
+    return hasMaxWeight ? callFaults.isExhausted() : callFaults.isHalfUsed();
   }
 }
--- a/src/main/java/mothwing/overload/RequestAdmission.java
+++ b/src/main/java/mothwing/overload/RequestAdmission.java
@@ -6,10 +6,11 @@
 import mothwing.overload.TrackedRequest.State;
 
 /**
- * Admits or rejects each request when it is read, in this order: a repeat of a remembered request
- * waits for the result of the original; the due time must lie ahead; memory must suffice; the
- * filter in force must have tokens; runs and calls must not fail; the deadline must be within
- * reach.
+ * Admits or rejects each request when it is read. The checks, in this order: a repeat of an
+ * original that is open, or may be remembered or cached, waits for its result; the due time must be
+ * more than the due margin ahead; the request must not have arrived after a shutdown request;
+ * memory must suffice; the current filter must admit it; runs and calls must not be failing; the
+ * deadline must be reachable.
  */
 final class RequestAdmission {
   private final ControllerContext context;
@@ -23,7 +24,7 @@
   private final AdmissionFilter filter;
   private final FaultAdmission faults;
   private final DeadlineAdmission deadlines;
-  private final RunScheduler runs;
+  private final RunScheduler runScheduler;
   private final RequestCompletion completion;
   private final BackpressureSignal backpressure;
 
@@ -35,7 +36,7 @@
       AdmissionFilter filter,
       FaultAdmission faults,
       DeadlineAdmission deadlines,
-      RunScheduler runs,
+      RunScheduler runScheduler,
       RequestCompletion completion,
       BackpressureSignal backpressure) {
     context = state.context();
@@ -49,18 +50,18 @@
     this.filter = filter;
     this.faults = faults;
     this.deadlines = deadlines;
-    this.runs = runs;
+    this.runScheduler = runScheduler;
     this.completion = completion;
     this.backpressure = backpressure;
   }
 
-  /** Takes a request that was just read. */
+  /** Tracks a request that was just read, and admits, replays or rejects it. */
   void read(Request request) {
     TrackedRequest tracked = track(request);
     requests.add(tracked);
     memory.reserve(request.memoryKb());
     filter.offer(tracked);
-    backpressure.countRead(costs.expected(tracked));
+    backpressure.countRead(costs.expectedCoreTime(tracked));
     decide(tracked);
   }
 
@@ -84,13 +85,13 @@
       replay(request);
       return;
     }
-    boolean tooLate = isAlmostDue(request) || context.isAfterShutdownNotice(request.arrivedAt());
-    if (tooLate || !hasMemory(request)) {
+    boolean isTooLate = isAlmostDue(request) || context.isAfterShutdownRequest(request.arrivedAt());
+    if (isTooLate || !hasMemory(request)) {
       completion.reject(request);
       return;
     }
-    if (!filter.admit(request) || faults.holdsBack(request) || !deadlines.canMeet(request)) {
-      backpressure.countRejected(costs.expected(request));
+    if (!filter.admit(request) || faults.shouldReject(request) || !deadlines.canMeet(request)) {
+      backpressure.countRejected(costs.expectedCoreTime(request));
       completion.reject(request);
       return;
     }
@@ -104,7 +105,10 @@
     return context.now() + context.dueMargin() >= request.dueAt();
   }
 
-  /** Whether a request repeats one that is held or ran, and so must not run itself. */
+  /**
+   * Returns whether a request must not run itself, as it repeats one that is open, or may be
+   * remembered or cached.
+   */
   private boolean repeatsKnownRequest(TrackedRequest request) {
     String originalId = request.request().originalId();
     if (originalId == null || requests.wasRejectedInBatch(originalId)) {
@@ -116,7 +120,7 @@
   }
 
   private void replay(TrackedRequest request) {
-    // waiting repeats must not fill the memory
+    // Repeats that wait for a result must not fill the memory.
     if (isAlmostDue(request) || memory.usedKb() > memory.plannedKb()) {
       completion.fail(request);
     } else {
@@ -125,17 +129,20 @@
     }
   }
 
-  /** Whether memory is left for its run, for the planned runs and for one batch of reads. */
+  /**
+   * Returns whether memory is left for the request's key and for a run of its size in every free
+   * slot; the unplanned share is left for one batch of reads.
+   */
   private boolean hasMemory(TrackedRequest request) {
     double keyKb = request.hasIdempotencyKey() ? memory.keyKb() : 0;
-    double runsKb = runs.freeSlots() * memory.additionalRunKb(request);
+    double runsKb = runScheduler.freeSlots() * memory.additionalRunKb(request);
     return memory.usedKb() + keyKb + runsKb <= memory.plannedKb();
   }
 
   private void rememberKey(TrackedRequest request) {
-    long sample = context.samplePeriod();
+    long samplePeriod = context.samplePeriod();
     long windowEnd = request.arrivedAt() + request.requestClass().idempotencyWindow();
-    long expiresAt = Math.max(context.now() + sample, windowEnd + sample);
+    long expiresAt = Math.max(context.now() + samplePeriod, windowEnd + samplePeriod);
     host.rememberKey(request.id(), expiresAt - context.now());
     keys.remember(request.id(), expiresAt);
   }
--- a/src/main/java/mothwing/overload/RunScheduler.java
+++ b/src/main/java/mothwing/overload/RunScheduler.java
@@ -6,7 +6,10 @@
 import mothwing.control.GaugeSample;
 import mothwing.overload.TrackedRequest.State;
 
-/** Starts and resumes runs in the order of priority, within the concurrency limit and memory. */
+/**
+ * Starts and resumes runs in priority order, within the concurrency limit, the concurrency ceiling
+ * and the memory.
+ */
 final class RunScheduler {
   private final ControllerContext context;
   private final ControllerHost host;
@@ -15,14 +18,14 @@
   private final ProcessorSharingClock clock;
   private final PriorityOrder order;
   private final ConcurrencyCeiling ceiling;
-  private final DependencyCallLimiter calls;
+  private final DependencyCallLimiter callLimiter;
   private final ConcurrencyLimit limit;
 
   RunScheduler(
       ControllerState state,
       PriorityOrder order,
       ConcurrencyCeiling ceiling,
-      DependencyCallLimiter calls) {
+      DependencyCallLimiter callLimiter) {
     context = state.context();
     host = state.host();
     requests = state.requests();
@@ -30,14 +33,14 @@
     clock = state.clock();
     this.order = order;
     this.ceiling = ceiling;
-    this.calls = calls;
+    this.callLimiter = callLimiter;
     limit = new ConcurrencyLimit(context.cores());
   }
 
-  /** Starts what may run now. */
-  void startWaiting() {
+  /** Starts the waiting runs that may start now. */
+  void startWaitingRuns() {
     List<TrackedRequest> waiting = new ArrayList<>();
-    for (TrackedRequest request : requests.all()) {
+    for (TrackedRequest request : requests.openRequests()) {
       if (!request.isAnswered() && (request.is(State.HELD) || request.is(State.PAUSED))) {
         order.update(request);
         waiting.add(request);
@@ -45,18 +48,21 @@
     }
     waiting.sort(PriorityOrder.HIGHEST_FIRST);
     for (TrackedRequest request : waiting) {
-      if (isFull()) {
+      if (isAtLimit()) {
         return;
       }
-      if (request.everRan() || hasMemory(request)) {
+      if (request.hasStarted() || hasMemory(request)) {
         start(request);
       }
     }
   }
 
-  /** Whether no run may start; half of the runs at a call are taken to return to the cores soon. */
-  private boolean isFull() {
-    return clock.running() + calls.outstanding() / 2 >= maxRunning();
+  /**
+   * Returns whether no run may start; half of the outstanding calls are expected to return a run to
+   * the cores soon.
+   */
+  private boolean isAtLimit() {
+    return clock.running() + callLimiter.outstanding() / 2 >= maxRunning();
   }
 
   private int maxRunning() {
@@ -72,33 +78,36 @@
 
   private void start(TrackedRequest request) {
     host.startRun(request.id());
-    if (!request.everRan()) {
-      request.markRan();
+    if (!request.hasStarted()) {
+      request.markStarted();
       memory.reserve(memory.additionalRunKb(request));
     }
     clock.enter(request);
   }
 
-  /** Runs that the concurrency limit allows beyond those that run. */
+  /**
+   * Returns the number of runs that the concurrency limit allows in addition to the current ones.
+   */
   int freeSlots() {
     return Math.max(0, limit.limit() - clock.running());
   }
 
-  /** Adapts the concurrency limit to a sample that was taken. */
-  void adaptLimit(LoadMonitor monitor, GaugeSample sample) {
-    boolean measured = sample.isKnown() || context.settings().machine().gaugeNames().isEmpty();
-    if (measured) {
-      limit.sampled(
+  /** Updates the concurrency limit from a sample. */
+  void updateLimit(LoadMonitor monitor, GaugeSample sample) {
+    boolean hasMeasurement =
+        sample.isKnown() || context.settings().machine().gaugeNames().isEmpty();
+    if (hasMeasurement) {
+      limit.updateFromSample(
           monitor.samplePeriods(),
           monitor.utilization(),
-          isRunWaiting(),
+          isRequestHeldAtLimit(),
           (int) ceiling.ceiling(),
           context.cores(),
           monitor.isHistoryComplete());
       return;
     }
     boolean startsToShrink =
-        limit.unsampled(
+        limit.updateWithoutSample(
             monitor.samplePeriods(), sample.age(), context.samplePeriod(), context.cores());
     if (startsToShrink) {
       host.log(
@@ -109,10 +118,10 @@
     }
   }
 
-  /** Whether the limit alone keeps a request from running. */
-  private boolean isRunWaiting() {
+  /** Returns whether a request is held while the concurrency limit is reached. */
+  private boolean isRequestHeldAtLimit() {
     return clock.running() >= limit.limit()
-        && requests.all().stream()
+        && requests.openRequests().stream()
             .anyMatch(request -> request.is(State.HELD) && !request.isAnswered());
   }
 }
--- a/src/main/java/mothwing/override/OverrideStatus.java
+++ b/src/main/java/mothwing/override/OverrideStatus.java
@@ -1,13 +1,13 @@
 package mothwing.override;
 
-/** How an override stands with one holder. */
+/** The status of an override at one replica. */
 public enum OverrideStatus {
-  /** It came off a disk, and its age is not known. */
-  UNSURE,
-  /** It acts until its lifetime is over. */
-  IN_FORCE,
+  /** Loaded from disk: its age is not known. */
+  UNCONFIRMED,
+  /** In effect until its lifetime is over. */
+  ACTIVE,
   /** Its lifetime is over. */
-  ENDED,
-  /** It was taken back. */
+  EXPIRED,
+  /** Revoked; supersedes every other status. */
   REVOKED
 }
--- a/src/main/java/mothwing/override/ReplicaState.java
+++ b/src/main/java/mothwing/override/ReplicaState.java
@@ -1,13 +1,14 @@
 package mothwing.override;
 
 /**
- * What a holder says of an override at one moment, in answer to a question or to its own disk.
+ * The state of an override at one replica at one moment, as sent in a response or written to disk.
  *
- * @param id its id
- * @param stamp the stamp, or null of a revocation of what its holder never knew
- * @param standing how it stands
- * @param age microseconds that it has lasted at the most, where it is in force or unsure
- * @param value the override itself, or null where it is over
+ * @param id the id of the override
+ * @param version its version, or null if it was revoked at a replica that did not know the override
+ * @param status its status
+ * @param age in microseconds: an upper bound if it is active; without the unknown time on disk if
+ *     it is unconfirmed; 0 if it is expired or revoked
+ * @param value the override itself, or null if it is expired or revoked
  */
 public record ReplicaState(
-    String id, Version stamp, OverrideStatus standing, long age, TrafficOverride value) {}
+    String id, Version version, OverrideStatus status, long age, TrafficOverride value) {}
--- a/src/main/java/mothwing/settings/SettingsCodec.java
+++ b/src/main/java/mothwing/settings/SettingsCodec.java
@@ -6,19 +6,19 @@
 import java.util.Set;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
 import mothwing.control.Tenant;
 
 /**
- * Decodes the JSON object of the settings into {@link Settings}. The object's keys and words are
- * those of the simulator's wire and occur in this class alone; unknown keys are ignored.
+ * Decodes the JSON object of the settings into {@link Settings}. Its keys and enumerated values are
+ * those of the simulator's wire format and occur only in this class. Unknown keys are ignored.
  */
 public final class SettingsCodec {
   private SettingsCodec() {}
@@ -26,36 +26,36 @@
   /**
    * Reads the settings.
    *
-   * @param seed seed of the random numbers of this incarnation
-   * @param options the object of the settings
+   * @param seed the random seed of this incarnation
+   * @param options the JSON object of the settings
    * @return the settings
-   * @throws InvalidInputException where a field is missing or of a wrong type
+   * @throws InvalidInputException if a field is missing or of the wrong type
    */
   public static Settings read(long seed, JsonFields options) throws InvalidInputException {
     JsonFields extra = options.object("Extra");
-    JsonFields goal = options.object("ScoreParts");
+    JsonFields objectiveWeights = options.object("ScoreParts");
     return new Settings(
         seed,
         options.integer("Round", 0),
-        classes(options, extra),
-        tenants(options),
+        readClasses(options, extra),
+        readTenants(options),
         (int) options.integer("ReplicasOfMe", 1),
         (int) extra.integer("Callers", 0),
         options.text("CountedBy", "request").equals("work"),
         options.number("OverShareWorth", 1),
         extra.integer("Fresh", 0),
-        new Goal(
-            goal.number("Whole", 0),
-            goal.number("WorstWindow", 0),
-            goal.number("WorstClass", 0),
-            goal.number("WorstTenant", 0)),
-        rules(options.object("Contract")),
-        dependency(extra),
-        machine(extra),
-        signals(extra, options.object("Limits")));
+        new ObjectiveWeights(
+            objectiveWeights.number("Whole", 0),
+            objectiveWeights.number("WorstWindow", 0),
+            objectiveWeights.number("WorstClass", 0),
+            objectiveWeights.number("WorstTenant", 0)),
+        readServerLimits(options.object("Contract")),
+        readDependency(extra),
+        readMachine(extra),
+        readSignals(extra, options.object("Limits")));
   }
 
-  private static List<RequestClass> classes(JsonFields options, JsonFields extra)
+  private static List<RequestClass> readClasses(JsonFields options, JsonFields extra)
       throws InvalidInputException {
     List<RequestClass> classes = new ArrayList<>();
     Set<String> names = new HashSet<>();
@@ -67,15 +67,15 @@
       int index = classes.size();
       Idempotency idempotency =
           switch (requestClass.text("Idempotency", "free")) {
-            case "free" -> Idempotency.SAFE;
-            case "guarded" -> Idempotency.GUARDED;
-            default -> Idempotency.SINGLE_SHOT;
+            case "free" -> Idempotency.ALWAYS;
+            case "guarded" -> Idempotency.WITH_KEY;
+            default -> Idempotency.NEVER;
           };
       classes.add(
           new RequestClass(
               requestClass.text("Name"),
-              requestClass.positive("Target"),
-              requestClass.positive("GiveUp"),
+              requestClass.positiveInteger("Target"),
+              requestClass.positiveInteger("GiveUp"),
               requestClass.number("Worth", 0),
               requestClass.number("LateValue", 0),
               idempotency,
@@ -86,7 +86,7 @@
     return classes;
   }
 
-  private static List<Tenant> tenants(JsonFields options) throws InvalidInputException {
+  private static List<Tenant> readTenants(JsonFields options) throws InvalidInputException {
     List<Tenant> tenants = new ArrayList<>();
     for (JsonFields tenant : options.objects("Tenants")) {
       tenants.add(new Tenant(tenant.text("Name"), tenant.number("QuotaPerS", 0)));
@@ -94,8 +94,8 @@
     return tenants;
   }
 
-  private static Rules rules(JsonFields contract) throws InvalidInputException {
-    return new Rules(
+  private static ServerLimits readServerLimits(JsonFields contract) throws InvalidInputException {
+    return new ServerLimits(
         contract.integer("AnswerSlack", 0),
         contract.integer("DrainGrace", 0),
         contract.number("FallMultiple", 1),
@@ -104,12 +104,12 @@
         contract.integer("WarmAfter", 0));
   }
 
-  private static Dependency dependency(JsonFields extra) throws InvalidInputException {
+  private static Dependency readDependency(JsonFields extra) throws InvalidInputException {
     return new Dependency(
         extra.number("CallsOut", 0), extra.integer("DepWindow", 0), extra.integer("Linger", 0));
   }
 
-  private static Machine machine(JsonFields extra) throws InvalidInputException {
+  private static Machine readMachine(JsonFields extra) throws InvalidInputException {
     StopMode stopMode =
         switch (extra.text("Halt", "silent")) {
           case "abort" -> StopMode.ABORT;
@@ -126,7 +126,8 @@
         stopMode);
   }
 
-  private static Signals signals(JsonFields extra, JsonFields limits) throws InvalidInputException {
+  private static Signals readSignals(JsonFields extra, JsonFields limits)
+      throws InvalidInputException {
     FreeValue freeValue =
         switch (extra.text("Say", "silent")) {
           case "threshold" -> FreeValue.LEVEL;
--- a/src/main/java/mothwing/settings/SiteScript.java
+++ b/src/main/java/mothwing/settings/SiteScript.java
@@ -20,16 +20,17 @@
 import mothwing.settings.Site.DnsLimits;
 
 /**
- * Reads the settings of an installation from a script (docs/settings.md), whose functions add to
- * them. One instance reads one script.
+ * Reads the settings of an installation from a script, as described in docs/settings.md. Each
+ * built-in function of the script adds to the settings. One instance reads one script.
  */
 public final class SiteScript {
   private static final int MAX_SEEDS = 16;
   private static final int MAX_ENTRIES = 1 << 24;
+  private static final int MAX_DOMAIN_NAME_CHARS = 253;
   private static final Set<String> ALGORITHMS =
       Set.of("hmac-sha1", "hmac-sha224", "hmac-sha256", "hmac-sha384", "hmac-sha512");
 
-  private final Path folder;
+  private final Path directory;
   private final List<Site.Key> keys = new ArrayList<>();
   private final List<Site.Zone> zones = new ArrayList<>();
   private final Map<Site.Zone, Arguments> zoneCalls = new LinkedHashMap<>();
@@ -38,20 +39,20 @@
   private Site.Dns dns;
   private Arguments dnsCall;
 
-  private SiteScript(Path folder) {
-    this.folder = folder;
+  private SiteScript(Path directory) {
+    this.directory = directory;
   }
 
   /**
-   * Reads settings.
+   * Reads the settings from a script.
    *
-   * @param file the script; all files that it names are below its folder
+   * @param file the script; all files that it names are inside its directory
    * @return the settings
-   * @throws IOException where it cannot be read or is invalid; the message names the place
+   * @throws IOException if the script cannot be read or is invalid; the message names the position
    */
   public static Site read(Path file) throws IOException {
-    Path folder = file.toAbsolutePath().getParent();
-    SiteScript script = new SiteScript(folder);
+    Path directory = file.toAbsolutePath().getParent();
+    SiteScript script = new SiteScript(directory);
     Map<String, Script.Builtin> builtins = new LinkedHashMap<>();
     builtins.put("ajp", script::ajp);
     builtins.put("fleet", script::fleet);
@@ -59,12 +60,14 @@
     builtins.put("key", script::key);
     builtins.put("zone", script::zone);
     builtins.put("allow", SiteScript::allow);
-    Script.run(file.getFileName().toString(), Sources.below(folder), Limits.USUAL, builtins);
-    return script.site();
+    Script.run(file.getFileName().toString(), Sources.below(directory), Limits.USUAL, builtins);
+    return script.createSite();
   }
 
-  /** The settings, once the script has run. */
-  private Site site() throws ScriptError {
+  /**
+   * Checks the zones and keys against each other and creates the settings, once the script has run.
+   */
+  private Site createSite() throws ScriptError {
     if (dns == null && !zones.isEmpty()) {
       throw zoneCalls.get(zones.get(0)).wrong("there are zones but no dns(listen = ...)");
     }
@@ -89,14 +92,14 @@
         fleet);
   }
 
-  private static InetSocketAddress address(Arguments call, String name) throws ScriptError {
-    return address(call, name, call.text(name));
+  private static InetSocketAddress parseAddress(Arguments call, String name) throws ScriptError {
+    return parseAddress(call, name, call.text(name));
   }
 
-  private static InetSocketAddress address(Arguments call, String name, String text)
+  private static InetSocketAddress parseAddress(Arguments call, String name, String text)
       throws ScriptError {
     try {
-      return Addresses.read(text, name);
+      return Addresses.parse(text, name);
     } catch (InvalidInputException invalid) {
       throw call.wrong(invalid.getMessage() + " (\"" + "127.0.0.1:5353\" is one)");
     }
@@ -106,7 +109,7 @@
     if (ajp != null) {
       throw call.wrong("is called twice");
     }
-    ajp = address(call, "listen");
+    ajp = parseAddress(call, "listen");
     call.done(0);
     return null;
   }
@@ -115,16 +118,16 @@
     if (fleet != null) {
       throw call.wrong("is called twice");
     }
-    String name = memberName(call, "name", call.text("name"));
-    InetSocketAddress listen = single(call, "listen", address(call, "listen"));
+    String name = requireMemberName(call, "name", call.text("name"));
+    InetSocketAddress listen = requireSpecific(call, "listen", parseAddress(call, "listen"));
     String advertised = call.text("advertise", "");
     InetSocketAddress advertise =
         advertised.isEmpty()
             ? listen
-            : single(call, "advertise", address(call, "advertise", advertised));
+            : requireSpecific(call, "advertise", parseAddress(call, "advertise", advertised));
     List<InetSocketAddress> seeds = new ArrayList<>();
     for (String seed : call.list("seeds", String.class, "an address")) {
-      seeds.add(single(call, "seeds", address(call, "seeds", seed)));
+      seeds.add(requireSpecific(call, "seeds", parseAddress(call, "seeds", seed)));
     }
     if (seeds.size() > MAX_SEEDS) {
       throw call.wrong(
@@ -136,21 +139,22 @@
             listen,
             advertise,
             List.copyOf(seeds),
-            memberName(call, "zone", call.text("zone", "one")));
+            requireMemberName(call, "zone", call.text("zone", "one")));
     call.done(0);
     return null;
   }
 
-  private static String memberName(Arguments call, String name, String text) throws ScriptError {
-    if (!Site.Fleet.mayBeCalled(text)) {
-      throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAMED);
+  private static String requireMemberName(Arguments call, String name, String text)
+      throws ScriptError {
+    if (!Site.Fleet.isValidName(text)) {
+      throw call.wrong("argument " + name + ": \"" + text + "\" is not " + Site.Fleet.NAME_FORMAT);
     }
     return text;
   }
 
-  /** Requires an address to which other members can send. */
-  private static InetSocketAddress single(Arguments call, String name, InetSocketAddress address)
-      throws ScriptError {
+  /** Requires a specific address and port, so that other members can send to it. */
+  private static InetSocketAddress requireSpecific(
+      Arguments call, String name, InetSocketAddress address) throws ScriptError {
     if (address.getAddress().isAnyLocalAddress() || address.getPort() == 0) {
       throw call.wrong(
           "argument " + name + ": expected one address with a port, as others write to it");
@@ -162,22 +166,22 @@
     if (dns != null) {
       throw call.wrong("is called twice");
     }
-    DnsLimits defaults = DnsLimits.USUAL;
-    InetSocketAddress listen = address(call, "listen");
-    Path state = below(call, call.text("state", "state"));
+    DnsLimits defaults = DnsLimits.DEFAULTS;
+    InetSocketAddress listen = parseAddress(call, "listen");
+    Path state = resolve(call, call.text("state", "state"));
     DnsLimits limits =
         new DnsLimits(
             (int) call.whole("udp_bytes", defaults.udpBytes(), 512, 4096),
             (int) call.whole("unproven_bytes", defaults.unprovenBytes(), 0, 4096),
             (int) call.whole("connections", defaults.connections(), 1, 65_536),
             (int) call.whole("idle_ms", defaults.idleMs(), 100, 600_000),
-            (int) call.whole("pipelined", defaults.pipelined(), 1, 1024),
+            (int) call.whole("pipelined", defaults.pipelinedQueries(), 1, 1024),
             (int) call.whole("responses_per_second", defaults.responsesPerSecond(), 0, MAX_ENTRIES),
             (int) call.whole("prefixes", defaults.prefixes(), 16, MAX_ENTRIES),
-            (int) call.whole("cached", defaults.cached(), 0, MAX_ENTRIES),
+            (int) call.whole("cached", defaults.cachedResponses(), 0, MAX_ENTRIES),
             (int) call.whole("records", defaults.records(), 1, MAX_ENTRIES),
             call.whole("journal_bytes", defaults.journalBytes(), 4096, 1L << 40),
-            (int) call.whole("repeats", defaults.repeats(), 16, MAX_ENTRIES),
+            (int) call.whole("repeats", defaults.rememberedUpdates(), 16, MAX_ENTRIES),
             !call.text("control", "on").equals("off"));
     dns = new Site.Dns(listen, state, limits, List.of(), List.of());
     dnsCall = call;
@@ -185,20 +189,22 @@
     return null;
   }
 
-  /** A path below the folder, which need not exist yet. */
-  private Path below(Arguments call, String name) throws ScriptError {
-    Path path = folder.resolve(name).normalize();
-    if (name.isEmpty() || !path.startsWith(folder.normalize()) || path.equals(folder.normalize())) {
+  /** Resolves a path inside the directory of the script. The path need not exist yet. */
+  private Path resolve(Arguments call, String name) throws ScriptError {
+    Path path = directory.resolve(name).normalize();
+    if (name.isEmpty()
+        || !path.startsWith(directory.normalize())
+        || path.equals(directory.normalize())) {
       throw call.wrong("\"" + name + "\" is not below the settings' folder");
     }
     return path;
   }
 
-  private Path file(Arguments call, String argument) throws ScriptError {
+  private Path requireFile(Arguments call, String argument) throws ScriptError {
     String name = call.text(argument);
-    below(call, name);
+    resolve(call, name);
     try {
-      Path path = Sources.inside(folder, name);
+      Path path = Sources.inside(directory, name);
       if (!Files.isRegularFile(path)) {
         throw new IOException(name + " is not a file");
       }
@@ -209,19 +215,22 @@
   }
 
   /**
-   * A domain name in lower case without the trailing dot; its labels are checked by the DNS server.
+   * Returns a domain name in lower case without the trailing dot. The DNS server checks its labels.
    */
-  private static String domain(Arguments call, String name) throws ScriptError {
+  private static String domainName(Arguments call, String name) throws ScriptError {
     String text = call.text(name).toLowerCase(Locale.ROOT);
     text = text.endsWith(".") ? text.substring(0, text.length() - 1) : text;
-    if (text.isEmpty() || text.length() > 253 || text.contains("..") || text.startsWith(".")) {
+    if (text.isEmpty()
+        || text.length() > MAX_DOMAIN_NAME_CHARS
+        || text.contains("..")
+        || text.startsWith(".")) {
       throw call.wrong("argument " + name + ": \"" + text + "\" is not a domain name");
     }
     return text;
   }
 
   private Object key(Arguments call) throws ScriptError {
-    String name = domain(call, "name");
+    String name = domainName(call, "name");
     String algorithm = call.text("algorithm", "hmac-sha256").toLowerCase(Locale.ROOT);
     if (!ALGORITHMS.contains(algorithm)) {
       throw call.wrong(
@@ -230,23 +239,23 @@
               + ", expected one of "
               + ALGORITHMS.stream().sorted().toList());
     }
-    if (keys.stream().anyMatch(other -> other.name().equals(name))) {
+    if (keys.stream().anyMatch(existing -> existing.name().equals(name))) {
       throw call.wrong("key " + name + " is given twice");
     }
-    Site.Key key = new Site.Key(name, algorithm, file(call, "secret_file"));
+    Site.Key key = new Site.Key(name, algorithm, requireFile(call, "secret_file"));
     call.done(0);
     keys.add(key);
     return key;
   }
 
   private Object zone(Arguments call) throws ScriptError {
-    String name = domain(call, "name");
-    if (zones.stream().anyMatch(other -> other.name().equals(name))) {
+    String name = domainName(call, "name");
+    if (zones.stream().anyMatch(existing -> existing.name().equals(name))) {
       throw call.wrong("zone " + name + " is given twice");
     }
     Site.Zone zone =
         new Site.Zone(
-            name, file(call, "file"), call.list("updates", Site.Right.class, "allow(...)"));
+            name, requireFile(call, "file"), call.list("updates", Site.Right.class, "allow(...)"));
     call.done(0);
     for (Site.Right right : zone.rights()) {
       String names = right.names().startsWith("*.") ? right.names().substring(2) : right.names();
@@ -260,8 +269,8 @@
   }
 
   private static Object allow(Arguments call) throws ScriptError {
-    String key = domain(call, "key");
-    String names = domain(call, "names");
+    String key = domainName(call, "key");
+    String names = domainName(call, "names");
     Set<String> types = new LinkedHashSet<>();
     for (String type : call.list("types", String.class, "a type of records")) {
       types.add(type.toUpperCase(Locale.ROOT));
--- a/src/main/java/mothwing/store/SnapshotReader.java
+++ b/src/main/java/mothwing/store/SnapshotReader.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 
-/** Reads the snapshots of a journal: numbered frames of pieces, then a frame with their number. */
+/** Reads the snapshots of a journal: numbered frames of chunks, then a frame with their count. */
 final class SnapshotReader {
   /** The sequence number of the last frame of a snapshot. */
   static final long LAST_FRAME = -1;
@@ -15,18 +15,18 @@
   /**
    * Reads a snapshot.
    *
-   * @param disk where it is
-   * @param snapshot its file
-   * @param sequence the number of the last record that it covers
-   * @param replay receives its pieces
-   * @throws CorruptRecordException where it is damaged or incomplete
+   * @param disk the disk that holds the snapshot
+   * @param snapshot the name of its file
+   * @param sequence the sequence number of the last record that it covers
+   * @param replay receives its chunks
+   * @throws CorruptRecordException if the snapshot is damaged or incomplete
    */
   static void read(Disk disk, String snapshot, long sequence, Journal.Replay replay)
       throws IOException {
-    try (Disk.Opened opened = disk.open(snapshot)) {
-      OptionalLong covers = RecordFraming.firstSequence(opened, snapshot);
-      if (covers.isEmpty() || covers.getAsLong() != sequence) {
-        throw new CorruptRecordException(snapshot, 0, "the snapshot is cut short");
+    try (Disk.OpenFile opened = disk.open(snapshot)) {
+      OptionalLong lastCovered = RecordFraming.readFirstSequence(opened, snapshot);
+      if (lastCovered.isEmpty() || lastCovered.getAsLong() != sequence) {
+        throw new CorruptRecordException(snapshot, 0, "the snapshot is truncated");
       }
       long offset = RecordFraming.HEADER_BYTES;
       long frames = 0;
@@ -35,29 +35,30 @@
         if (frame.firstSequence() == LAST_FRAME) {
           return;
         }
-        for (byte[] piece : frame.records()) {
-          replay.snapshot(piece);
+        for (byte[] chunk : frame.records()) {
+          replay.snapshot(chunk);
         }
         frames++;
         offset = frame.end();
       }
-      throw new CorruptRecordException(snapshot, offset, "the snapshot is cut short");
+      throw new CorruptRecordException(snapshot, offset, "the snapshot is truncated");
     }
   }
 
-  /** Reads a frame of a snapshot; the last one holds the number of those before it. */
+  /** Reads a frame of a snapshot. The last frame holds the number of frames before it. */
   private static RecordFraming.Frame readFrame(
-      Disk.Opened opened, String snapshot, long offset, long number) throws IOException {
-    Optional<RecordFraming.Frame> read = RecordFraming.read(opened, offset);
+      Disk.OpenFile opened, String snapshot, long offset, long frameNumber) throws IOException {
+    Optional<RecordFraming.Frame> read = RecordFraming.readFrame(opened, offset);
     if (read.isEmpty()
-        || (read.get().firstSequence() != number && read.get().firstSequence() != LAST_FRAME)) {
-      throw new CorruptRecordException(snapshot, offset, "a damaged piece of the snapshot");
+        || (read.get().firstSequence() != frameNumber
+            && read.get().firstSequence() != LAST_FRAME)) {
+      throw new CorruptRecordException(snapshot, offset, "a damaged frame of the snapshot");
     }
     RecordFraming.Frame frame = read.get();
     if (frame.firstSequence() == LAST_FRAME
         && (frame.records().size() != 1
-            || ByteBuffer.wrap(frame.records().get(0)).getLong() != number)) {
-      throw new CorruptRecordException(snapshot, offset, "pieces of the snapshot are missing");
+            || ByteBuffer.wrap(frame.records().get(0)).getLong() != frameNumber)) {
+      throw new CorruptRecordException(snapshot, offset, "frames of the snapshot are missing");
     }
     return frame;
   }
--- a/src/main/java/mothwing/trial/Deployment.java
+++ b/src/main/java/mothwing/trial/Deployment.java
@@ -8,11 +8,11 @@
 import java.util.Random;
 import mothwing.control.Dependency;
 import mothwing.control.FreeValue;
-import mothwing.control.Goal;
 import mothwing.control.Idempotency;
 import mothwing.control.Machine;
+import mothwing.control.ObjectiveWeights;
 import mothwing.control.RequestClass;
-import mothwing.control.Rules;
+import mothwing.control.ServerLimits;
 import mothwing.control.Settings;
 import mothwing.control.Signals;
 import mothwing.control.StopMode;
@@ -136,8 +136,9 @@
             random.nextInt(4) == 0,
             0.05,
             0,
-            new Goal(0.6, 0.2, 0.2, 0),
-            new Rules(100_000, 2 * SECOND, 6 + random.nextInt(6), 1_500_000, 0.25, 15 * SECOND),
+            new ObjectiveWeights(0.6, 0.2, 0.2, 0),
+            new ServerLimits(
+                100_000, 2 * SECOND, 6 + random.nextInt(6), 1_500_000, 0.25, 15 * SECOND),
             new Dependency(
                 calls && random.nextInt(3) == 0 ? 2 * callWork / servers : 0, 5 * SECOND, 200_000),
             new Machine(
--- a/src/test/java/mothwing/overload/TrackedRequestTest.java
+++ b/src/test/java/mothwing/overload/TrackedRequestTest.java
@@ -11,31 +11,31 @@
   private final TrackedRequest request = Fixtures.request(settings, "one", 0);
 
   @Test
-  void goesThroughACallThatIsRetried() {
+  void tracksRetriedCall() {
     assertEquals(State.HELD, request.state());
     request.enterCore(0);
     assertEquals(State.RUNNING, request.state());
     request.awaitCall(5);
     assertEquals(State.AWAITING_CALL, request.state());
-    assertEquals(5, request.call().nextAttemptAt());
+    assertEquals(5, request.callProgress().nextAttemptAt());
     request.startCall(6);
     request.retryCallAt(9);
     assertEquals(State.AWAITING_CALL, request.state());
     request.startCall(9);
     assertEquals(State.CALLING, request.state());
-    assertEquals(2, request.call().attempts());
+    assertEquals(2, request.callProgress().attempts());
     request.enterCore(0);
     request.awaitCall(20);
-    assertEquals(0, request.call().attempts(), "of the next call");
-    assertEquals(2, request.call().reached());
+    assertEquals(0, request.callProgress().attempts(), "the next call has no attempts yet");
+    assertEquals(2, request.callProgress().reachedCalls());
   }
 
   @Test
-  void takesTheMeasuredDurationOnlyWhereTheEndWasReportedLate() {
+  void usesMeasuredDurationOnlyIfEndWasReportedLate() {
     request.enterCore(0);
     request.settleCoreTime(1_000);
     request.correctCoreTime(0, 100);
-    assertEquals(1_000, request.settledCoreTime(), "unknown");
+    assertEquals(1_000, request.settledCoreTime(), "the measured duration is unknown");
     request.correctCoreTime(950, 100);
     assertEquals(1_000, request.settledCoreTime(), "within the tolerance");
     request.correctCoreTime(500, 100);
@@ -51,9 +51,9 @@
   }
 
   @Test
-  void isValuableUntilItIsDueWhereALateAnswerEarnsSomething() {
+  void isValuableUntilDueIfLateAnswerEarnsWeight() {
     assertEquals(4 * Fixtures.SECOND, request.valuableUntil());
-    request.dueBefore(Fixtures.SECOND / 2);
+    request.limitDueAt(Fixtures.SECOND / 2);
     assertEquals(Fixtures.SECOND / 2, request.valuableUntil());
   }
 }
