--- a/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
+++ b/src/test/java/mothwing/server/FileDescriptorBudgetTest.java
@@ -17,7 +17,7 @@
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
-import mothwing.testing.Crossing;
+import mothwing.testing.RawGatewayConnection;
 import mothwing.trial.BrokerFixture;
 import mothwing.trial.ServerProcess;
 import mothwing.trial.StandInPool;
@@ -138,8 +138,8 @@
           idleClients.add(new Socket(address.getAddress(), address.getPort()));
         }
         for (int i = 1; i <= 20; i++) {
-          try (Crossing gateway = new Crossing(address)) {
-            gateway.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(i)));
+          try (RawGatewayConnection gateway = new RawGatewayConnection(address)) {
+            gateway.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(i)));
             assertEquals(200, gateway.answer().status());
           }
           idleClients.add(new Socket(address.getAddress(), address.getPort()));
@@ -148,8 +148,8 @@
         pool.awaitLink();
         assertTrue(report(discovery).startsWith("PUT /announce/n1 "));
         assertTrue(report(discovery).endsWith("}"), "load reports have not resumed");
-        try (Crossing gateway = new Crossing(address)) {
-          gateway.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(99)));
+        try (RawGatewayConnection gateway = new RawGatewayConnection(address)) {
+          gateway.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(99)));
           assertEquals(200, gateway.answer().status());
         }
         assertTrue(server.isAlive());
--- a/src/test/java/mothwing/server/ServerRaceTest.java
+++ b/src/test/java/mothwing/server/ServerRaceTest.java
@@ -17,8 +17,8 @@
 import mothwing.control.Settings;
 import mothwing.control.Tenant;
 import mothwing.testing.BlockingLog;
-import mothwing.testing.Crossing;
 import mothwing.testing.Loopback;
+import mothwing.testing.RawGatewayConnection;
 import mothwing.testing.SettingsVariants;
 import mothwing.trial.Answer;
 import mothwing.trial.BrokerFixture;
@@ -64,14 +64,14 @@
     }
   }
 
-  private Crossing connect() throws IOException {
-    return new Crossing(server.clientAddresses().get(0));
+  private RawGatewayConnection connect() throws IOException {
+    return new RawGatewayConnection(server.clientAddresses().get(0));
   }
 
   /** Opens a connection on which a health check was answered and no request is open. */
-  private Crossing openIdle() throws IOException {
-    Crossing client = connect();
-    client.send(Crossing.ping(1));
+  private RawGatewayConnection openIdle() throws IOException {
+    RawGatewayConnection client = connect();
+    client.send(RawGatewayConnection.ping(1));
     assertEquals(STATUS_OK, client.answer().status());
     return client;
   }
@@ -92,13 +92,13 @@
    * Sends bytes while the event loop is held, and waits until they lie unread in the server's
    * socket.
    */
-  private static void sendUnread(Crossing gateway, byte[] bytes) throws IOException {
+  private static void sendUnread(RawGatewayConnection gateway, byte[] bytes) throws IOException {
     gateway.send(bytes);
     gateway.awaitUnread(bytes.length);
   }
 
   /** Sends bytes such that the server finds all of them in one turn of the event loop. */
-  private void sendAtOnce(Crossing gateway, byte[] bytes) throws Exception {
+  private void sendAtOnce(RawGatewayConnection gateway, byte[] bytes) throws Exception {
     holdLoop();
     sendUnread(gateway, bytes);
     log.release();
@@ -122,13 +122,13 @@
   void readsAllInputBeforeClosingAfterAnAnswer() throws Exception {
     start(1, 256);
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.writeBytes(Crossing.ping(1));
+    bytes.writeBytes(RawGatewayConnection.ping(1));
     bytes.writeBytes(new byte[] {9}); // an invalid protocol version
     bytes.writeBytes(new byte[50_000]);
-    try (Crossing client = connect()) {
+    try (RawGatewayConnection client = connect()) {
       sendAtOnce(client, bytes.toByteArray());
       assertEquals(STATUS_OK, client.answer().status());
-      assertTrue(client.endsInOrder(), "the connection was reset");
+      assertTrue(client.endsGracefully(), "the connection was reset");
     }
     log.awaitLine("connection-closed side=fastcgi reason=malformed");
     assertTrue(
@@ -148,12 +148,12 @@
   void endsLingerAfterATimeoutOrTooManyBytes() throws Exception {
     start(1, 256);
     byte[] notTheProtocol = {9, 9, 9, 9, 9, 9, 9, 9};
-    try (Crossing silent = connect();
-        Crossing endless = connect()) {
+    try (RawGatewayConnection silent = connect();
+        RawGatewayConnection endless = connect()) {
       silent.send(notTheProtocol);
-      assertTrue(silent.endsInOrder());
+      assertTrue(silent.endsGracefully());
       endless.send(notTheProtocol);
-      assertTrue(endless.endsInOrder());
+      assertTrue(endless.endsGracefully());
       assertThrows(
           IOException.class,
           () -> {
@@ -172,19 +172,20 @@
   @Test
   void answersUnreadRequestWhenShutdownIsRequested() throws Exception {
     start(1, 256);
-    try (Crossing complete = openIdle();
-        Crossing incomplete = openIdle()) {
-      byte[] request = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(2));
+    try (RawGatewayConnection complete = openIdle();
+        RawGatewayConnection incomplete = openIdle()) {
+      byte[] request = RawGatewayConnection.request(2, BrokerFixture.ORDER, BrokerFixture.id(2));
       holdAt("shutdown-requested ", server::drain);
       sendUnread(complete, request);
-      byte[] splitRequest = Crossing.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
+      byte[] splitRequest =
+          RawGatewayConnection.request(2, BrokerFixture.ORDER, BrokerFixture.id(3));
       sendUnread(incomplete, Arrays.copyOf(splitRequest, 30));
       log.release();
       assertNotNull(complete.answer(), "closed without an answer");
-      assertTrue(complete.endsInOrder());
+      assertTrue(complete.endsGracefully());
       incomplete.send(Arrays.copyOfRange(splitRequest, 30, splitRequest.length));
       assertNotNull(incomplete.answer(), "closed in the middle of a request");
-      assertTrue(incomplete.endsInOrder());
+      assertTrue(incomplete.endsGracefully());
     }
     server.await();
     assertTrue(server.counts().contains(" pending=0 "), server.counts());
@@ -195,17 +196,17 @@
    * Sends requests until the server stops reading because its answers are not read, and returns the
    * number of requests sent.
    */
-  private int fill(Crossing client) throws IOException {
+  private int fill(RawGatewayConnection client) throws IOException {
     int requestsSent = 0;
     for (int idleTurns = 0; idleTurns < MAX_IDLE_TURNS; ) {
       ByteArrayOutputStream requests = new ByteArrayOutputStream();
       for (int i = 1; i <= 30; i++) {
-        requests.writeBytes(Crossing.counts(i));
+        requests.writeBytes(RawGatewayConnection.statistics(i));
       }
       client.send(requests.toByteArray());
       requestsSent += 30;
       idleTurns = 0;
-      while (client.unread() > 0 && idleTurns < MAX_IDLE_TURNS) {
+      while (client.unreadBytes() > 0 && idleTurns < MAX_IDLE_TURNS) {
         server.counts(); // takes a turn of the event loop
         idleTurns++;
       }
@@ -220,7 +221,8 @@
   @Test
   void answersUnreadRequestsBehindFullSocketBufferWhenShutdownIsRequested() throws Exception {
     start(1, 256);
-    try (Crossing client = new Crossing(server.clientAddresses().get(0), 4096)) {
+    try (RawGatewayConnection client =
+        new RawGatewayConnection(server.clientAddresses().get(0), 4096)) {
       int requestsSent = fill(client);
       holdAt("shutdown-requested ", server::drain);
       client.awaitUnread(1);
@@ -228,7 +230,7 @@
       for (int i = 0; i < requestsSent; i++) {
         assertNotNull(client.answer(), "closed without answer " + i + " of " + requestsSent);
       }
-      assertTrue(client.endsInOrder());
+      assertTrue(client.endsGracefully());
     }
     server.await();
   }
@@ -243,13 +245,13 @@
     InetSocketAddress address = server.clientAddresses().get(0);
     holdLoop();
     server.drain();
-    try (Crossing client = new Crossing(address);
-        Crossing silent = new Crossing(address)) {
-      byte[] request = Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1));
+    try (RawGatewayConnection client = new RawGatewayConnection(address);
+        RawGatewayConnection silent = new RawGatewayConnection(address)) {
+      byte[] request = RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(1));
       sendUnread(client, request);
       log.release();
       assertNotNull(client.answer(), "closed without an answer");
-      assertTrue(client.endsInOrder() && silent.endsInOrder());
+      assertTrue(client.endsGracefully() && silent.endsGracefully());
     }
     server.await();
     assertTrue(server.counts().contains(" pending=0 "), server.counts());
@@ -262,9 +264,9 @@
   @Test
   void answersUnreadRequestWhenIdleLimitExpires() throws Exception {
     start(1, 256);
-    try (Crossing client = openIdle();
-        Crossing otherClient = openIdle()) {
-      byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
+    try (RawGatewayConnection client = openIdle();
+        RawGatewayConnection otherClient = openIdle()) {
+      byte[] request = RawGatewayConnection.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdLoop();
       server.reload(config(SettingsVariants.idle(BrokerFixture.settings(60, 2), 1), 256));
       sendUnread(client, request);
@@ -272,7 +274,7 @@
       Answer answer = client.answer();
       assertNotNull(answer, "closed without an answer");
       assertEquals(STATUS_OK, answer.status());
-      assertTrue(otherClient.endsInOrder() && client.endsInOrder());
+      assertTrue(otherClient.endsGracefully() && client.endsGracefully());
     }
   }
 
@@ -283,10 +285,10 @@
   @Test
   void answersUnreadRequestOfConnectionToBeEvicted() throws Exception {
     start(1, 33);
-    try (Crossing client = openIdle()) {
-      byte[] request = Crossing.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
+    try (RawGatewayConnection client = openIdle()) {
+      byte[] request = RawGatewayConnection.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdLoop();
-      try (Crossing newConnection = connect()) {
+      try (RawGatewayConnection newConnection = connect()) {
         sendUnread(client, request);
         log.release();
         Answer answer = client.answer();
@@ -295,10 +297,10 @@
         assertNull(newConnection.answer());
       }
     }
-    try (Crossing next = openIdle();
-        Crossing after = openIdle()) { // the second connection evicts the first
-      assertTrue(next.endsInOrder());
-      after.send(Crossing.ping(2));
+    try (RawGatewayConnection next = openIdle();
+        RawGatewayConnection after = openIdle()) { // the second connection evicts the first
+      assertTrue(next.endsGracefully());
+      after.send(RawGatewayConnection.ping(2));
       assertEquals(STATUS_OK, after.answer().status());
     }
   }
@@ -316,7 +318,7 @@
     server.start();
     InetSocketAddress previous = server.clientAddresses().get(0);
     server.await();
-    assertThrows(ConnectException.class, () -> new Crossing(previous).close());
+    assertThrows(ConnectException.class, () -> new RawGatewayConnection(previous).close());
     assertTrue(log.lines().contains("shutdown-complete pending=0"), log.lines()::toString);
   }
 
@@ -327,21 +329,21 @@
   @Test
   void runsRequestInFlightOnceDuringGracefulShutdown() throws Exception {
     start(-1, 256);
-    try (Crossing client = connect();
-        Crossing secondClient = connect()) {
-      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+    try (RawGatewayConnection client = connect();
+        RawGatewayConnection secondClient = connect()) {
+      client.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("shutdown-requested ", server::drain);
       pool.release(); // the end of the run lies unread in the socket of the pool connection
       server.drain();
-      secondClient.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
+      secondClient.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       log.release();
       Answer served = client.answer();
       assertEquals(STATUS_OK, served.status());
       assertArrayEquals(new byte[] {3, 2, 1}, served.content());
       Answer rejected = secondClient.answer();
       assertEquals(STATUS_UNAVAILABLE, rejected.status());
-      assertTrue(client.endsInOrder() && secondClient.endsInOrder());
+      assertTrue(client.endsGracefully() && secondClient.endsGracefully());
     }
     server.await();
     assertEquals(1, pool.spawns().size());
@@ -355,8 +357,8 @@
   @Test
   void keepsOpenRequestsWhenReloadedDuringShutdown() throws Exception {
     start(-1, 256);
-    try (Crossing client = connect()) {
-      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+    try (RawGatewayConnection client = connect()) {
+      client.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdAt("shutdown-requested ", server::drain);
       Settings previous = BrokerFixture.settings(60, 2);
@@ -382,14 +384,14 @@
   @Test
   void answersEachRequestWhenAnIdIsReusedAfterAnAbort() throws Exception {
     start(-1, 256);
-    try (Crossing client = connect()) {
-      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+    try (RawGatewayConnection client = connect()) {
+      client.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
       pool.awaitSpawns(1);
       holdLoop();
       pool.release(); // the answer of the first is ready in the same turn as its abort
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       bytes.writeBytes(Gateway.FastCgi.abort(1));
-      bytes.writeBytes(Crossing.ping(1));
+      bytes.writeBytes(RawGatewayConnection.ping(1));
       client.send(bytes.toByteArray());
       client.awaitUnread(bytes.size());
       log.release();
@@ -409,10 +411,10 @@
   @Test
   void answersOtherClientsWhenAResetCrossesAnAnswer() throws Exception {
     start(-1, 256);
-    try (Crossing otherClient = connect()) {
-      Crossing client = connect();
-      client.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
-      otherClient.send(Crossing.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
+    try (RawGatewayConnection otherClient = connect()) {
+      RawGatewayConnection client = connect();
+      client.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(1)));
+      otherClient.send(RawGatewayConnection.request(1, BrokerFixture.ORDER, BrokerFixture.id(2)));
       pool.awaitSpawns(2);
       holdLoop();
       pool.release();
--- a/src/test/java/mothwing/testing/Crossing.java
+++ b/src/test/java/mothwing/testing/RawGatewayConnection.java
@@ -17,7 +17,7 @@
  * A gateway's connection with which a test forces what crosses what: bytes that lie unread, resets,
  * closes of either side.
  */
-public final class Crossing implements AutoCloseable {
+public final class RawGatewayConnection implements AutoCloseable {
   private static final Path SOCKETS = Path.of("/proc/net/tcp");
   private static final Path SOCKETS_6 = Path.of("/proc/net/tcp6");
   private static final int USUAL_ROOM = 128 << 10;
@@ -28,7 +28,7 @@
   private final Socket socket = new Socket();
 
   /** Connects. */
-  public Crossing(InetSocketAddress to) throws IOException {
+  public RawGatewayConnection(InetSocketAddress to) throws IOException {
     this(to, USUAL_ROOM);
   }
 
@@ -36,7 +36,7 @@
    * The same, with so many bytes of room for what it does not read: in a small one answers back up
    * at the server soon.
    */
-  public Crossing(InetSocketAddress to, int room) throws IOException {
+  public RawGatewayConnection(InetSocketAddress to, int room) throws IOException {
     socket.setReceiveBufferSize(room);
     socket.setSoTimeout(PATIENCE_MS);
     socket.setTcpNoDelay(true);
@@ -65,7 +65,7 @@
   }
 
   /** The bytes of a question for the counters, whose answer is many times as long. */
-  public static byte[] counts(int id) {
+  public static byte[] statistics(int id) {
     return plain(id, "/counts");
   }
 
@@ -90,7 +90,7 @@
    * Reads to the end: true where the server ended its side in order, false where it reset the
    * connection.
    */
-  public boolean endsInOrder() throws IOException {
+  public boolean endsGracefully() throws IOException {
     try {
       while (socket.getInputStream().read() >= 0) {
         // what else it says
@@ -104,7 +104,7 @@
   /** Waits until so many bytes lie unread in the server's socket, by the kernel's own list. */
   public void awaitUnread(int bytes) throws IOException {
     long until = System.nanoTime() + PATIENCE_MS * 1_000_000L;
-    while (unread() < bytes) {
+    while (unreadBytes() < bytes) {
       if (System.nanoTime() > until) {
         throw new IOException("the server has read what was to lie unread");
       }
@@ -113,7 +113,7 @@
   }
 
   /** How many bytes lie unread in the server's socket, by the kernel's own list. */
-  public int unread() throws IOException {
+  public int unreadBytes() throws IOException {
     String ends = String.format(":%04X", socket.getPort());
     String peer = String.format(":%04X", socket.getLocalPort());
     return Math.max(unread(SOCKETS, ends, peer), unread(SOCKETS_6, ends, peer));
@@ -140,7 +140,7 @@
   }
 
   /** Ends this side only. */
-  public void endSending() throws IOException {
+  public void shutdownOutput() throws IOException {
     socket.shutdownOutput();
   }
 
