--- a/src/test/java/mothwing/ajp/AjpConnectionTest.java
+++ b/src/test/java/mothwing/ajp/AjpConnectionTest.java
@@ -38,7 +38,7 @@
   }
 
   private Map<String, String> fields() {
-    return Gateway.fields(BrokerFixture.id(1), model.stand.wallClockMillis());
+    return Gateway.fields(BrokerFixture.id(1), model.fixture.wallClockMillis());
   }
 
   private Answer ask(String path, int length, byte[] chunk) {
@@ -46,8 +46,8 @@
     if (length != 0) {
       model.send(Gateway.Ajp.chunk(chunk, 0, chunk.length));
     }
-    model.stand.pass(3_000);
-    model.stand.read(model.channel, gateway);
+    model.fixture.pass(3_000);
+    model.fixture.read(model.channel, gateway);
     return gateway.answers.poll();
   }
 
@@ -56,11 +56,11 @@
       @ForAll @Size(min = 20, max = 150) List<@IntRange(max = 99_999) Integer> steps) {
     for (int step : steps) {
       switch (step % 8) {
-        case 0, 1, 2 -> model.ask(PLACE, step);
+        case 0, 1, 2 -> model.sendRequest(PLACE, step);
         case 3, 4 -> model.endRun(step / 8);
-        case 5 -> model.stand.pass(step * 10L);
+        case 5 -> model.fixture.pass(step * 10L);
         case 6 -> {
-          if (!model.busy(PLACE)) {
+          if (!model.isPending(PLACE)) {
             int before = gateway.pongs;
             model.send(Gateway.Ajp.cping());
             assertEquals(before + 1, gateway.pongs);
@@ -72,10 +72,10 @@
           }
         }
       }
-      model.check(step % 7_000);
+      model.advanceAndCheck(step % 7_000);
       assertTrue(model.channel.isOpen() && !gateway.refusesReuse);
     }
-    model.checkEnd();
+    model.checkAllAnswered();
   }
 
   @Property(seed = "1764576003")
@@ -91,7 +91,7 @@
     byte[] whole = Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0);
     byte[] payload = Arrays.copyOfRange(whole, 4, Math.max(5, whole.length - less));
     model.send(Gateway.Ajp.packet(payload));
-    assertTrue(model.endedAs("malformed"));
+    assertTrue(model.isClosedWithReason("malformed"));
   }
 
   @Example
@@ -100,13 +100,13 @@
     model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), -1));
     assertTrue(gateway.asked >= body.length);
     model.send(Gateway.Ajp.chunk(body, 0, 1000));
-    assertEquals(0, model.stand.counters.get("read"));
+    assertEquals(0, model.fixture.counters.get("read"));
     model.send(Gateway.Ajp.chunk(body, 1000, 1500));
     model.send(Gateway.Ajp.chunk(body, 0, 0));
-    assertEquals(1, model.stand.counters.get("read"));
-    model.stand.pass(3_000);
-    model.stand.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
-    model.stand.read(model.channel, gateway);
+    assertEquals(1, model.fixture.counters.get("read"));
+    model.fixture.pass(3_000);
+    model.fixture.finish(BrokerFixture.id(1), RunOutcome.SUCCEEDED);
+    model.fixture.read(model.channel, gateway);
     assertEquals(200, gateway.answers.remove().status());
   }
 
@@ -118,7 +118,7 @@
     model.send(Gateway.Ajp.chunk(body, 0, 1200));
     assertEquals(800, gateway.asked);
     model.send(Gateway.Ajp.chunk(body, 1200, 2000));
-    assertEquals(1, model.stand.counters.get("read"));
+    assertEquals(1, model.fixture.counters.get("read"));
   }
 
   @Example
@@ -135,14 +135,14 @@
   void aPacketBeforeTheAnswerClosesTheConnection() {
     model.send(Gateway.Ajp.forward("/call/" + BrokerFixture.LOOK, "", fields(), 0));
     model.send(Gateway.Ajp.cping());
-    assertTrue(model.endedAs("too-many-open"));
-    assertEquals(0, model.stand.broker.pendingCount(), "its caller has left");
+    assertTrue(model.isClosedWithReason("too-many-open"));
+    assertEquals(0, model.fixture.broker.pendingCount(), "its caller has left");
   }
 
   @Example
   void refusesWithAdviceAndWithoutReuseOnceTheServerLeaves() {
-    model.stand.broker.drain(model.stand.now(), model.stand.now() + 3_000_000, false);
-    model.stand.pass(5_000);
+    model.fixture.broker.drain(model.fixture.now(), model.fixture.now() + 3_000_000, false);
+    model.fixture.pass(5_000);
     Answer answer = ask("/call/" + BrokerFixture.ORDER, 0, null);
     assertEquals(503, answer.status());
     assertTrue(Long.parseLong(answer.fields().get("Hold-Off-Ms")) > 0);
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -57,10 +57,10 @@
     for (FreeValue meaning : FreeValue.values()) {
       String all = meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
       for (Settings now : List.of(SettingsVariants.meaning(level, meaning), level)) {
-        model.stand.broker.applySettings(now);
+        model.fixture.broker.applySettings(now);
         for (long span :
             new long[] {0, 200_000}) { // in the same turn, and once the decisions have spoken
-          model.stand.pass(span);
+          model.fixture.pass(span);
           assertEquals(now == level ? "0.0" : all, feedback(), () -> "as " + meaning);
         }
       }
@@ -73,23 +73,23 @@
     for (int step : steps) {
       int place = 1 + step / 10 % PLACES;
       switch (step % 10) {
-        case 0, 1, 2, 3 -> model.ask(place, step);
+        case 0, 1, 2, 3 -> model.sendRequest(place, step);
         case 4 -> {
-          model.left(place);
+          model.abandon(place);
           model.send(Gateway.FastCgi.abort(place));
           model.gateway.answers.removeIf(one -> one.id() == place); // one answer does no harm
         }
         case 5, 6, 7 -> model.endRun(step / 10);
-        case 8 -> model.stand.pass(step * 10L);
+        case 8 -> model.fixture.pass(step * 10L);
         default -> {
           if (step % 50 == 9) {
             model.reopen();
           }
         }
       }
-      model.check(step % 7_000);
+      model.advanceAndCheck(step % 7_000);
     }
-    model.checkEnd();
+    model.checkAllAnswered();
   }
 
   @Property(seed = "1764576001")
@@ -126,7 +126,7 @@
     assertEquals(
         500,
         status(model.gateway.request(1, "/call/" + BrokerFixture.LOOK, "", strange, new byte[0])));
-    assertEquals(Map.of(), model.stand.spawns);
+    assertEquals(Map.of(), model.fixture.spawns);
     good.put("Lookup-Key", "k".repeat(9000));
     assertEquals(
         413,
@@ -150,20 +150,20 @@
                 number,
                 "/call/" + BrokerFixture.LOOK,
                 "",
-                Gateway.fields(id, model.stand.wallClockMillis() + hours * 3_600_000),
+                Gateway.fields(id, model.fixture.wallClockMillis() + hours * 3_600_000),
                 new byte[0]));
-        model.stand.pass(5_000);
-        assertEquals(1, model.stand.spawns.get(id), "it runs");
+        model.fixture.pass(5_000);
+        assertEquals(1, model.fixture.spawns.get(id), "it runs");
         if (end != null) {
-          model.stand.finish(id, end);
+          model.fixture.finish(id, end);
         }
-        model.stand.pass(
+        model.fixture.pass(
             end == null ? 4_600_000 : 5_000); // by the deadline from its reading on, and the slack
-        model.stand.read(model.channel, model.gateway);
+        model.fixture.read(model.channel, model.gateway);
         assertEquals(end == null ? 500 : 200, model.gateway.answers.remove().status());
       }
     }
-    assertEquals(4, model.stand.counters.get("arrival-times-ignored"));
+    assertEquals(4, model.fixture.counters.get("arrival-times-ignored"));
   }
 
   @Example
@@ -172,7 +172,7 @@
       assertTrue(model.channel.isOpen());
       model.send(Gateway.FastCgi.begin(id));
     }
-    assertTrue(model.endedAs("too-many-open"));
+    assertTrue(model.isClosedWithReason("too-many-open"));
   }
 
   /**
@@ -196,8 +196,8 @@
       assertTrue(model.channel.isOpen());
     }
     model.send(head);
-    assertTrue(model.endedAs("oversized"));
-    assertEquals(Map.of(), model.stand.spawns);
+    assertTrue(model.isClosedWithReason("oversized"));
+    assertEquals(Map.of(), model.fixture.spawns);
   }
 
   @Example
--- a/src/test/java/mothwing/testing/FrontModel.java
+++ b/src/test/java/mothwing/testing/FrontModel.java
@@ -42,7 +42,7 @@
   }
 
   /** The server under test. */
-  public final BrokerFixture stand = new BrokerFixture().bound();
+  public final BrokerFixture fixture = new BrokerFixture().bound();
 
   /** What the gateway sends and reads on the connection under test. */
   public Gateway gateway;
@@ -68,33 +68,33 @@
 
   private void open() {
     gateway = speaker.get();
-    channel = stand.open(maker.apply(stand));
+    channel = fixture.open(maker.apply(fixture));
   }
 
   /** Sends bytes of the gateway, and reads what comes back at once. */
   public void send(byte[] bytes) {
-    stand.send(channel, gateway, bytes);
+    fixture.send(channel, gateway, bytes);
   }
 
   /**
    * Sends a request on a place of the connection, unless one is open there: in two pieces, cut
    * anywhere.
    */
-  public void ask(int place, int step) {
+  public void sendRequest(int place, int step) {
     if (owed.containsKey(place)) {
       return;
     }
     boolean order = step % 3 == 0;
     int lateMs = step % 400;
     String id = BrokerFixture.id(++made);
-    owed.put(place, new Known(id, order, stand.now() - lateMs * 1000L + DUE));
+    owed.put(place, new Known(id, order, fixture.now() - lateMs * 1000L + DUE));
     kinds.put(id, order ? BrokerFixture.ORDER : BrokerFixture.LOOK);
     byte[] all =
         gateway.request(
             place,
             order ? "/call/" + BrokerFixture.ORDER : "/call/" + BrokerFixture.LOOK,
             "",
-            Gateway.fields(id, stand.wallClockMillis() - lateMs),
+            Gateway.fields(id, fixture.wallClockMillis() - lateMs),
             new byte[step % 2049]);
     int cut = step % all.length;
     send(Arrays.copyOf(all, cut));
@@ -102,12 +102,12 @@
   }
 
   /** Whether a place of the connection is taken. */
-  public boolean busy(int place) {
+  public boolean isPending(int place) {
     return owed.containsKey(place);
   }
 
   /** The gateway no longer waits for a request. */
-  public void left(int place) {
+  public void abandon(int place) {
     Known known = owed.remove(place);
     if (known != null) {
       ends.get(kinds.get(known.id))[LEFT]++;
@@ -116,30 +116,30 @@
 
   /** The gateway closes the connection, which is all its callers leaving, and opens another. */
   public void reopen() {
-    List.copyOf(owed.keySet()).forEach(this::left);
+    List.copyOf(owed.keySet()).forEach(this::abandon);
     channel.close();
     open();
   }
 
   /** Ends some run, well or badly. */
   public void endRun(int number) {
-    String id = stand.someRun(number);
+    String id = fixture.someRun(number);
     if (id != null) {
-      stand.finish(id, number % 5 == 0 ? RunOutcome.FAILED : RunOutcome.SUCCEEDED);
+      fixture.finish(id, number % 5 == 0 ? RunOutcome.FAILED : RunOutcome.SUCCEEDED);
     }
   }
 
   /**
    * Lets time pass, and checks all that the gateway has read by then, and that nothing is overdue.
    */
-  public void check(long span) {
-    stand.pass(span);
-    stand.read(channel, gateway);
+  public void advanceAndCheck(long span) {
+    fixture.pass(span);
+    fixture.read(channel, gateway);
     Answer answer;
     while ((answer = gateway.answers.poll()) != null) {
       Known known = owed.remove(answer.id());
       assertNotNull(known, "an answer that is not owed");
-      boolean ran = stand.spawns.containsKey(known.id);
+      boolean ran = fixture.spawns.containsKey(known.id);
       assertNotNull(answer.fields().get("Feedback"));
       ends.get(kinds.get(known.id))[answer.status() == 200 ? 0 : answer.status() == 503 ? 1 : 2]++;
       switch (answer.status()) {
@@ -150,17 +150,17 @@
     }
     for (Known known : owed.values()) {
       assertTrue(
-          stand.now() <= known.dueAt,
+          fixture.now() <= known.dueAt,
           () ->
               known.id
                   + " is overdue at "
-                  + stand.now()
+                  + fixture.now()
                   + "\n"
-                  + stand.counters
+                  + fixture.counters
                   + "\n"
-                  + String.join("\n", stand.lines));
+                  + String.join("\n", fixture.lines));
     }
-    stand.spawns.forEach((id, times) -> assertEquals(1, times, id + " ran twice"));
+    fixture.spawns.forEach((id, times) -> assertEquals(1, times, id + " ran twice"));
     reconcile();
   }
 
@@ -169,7 +169,7 @@
    * anywhere, or nowhere.
    */
   private void reconcile() {
-    Map<String, Object> figures = stand.broker.statistics();
+    Map<String, Object> figures = fixture.broker.statistics();
     assertEquals((long) owed.size(), figures.get("pending"));
     ends.forEach(
         (kind, seen) -> {
@@ -180,7 +180,7 @@
                 ENDS.get(end) + " " + figures);
           }
           assertEquals(
-              stand.spawns.keySet().stream().filter(id -> kinds.get(id).equals(kind)).count(),
+              fixture.spawns.keySet().stream().filter(id -> kinds.get(id).equals(kind)).count(),
               count(figures, "upstream_requests", kind));
         });
   }
@@ -192,30 +192,30 @@
   /**
    * Waits until all must be answered, and checks that all is and that nothing went wrong inside.
    */
-  public void checkEnd() {
-    check(6_000_000);
+  public void checkAllAnswered() {
+    advanceAndCheck(6_000_000);
     assertEquals(0, owed.size());
-    assertEquals(0, stand.broker.pendingCount());
+    assertEquals(0, fixture.broker.pendingCount());
     checkClosed();
-    assertEquals(0, stand.counters.get("controller-faults"));
+    assertEquals(0, fixture.counters.get("controller-faults"));
   }
 
   /**
    * Closes the connection, and checks that it ended without a fault and with one line in the log.
    */
   public void checkClosed() {
-    stand.lines.clear();
+    fixture.lines.clear();
     boolean open = channel.isOpen();
     channel.close();
-    assertEquals(0, stand.counters.get("faults"));
+    assertEquals(0, fixture.counters.get("faults"));
     assertEquals(
         open ? 1 : 0,
-        stand.lines.stream().filter(line -> line.startsWith("connection-closed side=")).count());
+        fixture.lines.stream().filter(line -> line.startsWith("connection-closed side=")).count());
   }
 
   /** Whether the last line of the log is that of a connection which ended for a reason. */
-  public boolean endedAs(String reason) {
+  public boolean isClosedWithReason(String reason) {
     return !channel.isOpen()
-        && stand.lines.get(stand.lines.size() - 1).contains(" reason=" + reason + " ");
+        && fixture.lines.get(fixture.lines.size() - 1).contains(" reason=" + reason + " ");
   }
 }
