--- a/src/test/java/mothwing/broker/BrokerTest.java
+++ b/src/test/java/mothwing/broker/BrokerTest.java
@@ -333,7 +333,7 @@
 
   private static Settings settingsWith(RequestClass... classes) {
     Settings settings = BrokerFixture.settings(4.5, 2);
-    return SettingsVariants.parts(settings, List.of(classes), settings.tenants());
+    return SettingsVariants.withClassesAndTenants(settings, List.of(classes), settings.tenants());
   }
 
   /**
@@ -389,7 +389,7 @@
     for (boolean isAllowed : new boolean[] {true, false}) {
       fixture = new BrokerFixture(controller);
       fixture.broker.applySettings(
-          SettingsVariants.advice(BrokerFixture.settings(4.5, 2), isAllowed));
+          SettingsVariants.withRetryAfterHonoured(BrokerFixture.settings(4.5, 2), isAllowed));
       submit(1, BrokerFixture.LOOK); // not ready
       fixture.bound();
       fixture.broker.drain(fixture.now(), fixture.now() + 9 * SECOND, false);
@@ -546,7 +546,7 @@
   private void useKeyedClass(Controller controllerOrNull) {
     fixture = controllerOrNull == null ? new BrokerFixture() : new BrokerFixture(controllerOrNull);
     fixture.broker.applySettings(
-        SettingsVariants.parts(
+        SettingsVariants.withClassesAndTenants(
             BrokerFixture.settings(4.5, 2),
             List.of(
                 new RequestClass(
--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -56,7 +56,7 @@
     Settings level = BrokerFixture.settings(4.5, 2);
     for (FreeValue meaning : FreeValue.values()) {
       String all = meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
-      for (Settings now : List.of(SettingsVariants.meaning(level, meaning), level)) {
+      for (Settings now : List.of(SettingsVariants.withFreeValue(level, meaning), level)) {
         model.fixture.broker.applySettings(now);
         for (long span :
             new long[] {0, 200_000}) { // in the same turn, and once the decisions have spoken
--- a/src/test/java/mothwing/net/InterleavingsTest.java
+++ b/src/test/java/mothwing/net/InterleavingsTest.java
@@ -371,7 +371,7 @@
     classes.add(
         new RequestClass(
             KEYED_CLASS, SECOND, 3 * SECOND, 4, 0, Idempotency.WITH_KEY, WINDOW_MICROS, false, 0));
-    return SettingsVariants.parts(settings, classes, settings.tenants());
+    return SettingsVariants.withClassesAndTenants(settings, classes, settings.tenants());
   }
 
   private static Settings settings(int step) {
@@ -380,7 +380,8 @@
             BrokerFixture.settings((double) (step % 2 == 0 ? 3 : MAX_DEADLINE_MICROS / SECOND), 2));
     return step % 5 > 0
         ? settings
-        : SettingsVariants.parts(settings, settings.classes().subList(1, 3), settings.tenants());
+        : SettingsVariants.withClassesAndTenants(
+            settings, settings.classes().subList(1, 3), settings.tenants());
   }
 
   private void advance(long span) {
--- a/src/test/java/mothwing/overload/OverloadControllerTest.java
+++ b/src/test/java/mothwing/overload/OverloadControllerTest.java
@@ -63,7 +63,7 @@
   }
 
   private static Settings withClasses(Settings base, List<RequestClass> classes) {
-    return SettingsVariants.parts(base, classes, base.tenants());
+    return SettingsVariants.withClassesAndTenants(base, classes, base.tenants());
   }
 
   private static RecordingHost host() {
@@ -971,7 +971,7 @@
       }
       Settings base = host.settings();
       host.changeSettings(
-          SettingsVariants.parts(
+          SettingsVariants.withClassesAndTenants(
               base,
               base.classes(),
               List.of(new Tenant(sameName ? "one" : "three", 100), new Tenant("two", 100))));
@@ -991,7 +991,7 @@
     for (FreeValue meaning :
         List.of(
             FreeValue.SHARE, FreeValue.LEVEL, FreeValue.WINDOW, FreeValue.SHARE, FreeValue.NONE)) {
-      host.changeSettings(SettingsVariants.meaning(host.settings(), meaning));
+      host.changeSettings(SettingsVariants.withFreeValue(host.settings(), meaning));
       int firstNewAction = host.actions.size();
       host.advanceTo(host.now() + SECOND / 5);
       List<String> publishedValues =
--- a/src/test/java/mothwing/server/ServerRaceTest.java
+++ b/src/test/java/mothwing/server/ServerRaceTest.java
@@ -268,7 +268,8 @@
         RawGatewayConnection otherClient = openIdle()) {
       byte[] request = RawGatewayConnection.request(2, BrokerFixture.LOOK, BrokerFixture.id(2));
       holdLoop();
-      server.reload(config(SettingsVariants.idle(BrokerFixture.settings(60, 2), 1), 256));
+      server.reload(
+          config(SettingsVariants.withIdleTimeout(BrokerFixture.settings(60, 2), 1), 256));
       sendUnread(client, request);
       log.release();
       Answer answer = client.answer();
@@ -367,7 +368,8 @@
               "other", 1, 1_000, 1, 0, previous.classes().get(0).idempotency(), 0, false, 0);
       server.reload(
           config(
-              SettingsVariants.parts(previous, List.of(replacement), List.of(new Tenant("two", 1))),
+              SettingsVariants.withClassesAndTenants(
+                  previous, List.of(replacement), List.of(new Tenant("two", 1))),
               256));
       log.release();
       log.awaitLine("reload ");
--- a/src/test/java/mothwing/testing/SettingsVariants.java
+++ b/src/test/java/mothwing/testing/SettingsVariants.java
@@ -13,12 +13,13 @@
   private SettingsVariants() {}
 
   /** With other classes and tenants. */
-  public static Settings parts(Settings one, List<RequestClass> classes, List<Tenant> tenants) {
+  public static Settings withClassesAndTenants(
+      Settings one, List<RequestClass> classes, List<Tenant> tenants) {
     return make(one, classes, tenants, one.signals());
   }
 
   /** With another meaning of the free value. */
-  public static Settings meaning(Settings one, FreeValue meaning) {
+  public static Settings withFreeValue(Settings one, FreeValue meaning) {
     return signals(
         one,
         by ->
@@ -32,7 +33,7 @@
   }
 
   /** With advice to stay away passed on, or not. */
-  public static Settings advice(Settings one, boolean may) {
+  public static Settings withRetryAfterHonoured(Settings one, boolean may) {
     return signals(
         one,
         by ->
@@ -46,7 +47,7 @@
   }
 
   /** With another idle limit, in microseconds. */
-  public static Settings idle(Settings one, long span) {
+  public static Settings withIdleTimeout(Settings one, long span) {
     return signals(
         one,
         by ->
