--- a/src/test/java/mothwing/server/ServerRaceTest.java
+++ b/src/test/java/mothwing/server/ServerRaceTest.java
@@ -39,13 +39,13 @@
   private static final int MAX_IDLE_TURNS = 20;
 
   private final BlockingLog log = new BlockingLog();
-  private InetSocketAddress listen = Loopback.any();
+  private InetSocketAddress listen = Loopback.anyPort();
   private StandInPool pool;
   private Server server;
 
   private Config config(Settings settings, int sockets) throws IOException {
     return new Config(
-        "n1", listen, pool.address(), Loopback.NOBODY, null, null, 3200, sockets, settings, null);
+        "n1", listen, pool.address(), Loopback.REFUSING, null, null, 3200, sockets, settings, null);
   }
 
   private void create(long workMs, int sockets) throws IOException {
--- a/src/test/java/mothwing/server/ServerTest.java
+++ b/src/test/java/mothwing/server/ServerTest.java
@@ -50,14 +50,14 @@
       throws IOException {
     pool = standIn;
     this.deadlineSeconds = deadlineSeconds;
-    server = new Server(config(pool.address(), announce), Loopback.any(), lines::add);
+    server = new Server(config(pool.address(), announce), Loopback.anyPort(), lines::add);
     server.start();
   }
 
   private Config config(InetSocketAddress poolAddress, InetSocketAddress announce) {
     return new Config(
         "n1",
-        Loopback.any(),
+        Loopback.anyPort(),
         poolAddress,
         announce,
         null,
@@ -69,7 +69,7 @@
   }
 
   private void startReady(long workMs, double deadlineSeconds) throws IOException {
-    start(new StandInPool(workMs), deadlineSeconds, Loopback.NOBODY);
+    start(new StandInPool(workMs), deadlineSeconds, Loopback.REFUSING);
     awaitPing(200);
   }
 
@@ -192,7 +192,7 @@
       fastCgi.ask(1, BrokerFixture.ORDER, BrokerFixture.id(1), new byte[] {1, 2, 3});
       pool.awaitSpawns(1);
       for (int i = 0; i < 3; i++) { // SIGHUP may arrive repeatedly
-        server.reload(config(newAddress.address(), Loopback.NOBODY));
+        server.reload(config(newAddress.address(), Loopback.REFUSING));
       }
       awaitLine("connection-closed side=pool reason=moved");
       ajp.ask(1, BrokerFixture.ORDER, BrokerFixture.id(2), new byte[] {4, 5});
@@ -210,7 +210,7 @@
   void waitsForPoolThatStartsLate() throws Exception {
     StandInPool standIn = new StandInPool(1);
     standIn.up(false);
-    start(standIn, 4.5, Loopback.NOBODY);
+    start(standIn, 4.5, Loopback.REFUSING);
     pool.awaitLink();
     for (Supplier<Gateway> front : FRONTS) {
       try (GatewayConnection connection = connect(front.get())) {
@@ -264,8 +264,8 @@
    */
   @Test
   void executesAdminCommandsDespiteSilentAdminConnections() throws Exception {
-    adminAddress = Loopback.any();
-    start(new StandInPool(1), 4.5, Loopback.NOBODY);
+    adminAddress = Loopback.anyPort();
+    start(new StandInPool(1), 4.5, Loopback.REFUSING);
     awaitLine("takes-clients ");
     List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
@@ -307,11 +307,11 @@
         new Server(
             new Config(
                 "n1",
-                Loopback.any(),
+                Loopback.anyPort(),
                 pool.address(),
-                Loopback.NOBODY,
+                Loopback.REFUSING,
                 null,
-                Loopback.any(),
+                Loopback.anyPort(),
                 3200,
                 256,
                 first.settings(),
--- a/src/test/java/mothwing/testing/Loopback.java
+++ b/src/test/java/mothwing/testing/Loopback.java
@@ -9,13 +9,13 @@
  */
 public final class Loopback {
   /** Nobody listens there, and no system gives this port away by itself. */
-  public static final InetSocketAddress NOBODY =
+  public static final InetSocketAddress REFUSING =
       new InetSocketAddress(InetAddress.getLoopbackAddress(), 1);
 
   private Loopback() {}
 
   /** Any port: the listener's own address says which. */
-  public static InetSocketAddress any() {
+  public static InetSocketAddress anyPort() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 }
--- a/src/test/java/mothwing/witness/AdminWitnessTest.java
+++ b/src/test/java/mothwing/witness/AdminWitnessTest.java
@@ -122,16 +122,16 @@
       Config config =
           new Config(
               "n1",
-              Loopback.any(),
+              Loopback.anyPort(),
               pool.address(),
-              Loopback.NOBODY,
+              Loopback.REFUSING,
               null,
-              Loopback.any(),
+              Loopback.anyPort(),
               3200,
               256,
               BrokerFixture.settings(4.5, 2),
               null);
-      Server server = new Server(config, Loopback.any(), lines::add);
+      Server server = new Server(config, Loopback.anyPort(), lines::add);
       try {
         server.start();
         while (List.copyOf(lines).stream().noneMatch(line -> line.startsWith("takes-clients "))) {
