--- a/src/bench/java/mothwing/bench/DnsBench.java
+++ b/src/bench/java/mothwing/bench/DnsBench.java
@@ -36,7 +36,7 @@
 import mothwing.server.DnsService;
 import mothwing.store.Disk;
 import mothwing.store.Journal;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import org.HdrHistogram.Histogram;
 import org.xbill.DNS.DClass;
 import org.xbill.DNS.Type;
@@ -72,7 +72,7 @@
   }
 
   private static String zone(int changed) {
-    StringBuilder text = new StringBuilder(DnsPeer.HEAD);
+    StringBuilder text = new StringBuilder(DnsTestClient.ZONE_HEADER);
     for (int i = 0; i < ZONE; i++) {
       text.append("till")
           .append(i)
@@ -88,7 +88,8 @@
   }
 
   private static DnsService server(Path folder, String limits, String zone) throws IOException {
-    DnsService service = new DnsService(DnsPeer.site(folder, limits, zone, "till-key"), line -> {});
+    DnsService service =
+        new DnsService(DnsTestClient.writeSite(folder, limits, zone, "till-key"), line -> {});
     service.start();
     return service;
   }
@@ -107,7 +108,7 @@
   private static byte[][] questions() {
     byte[][] all = new byte[1024][];
     for (int i = 0; i < all.length; i++) {
-      all[i] = DnsPeer.question("till" + i * 97 % ZONE, Type.A, 512).toWire();
+      all[i] = DnsTestClient.question("till" + i * 97 % ZONE, Type.A, 512).toWire();
     }
     return all;
   }
@@ -210,7 +211,7 @@
     DnsService whole =
         server(
             folder.resolve(Files.createDirectory(folder.resolve("c")).getFileName()), "", zone(0));
-    int size = DnsPeer.udp(bare.address(), questions[0], 2000).length;
+    int size = DnsTestClient.sendUdp(bare.address(), questions[0], 2000).length;
     Channel echo = echo(group, size);
     InetSocketAddress[] servers = {
       (InetSocketAddress) echo.localAddress(), bare.address(), uncached.address(), whole.address()
@@ -271,16 +272,17 @@
       Thread thread =
           new Thread(
               () -> {
-                try (Socket socket = DnsPeer.connect(server)) {
+                try (Socket socket = DnsTestClient.connect(server)) {
                   for (int i = 0; System.nanoTime() < end; i++) {
                     socket
                         .getOutputStream()
                         .write(
-                            DnsPeer.framed(
-                                DnsPeer.signed(
-                                    DnsPeer.update(name + "-" + i / 2 % 64, "10.7.0.1", i % 2 == 0),
-                                    DnsPeer.key("till-key"))));
-                    accepted.add(DnsPeer.read(socket).getRcode() == 0 ? 1 : 0);
+                            DnsTestClient.framed(
+                                DnsTestClient.signed(
+                                    DnsTestClient.update(
+                                        name + "-" + i / 2 % 64, "10.7.0.1", i % 2 == 0),
+                                    DnsTestClient.key("till-key"))));
+                    accepted.add(DnsTestClient.readMessage(socket).getRcode() == 0 ? 1 : 0);
                   }
                 } catch (IOException broken) {
                   throw new IllegalStateException(broken);
@@ -297,7 +299,7 @@
 
   private static void updates() throws Exception {
     Path folder = folder();
-    DnsService service = server(folder, ", repeats = 10000000", DnsPeer.HEAD);
+    DnsService service = server(folder, ", repeats = 10000000", DnsTestClient.ZONE_HEADER);
     updating(service.address(), 8, 2);
     double[] bare = new double[RUNS];
     double[] alone = new double[RUNS];
@@ -329,7 +331,7 @@
   private static void recovery() throws Exception {
     Path folder = folder();
     DomainName origin = DomainName.parse("example.org.", DomainName.ROOT);
-    byte[] text = DnsPeer.HEAD.getBytes();
+    byte[] text = DnsTestClient.ZONE_HEADER.getBytes();
     Zone zone = ZoneFile.read("z", name -> text, origin, 1_000_000).zone();
     Path state = folder.resolve("state").resolve("example.org");
     Journal journal =
@@ -382,7 +384,7 @@
             () -> {
               try {
                 long start = System.nanoTime();
-                DnsService service = server(folder, "", DnsPeer.HEAD);
+                DnsService service = server(folder, "", DnsTestClient.ZONE_HEADER);
                 double took = (System.nanoTime() - start) / (double) SECOND;
                 service.close();
                 return took;
@@ -447,7 +449,7 @@
     double[] busyMid = new double[RUNS];
     for (int run = 0; run < RUNS; run++) {
       Histogram none = latencies(service.address(), questions, 10_000, 4);
-      DnsPeer.zone(folder, zone(1000 * (run + 1)));
+      DnsTestClient.writeZone(folder, zone(1000 * (run + 1)));
       service.reload();
       Histogram reloading = latencies(service.address(), questions, 10_000, 4);
       quietMid[run] = none.getValueAtPercentile(50);
--- a/src/test/java/mothwing/dns/server/DnsDiskTest.java
+++ b/src/test/java/mothwing/dns/server/DnsDiskTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.xbill.DNS.Message;
@@ -27,7 +27,7 @@
 
   @Test
   void whatWasAcknowledgedOnATroubledDiskIsThereAfterALossOfPower() throws Exception {
-    DnsPeer.site(folder, "", DnsPeer.HEAD, "till-key");
+    DnsTestClient.writeSite(folder, "", DnsTestClient.ZONE_HEADER, "till-key");
     Path control = folder.resolve("control");
     Set<String> acknowledged = new TreeSet<>();
     int number = 0;
@@ -38,10 +38,11 @@
         for (int i = 0; i < EACH; i++) {
           String name = "disk" + ++number;
           Message answer =
-              DnsPeer.tcp(
+              DnsTestClient.sendTcp(
                   server.address,
-                  DnsPeer.signed(
-                      DnsPeer.update(name, "10.6.0." + number, true), DnsPeer.key("till-key")));
+                  DnsTestClient.signed(
+                      DnsTestClient.update(name, "10.6.0." + number, true),
+                      DnsTestClient.key("till-key")));
           assertEquals(
               able ? Rcode.NOERROR : Rcode.SERVFAIL,
               answer.getRcode(),
@@ -51,7 +52,8 @@
           }
           assertEquals(
               Rcode.NOERROR,
-              DnsPeer.udp(server.address, DnsPeer.question("@", Type.SOA, 1232)).getRcode(),
+              DnsTestClient.sendUdp(server.address, DnsTestClient.question("@", Type.SOA, 1232))
+                  .getRcode(),
               "questions are answered all the while");
         }
       }
@@ -61,7 +63,7 @@
       for (String name : acknowledged) {
         assertEquals(
             List.of("10.6.0." + name.substring("disk".length())),
-            DnsPeer.udp(server.address, DnsPeer.question(name, Type.A, 1232))
+            DnsTestClient.sendUdp(server.address, DnsTestClient.question(name, Type.A, 1232))
                 .getSection(Section.ANSWER)
                 .stream()
                 .map(record -> record.rdataToString())
--- a/src/test/java/mothwing/dns/server/DnsKillTest.java
+++ b/src/test/java/mothwing/dns/server/DnsKillTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Random;
 import java.util.concurrent.Semaphore;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.xbill.DNS.Message;
@@ -60,7 +60,7 @@
     while (true) {
       InetSocketAddress at = server();
       try {
-        Message answer = DnsPeer.tcp(at, update);
+        Message answer = DnsTestClient.sendTcp(at, update);
         synchronized (this) {
           if (answer.getRcode() != Rcode.NOERROR) {
             wrong.add(answer.toString());
@@ -93,12 +93,12 @@
       while (!stopped()) {
         one.sent++;
         byte[] update =
-            DnsPeer.signed(
-                DnsPeer.update(
+            DnsTestClient.signed(
+                DnsTestClient.update(
                     one.name,
                     "10.5." + (one.sent - 1) / 2 / 200 + "." + (one.sent - 1) / 2 % 200,
                     one.sent % 2 == 1),
-                DnsPeer.key("till-key"));
+                DnsTestClient.key("till-key"));
         told(update);
         old.add(update);
         if (one.sent % 5 == 0) {
@@ -113,7 +113,8 @@
 
   @Test
   void nothingAcknowledgedIsMissingAfterTwentyKills() throws Exception {
-    DnsPeer.site(folder, ", journal_bytes = 20000", DnsPeer.HEAD, "till-key");
+    DnsTestClient.writeSite(
+        folder, ", journal_bytes = 20000", DnsTestClient.ZONE_HEADER, "till-key");
     DnsProcess process = start();
     List<Updater> updaters = new ArrayList<>();
     List<Thread> threads = new ArrayList<>();
@@ -140,7 +141,8 @@
       assertEquals(List.of(), wrong);
       int changes = 0;
       for (Updater one : updaters) {
-        Message answer = DnsPeer.udp(server, DnsPeer.question(one.name, Type.A, 1232));
+        Message answer =
+            DnsTestClient.sendUdp(server, DnsTestClient.question(one.name, Type.A, 1232));
         List<String> expected =
             one.sent % 2 == 0
                 ? List.of()
@@ -153,7 +155,7 @@
             one.name + " after " + one.sent);
         changes += one.sent;
       }
-      Message soa = DnsPeer.udp(server, DnsPeer.question("@", Type.SOA, 1232));
+      Message soa = DnsTestClient.sendUdp(server, DnsTestClient.question("@", Type.SOA, 1232));
       assertEquals(
           10 + changes,
           Integer.parseInt(soa.getSection(Section.ANSWER).get(0).rdataToString().split(" ")[2]),
--- a/src/test/java/mothwing/dns/server/DnsOverloadTest.java
+++ b/src/test/java/mothwing/dns/server/DnsOverloadTest.java
@@ -15,7 +15,7 @@
 import mothwing.control.ControllerHost;
 import mothwing.control.Request;
 import mothwing.settings.Site;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import org.junit.jupiter.api.Test;
 import org.xbill.DNS.ExtendedErrorCodeOption;
 import org.xbill.DNS.Message;
@@ -97,7 +97,7 @@
   @Test
   void aQueryIsRefusedEarlyWithItsReason() throws IOException {
     read(
-        DnsPeer.question("till", Type.A, 1232).toWire(),
+        DnsTestClient.question("till", Type.A, 1232).toWire(),
         (host, id) -> host.rejectRequest(id, false, 0));
     assertEquals(1, answers.size());
     Message answer = new Message(answers.get(0));
@@ -113,7 +113,9 @@
    */
   @Test
   void anUpdateThatRanIsNeverRefused() throws IOException {
-    byte[] update = DnsPeer.signed(DnsPeer.update("a", "10.0.0.1", true), DnsPeer.key("till-key"));
+    byte[] update =
+        DnsTestClient.signed(
+            DnsTestClient.update("a", "10.0.0.1", true), DnsTestClient.key("till-key"));
     read(
         update,
         (host, id) -> {
--- a/src/test/java/mothwing/dns/server/DnsServiceTest.java
+++ b/src/test/java/mothwing/dns/server/DnsServiceTest.java
@@ -24,7 +24,7 @@
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicBoolean;
 import mothwing.server.DnsService;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -43,7 +43,7 @@
 /** The whole DNS server on loopback sockets, against stand-in resolvers and updaters. */
 class DnsServiceTest {
   private static final String ZONE =
-      DnsPeer.HEAD
+      DnsTestClient.ZONE_HEADER
           + "till A 10.1.0.1\nalias CNAME till\n"
           + "$GENERATE 1-60 many TXT \"some text that takes its room in the answer $\"\n";
 
@@ -53,7 +53,7 @@
   private InetSocketAddress server;
 
   private void start(String limits, String... keys) throws IOException {
-    start(DnsPeer.site(folder, limits, ZONE, keys));
+    start(DnsTestClient.writeSite(folder, limits, ZONE, keys));
   }
 
   private void start(Path script) throws IOException {
@@ -79,7 +79,7 @@
   }
 
   private Message ask(String name, int type) throws IOException {
-    return DnsPeer.udp(server, DnsPeer.question(name, type, 1232));
+    return DnsTestClient.sendUdp(server, DnsTestClient.question(name, type, 1232));
   }
 
   private static List<String> data(Message message, int section) {
@@ -90,11 +90,11 @@
   }
 
   private int update(Message update, String key) throws IOException {
-    byte[] bytes = DnsPeer.signed(update, DnsPeer.key(key));
-    Message answer = DnsPeer.tcp(server, bytes);
+    byte[] bytes = DnsTestClient.signed(update, DnsTestClient.key(key));
+    Message answer = DnsTestClient.sendTcp(server, bytes);
     assertEquals(
         Rcode.NOERROR,
-        DnsPeer.key(key).verify(answer, answer.toWire(), new Message(bytes).getTSIG()));
+        DnsTestClient.key(key).verify(answer, answer.toWire(), new Message(bytes).getTSIG()));
     return answer.getRcode();
   }
 
@@ -114,9 +114,9 @@
     assertEquals(60, none.getSection(Section.AUTHORITY).get(0).getTTL());
     Message cut = ask("many", Type.TXT);
     assertTrue(cut.getHeader().getFlag(Flags.TC));
-    byte[] question = DnsPeer.question("many", Type.TXT, 512).toWire();
-    assertTrue(DnsPeer.udp(server, question, 5000).length <= 512);
-    assertEquals(60, DnsPeer.tcp(server, question).getSection(Section.ANSWER).size());
+    byte[] question = DnsTestClient.question("many", Type.TXT, 512).toWire();
+    assertTrue(DnsTestClient.sendUdp(server, question, 5000).length <= 512);
+    assertEquals(60, DnsTestClient.sendTcp(server, question).getSection(Section.ANSWER).size());
     assertEquals(
         List.of("alias.example.org. CNAME till.example.org."),
         data(ask("alias", Type.ANY), Section.ANSWER));
@@ -133,12 +133,12 @@
     for (int i = 0; i < 4; i++) {
       Message question = new Message();
       question.addRecord(
-          Record.newRecord(DnsPeer.name("many"), Type.TXT, DClass.IN), Section.QUESTION);
+          Record.newRecord(DnsTestClient.name("many"), Type.TXT, DClass.IN), Section.QUESTION);
       question.addRecord(
           new org.xbill.DNS.OPTRecord(
               4096, 0, 0, 0, new org.xbill.DNS.GenericEDNSOption(10, cookie)),
           Section.ADDITIONAL);
-      Message answer = DnsPeer.udp(server, question);
+      Message answer = DnsTestClient.sendUdp(server, question);
       boolean proven = i == 1 || i == 2;
       assertEquals(!proven, answer.getHeader().getFlag(Flags.TC), "question " + i);
       assertEquals(proven ? 60 : 0, answer.getSection(Section.ANSWER).size());
@@ -163,17 +163,18 @@
         20, ((ExtendedErrorCodeOption) elsewhere.getOPT().getOptions().get(0)).getErrorCode());
     assertEquals(Rcode.REFUSED, ask("@", Type.AXFR).getRcode());
     Message chaos = new Message();
-    chaos.addRecord(Record.newRecord(DnsPeer.name("@"), Type.TXT, DClass.CH), Section.QUESTION);
-    assertEquals(Rcode.REFUSED, DnsPeer.udp(server, chaos).getRcode());
-    Message notify = DnsPeer.question("@", Type.SOA, 512);
+    chaos.addRecord(
+        Record.newRecord(DnsTestClient.name("@"), Type.TXT, DClass.CH), Section.QUESTION);
+    assertEquals(Rcode.REFUSED, DnsTestClient.sendUdp(server, chaos).getRcode());
+    Message notify = DnsTestClient.question("@", Type.SOA, 512);
     notify.getHeader().setOpcode(Opcode.NOTIFY);
-    assertEquals(Rcode.NOTIMP, DnsPeer.udp(server, notify).getRcode());
-    byte[] two = DnsPeer.question("@", Type.SOA, 512).toWire();
+    assertEquals(Rcode.NOTIMP, DnsTestClient.sendUdp(server, notify).getRcode());
+    byte[] two = DnsTestClient.question("@", Type.SOA, 512).toWire();
     two[5] = 2;
-    assertEquals(Rcode.FORMERR, new Message(DnsPeer.udp(server, two, 5000)).getRcode());
-    Message version = DnsPeer.question("@", Type.SOA, 512);
+    assertEquals(Rcode.FORMERR, new Message(DnsTestClient.sendUdp(server, two, 5000)).getRcode());
+    Message version = DnsTestClient.question("@", Type.SOA, 512);
     version.addRecord(new org.xbill.DNS.OPTRecord(1232, 0, 1), Section.ADDITIONAL);
-    assertEquals(Rcode.BADVERS, DnsPeer.udp(server, version).getRcode());
+    assertEquals(Rcode.BADVERS, DnsTestClient.sendUdp(server, version).getRcode());
   }
 
   /** A name that points to itself, in each place where a message can have one. */
@@ -181,11 +182,13 @@
   void compressionLoopsHoldNobodyUp() throws IOException {
     start("", "till-key");
     for (int place = 0; place < 3; place++) {
-      byte[] loop = DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), DnsPeer.key("till-key"));
+      byte[] loop =
+          DnsTestClient.signed(
+              DnsTestClient.update("a", "10.0.0.9", true), DnsTestClient.key("till-key"));
       int at = place == 0 ? 12 : place == 1 ? 29 : loop.length - 60;
       loop[at] = (byte) 0xc0;
       loop[at + 1] = (byte) at;
-      byte[] answer = DnsPeer.udp(server, loop, 5000);
+      byte[] answer = DnsTestClient.sendUdp(server, loop, 5000);
       assertNotNull(answer);
       assertTrue((answer[3] & 15) != 0, () -> Arrays.toString(answer));
     }
@@ -196,43 +199,46 @@
   @Test
   void refusesUpdatesThatMayNotBe() throws Exception {
     start("", "till-key");
-    Update unsigned = DnsPeer.update("a", "10.0.0.9", true);
-    assertEquals(Rcode.REFUSED, DnsPeer.udp(server, unsigned).getRcode());
+    Update unsigned = DnsTestClient.update("a", "10.0.0.9", true);
+    assertEquals(Rcode.REFUSED, DnsTestClient.sendUdp(server, unsigned).getRcode());
     byte[] unknown =
-        DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), DnsPeer.key("other-key"));
-    Message badKey = DnsPeer.tcp(server, unknown);
+        DnsTestClient.signed(
+            DnsTestClient.update("a", "10.0.0.9", true), DnsTestClient.key("other-key"));
+    Message badKey = DnsTestClient.sendTcp(server, unknown);
     assertEquals(Rcode.NOTAUTH, badKey.getRcode());
     assertEquals(Rcode.BADKEY, badKey.getTSIG().getError());
-    TSIG forged = new TSIG(TSIG.HMAC_SHA256, DnsPeer.name("till-key."), new byte[32]);
+    TSIG forged = new TSIG(TSIG.HMAC_SHA256, DnsTestClient.name("till-key."), new byte[32]);
     Message badSignature =
-        DnsPeer.tcp(server, DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), forged));
+        DnsTestClient.sendTcp(
+            server, DnsTestClient.signed(DnsTestClient.update("a", "10.0.0.9", true), forged));
     assertEquals(Rcode.NOTAUTH, badSignature.getRcode());
     assertEquals(Rcode.BADSIG, badSignature.getTSIG().getError());
     TSIG late =
         new TSIG(
             TSIG.HMAC_SHA256,
-            DnsPeer.name("till-key."),
+            DnsTestClient.name("till-key."),
             new javax.crypto.spec.SecretKeySpec(
                 Arrays.copyOf("till-key".getBytes(StandardCharsets.UTF_8), 32), "HmacSHA256"),
             Clock.offset(Clock.systemUTC(), Duration.ofSeconds(-400)));
     Message badTime =
-        DnsPeer.tcp(server, DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), late));
+        DnsTestClient.sendTcp(
+            server, DnsTestClient.signed(DnsTestClient.update("a", "10.0.0.9", true), late));
     assertEquals(Rcode.NOTAUTH, badTime.getRcode());
     assertEquals(Rcode.BADTIME, badTime.getTSIG().getError());
-    Update wrongType = new Update(DnsPeer.ZONE);
-    wrongType.add(DnsPeer.name("a"), Type.MX, 60, "10 till");
+    Update wrongType = new Update(DnsTestClient.ZONE);
+    wrongType.add(DnsTestClient.name("a"), Type.MX, 60, "10 till");
     assertEquals(Rcode.REFUSED, update(wrongType, "till-key"));
-    Update apex = new Update(DnsPeer.ZONE);
-    apex.delete(DnsPeer.ZONE, Type.NS);
+    Update apex = new Update(DnsTestClient.ZONE);
+    apex.delete(DnsTestClient.ZONE, Type.NS);
     assertEquals(Rcode.REFUSED, update(apex, "till-key"));
-    Update other = new Update(DnsPeer.name("example.net."));
-    other.add(DnsPeer.name("a.example.net."), Type.A, 60, "10.0.0.9");
+    Update other = new Update(DnsTestClient.name("example.net."));
+    other.add(DnsTestClient.name("a.example.net."), Type.A, 60, "10.0.0.9");
     assertEquals(Rcode.NOTAUTH, update(other, "till-key"));
-    Update outside = new Update(DnsPeer.ZONE);
-    outside.add(DnsPeer.name("a.example.net."), Type.A, 60, "10.0.0.9");
+    Update outside = new Update(DnsTestClient.ZONE);
+    outside.add(DnsTestClient.name("a.example.net."), Type.A, 60, "10.0.0.9");
     assertEquals(Rcode.NOTZONE, update(outside, "till-key"));
-    Update unmet = DnsPeer.update("a", "10.0.0.9", true);
-    unmet.present(DnsPeer.name("b"));
+    Update unmet = DnsTestClient.update("a", "10.0.0.9", true);
+    unmet.present(DnsTestClient.name("b"));
     assertEquals(Rcode.NXDOMAIN, update(unmet, "till-key"));
     assertEquals(Rcode.NXDOMAIN, ask("a", Type.A).getRcode());
     assertEquals("10", data(ask("@", Type.SOA), Section.ANSWER).get(0).split(" ")[4]);
@@ -245,12 +251,14 @@
   @Test
   void aRepeatChangesNothingAlsoAfterARestart() throws Exception {
     start("", "till-key");
-    byte[] add = DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), DnsPeer.key("till-key"));
-    assertEquals(Rcode.NOERROR, DnsPeer.tcp(server, add).getRcode());
+    byte[] add =
+        DnsTestClient.signed(
+            DnsTestClient.update("a", "10.0.0.9", true), DnsTestClient.key("till-key"));
+    assertEquals(Rcode.NOERROR, DnsTestClient.sendTcp(server, add).getRcode());
     assertEquals(1, ask("a", Type.A).getSection(Section.ANSWER).size());
-    assertEquals(Rcode.NOERROR, update(DnsPeer.update("a", "10.0.0.9", false), "till-key"));
+    assertEquals(Rcode.NOERROR, update(DnsTestClient.update("a", "10.0.0.9", false), "till-key"));
     for (int life = 0; life < 2; life++) {
-      assertEquals(Rcode.NOERROR, DnsPeer.tcp(server, add).getRcode());
+      assertEquals(Rcode.NOERROR, DnsTestClient.sendTcp(server, add).getRcode());
       assertEquals(Rcode.NXDOMAIN, ask("a", Type.A).getRcode());
       assertEquals("12", data(ask("@", Type.SOA), Section.ANSWER).get(0).split(" ")[4]);
       stop();
@@ -275,7 +283,7 @@
                 try {
                   codes.add(
                       update(
-                          DnsPeer.update("k" + i % 50, "10.3.0." + i % 250, true),
+                          DnsTestClient.update("k" + i % 50, "10.3.0." + i % 250, true),
                           newKey.get() ? "new-key" : "old-key"));
                 } catch (IOException broken) {
                   codes.add(-1);
@@ -293,8 +301,10 @@
     done.set(true);
     updater.join();
     assertEquals(Set.of(Rcode.NOERROR), new HashSet<>(codes));
-    byte[] old = DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), DnsPeer.key("old-key"));
-    assertEquals(Rcode.BADKEY, DnsPeer.tcp(server, old).getTSIG().getError());
+    byte[] old =
+        DnsTestClient.signed(
+            DnsTestClient.update("a", "10.0.0.9", true), DnsTestClient.key("old-key"));
+    assertEquals(Rcode.BADKEY, DnsTestClient.sendTcp(server, old).getTSIG().getError());
   }
 
   private interface Condition {
@@ -309,7 +319,7 @@
   }
 
   private void reload(String... keys) throws Exception {
-    DnsPeer.site(folder, "", ZONE, keys);
+    DnsTestClient.writeSite(folder, "", ZONE, keys);
     long before = List.copyOf(lines).stream().filter(one -> one.startsWith("dns-reload ")).count();
     service.reload();
     await(
@@ -324,11 +334,11 @@
     Files.writeString(folder.resolve("site.star"), "dns(listen = 5)");
     service.reload();
     await(() -> List.copyOf(lines).stream().anyMatch(one -> one.startsWith("reload-failed ")));
-    DnsPeer.site(folder, "", "@ NS nowhere\n", "till-key");
+    DnsTestClient.writeSite(folder, "", "@ NS nowhere\n", "till-key");
     service.reload();
     await(() -> List.copyOf(lines).stream().anyMatch(one -> one.startsWith("zone-reload-failed ")));
     assertEquals(1, ask("till", Type.A).getSection(Section.ANSWER).size());
-    DnsPeer.zone(folder, ZONE.replace("10.1.0.1", "10.1.0.2") + "bad A 300.0.0.1\n");
+    DnsTestClient.writeZone(folder, ZONE.replace("10.1.0.1", "10.1.0.2") + "bad A 300.0.0.1\n");
     service.reload();
     await(
         () ->
@@ -347,9 +357,10 @@
     start(", unproven_bytes = 0", "till-key");
     Random random = new Random(7);
     byte[][] good = {
-      DnsPeer.question("till", Type.A, 1232).toWire(),
-      DnsPeer.question("many", Type.TXT, 512).toWire(),
-      DnsPeer.signed(DnsPeer.update("a", "10.0.0.9", true), DnsPeer.key("till-key"))
+      DnsTestClient.question("till", Type.A, 1232).toWire(),
+      DnsTestClient.question("many", Type.TXT, 512).toWire(),
+      DnsTestClient.signed(
+          DnsTestClient.update("a", "10.0.0.9", true), DnsTestClient.key("till-key"))
     };
     int answered = 0;
     try (DatagramSocket socket = new DatagramSocket()) {
@@ -380,7 +391,7 @@
         ask("till", Type.A)
             .getHeader()
             .getFlag(Flags.TC)); // the address would not fit into what was asked
-    assertEquals(1, DnsPeer.tcp(server, good[0]).getSection(Section.ANSWER).size());
+    assertEquals(1, DnsTestClient.sendTcp(server, good[0]).getSection(Section.ANSWER).size());
     assertEquals(Rcode.NXDOMAIN, ask("a", Type.A).getRcode());
   }
 
@@ -419,16 +430,16 @@
   void connectionsThatDripComeToAnEnd() throws Exception {
     start(", connections = 150");
     List<Socket> dripping = new ArrayList<>();
-    byte[] question = DnsPeer.framed(DnsPeer.question("till", Type.A, 512).toWire());
+    byte[] question = DnsTestClient.framed(DnsTestClient.question("till", Type.A, 512).toWire());
     try {
       for (int i = 0; i < 200; i++) {
-        Socket one = DnsPeer.connect(server);
+        Socket one = DnsTestClient.connect(server);
         dripping.add(one);
         one.getOutputStream().write(question, 0, 1 + i % 20);
         if (i % 10 == 0) {
           assertEquals(
               1,
-              DnsPeer.tcp(server, Arrays.copyOfRange(question, 2, question.length))
+              DnsTestClient.sendTcp(server, Arrays.copyOfRange(question, 2, question.length))
                   .getSection(Section.ANSWER)
                   .size());
         }
@@ -452,18 +463,18 @@
   @Test
   void pipelinedQueriesAreAllAnswered() throws IOException {
     start(", pipelined = 8");
-    try (Socket socket = DnsPeer.connect(server)) {
+    try (Socket socket = DnsTestClient.connect(server)) {
       java.io.ByteArrayOutputStream all = new java.io.ByteArrayOutputStream();
       Set<Integer> ids = new HashSet<>();
       for (int i = 0; i < 40; i++) {
-        Message question = DnsPeer.question("till", Type.A, 512);
+        Message question = DnsTestClient.question("till", Type.A, 512);
         question.getHeader().setID(i);
-        all.write(DnsPeer.framed(question.toWire()));
+        all.write(DnsTestClient.framed(question.toWire()));
         ids.add(i);
       }
       socket.getOutputStream().write(all.toByteArray());
       for (int i = 0; i < 40; i++) {
-        Message answer = DnsPeer.read(socket);
+        Message answer = DnsTestClient.readMessage(socket);
         assertTrue(answer.getRcode() == Rcode.NOERROR || answer.getRcode() == Rcode.REFUSED);
         assertTrue(ids.remove(answer.getHeader().getID()), "answered twice");
       }
--- a/src/test/java/mothwing/dns/server/ZoneKeeperTest.java
+++ b/src/test/java/mothwing/dns/server/ZoneKeeperTest.java
@@ -22,7 +22,7 @@
 import mothwing.dns.zone.Zone;
 import mothwing.settings.Site;
 import mothwing.store.FaultyDisk;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
@@ -166,7 +166,8 @@
 
   private static String file(int generation, Set<Integer> hosts) {
     StringBuilder text =
-        new StringBuilder(DnsPeer.HEAD.replace("host 10", "host " + (10 + generation % 3)));
+        new StringBuilder(
+            DnsTestClient.ZONE_HEADER.replace("host 10", "host " + (10 + generation % 3)));
     hosts.forEach(
         one -> text.append("file").append(one).append(" A 10.8.0.").append(one).append('\n'));
     return text.toString();
@@ -178,7 +179,7 @@
     Random random = new Random(seed);
     FaultyDisk disk = new FaultyDisk(seed);
     Set<Integer> hosts = new HashSet<>(Set.of(1, 2));
-    DnsPeer.zone(folder, file(0, hosts));
+    DnsTestClient.writeZone(folder, file(0, hosts));
     long journalBytes = random.nextBoolean() ? 600 : 1 << 20;
     open(disk, folder, journalBytes);
     List<Updater> updaters = new ArrayList<>();
@@ -200,7 +201,7 @@
         case 3 -> {
           hosts.remove(random.nextInt(6));
           hosts.add(random.nextInt(6));
-          DnsPeer.zone(folder, file(step, hosts));
+          DnsTestClient.writeZone(folder, file(step, hosts));
           keeper.reload();
         }
         case 4 -> {
@@ -272,17 +273,19 @@
   @Test
   void mergesAnEditedFileWithWhatUpdatesDid(@TempDir Path folder) throws IOException {
     FaultyDisk disk = new FaultyDisk(1);
-    DnsPeer.zone(
+    DnsTestClient.writeZone(
         folder,
-        DnsPeer.HEAD + "kept A 10.0.0.2\ngone A 10.0.0.3\nboth A 10.0.0.4\nalias A 10.0.0.5\n");
+        DnsTestClient.ZONE_HEADER
+            + "kept A 10.0.0.2\ngone A 10.0.0.3\nboth A 10.0.0.4\nalias A 10.0.0.5\n");
     open(disk, folder, 1 << 20);
     assertEquals(Rcode.NOERROR, told(update("kept", 1, true), 1));
     assertEquals(Rcode.NOERROR, told(update("both", 2, true), 2));
     assertEquals(Rcode.NOERROR, told(update("new", 3, true), 3));
     assertEquals(Rcode.NOERROR, told(update("alias2", 4, true), 4));
-    DnsPeer.zone(
+    DnsTestClient.writeZone(
         folder,
-        DnsPeer.HEAD + "kept A 10.0.0.2\nboth A 10.0.0.44\nalias A 10.0.0.5\nalias2 CNAME alias\n");
+        DnsTestClient.ZONE_HEADER
+            + "kept A 10.0.0.2\nboth A 10.0.0.44\nalias A 10.0.0.5\nalias2 CNAME alias\n");
     keeper.reload();
     runAll();
     assertEquals(2, keeper.zone().get(name("kept"), Type.A).count());
@@ -305,27 +308,32 @@
    */
   @Test
   void aFileThatIsBeingWrittenIsReadLater(@TempDir Path folder) throws IOException {
-    DnsPeer.zone(folder, DnsPeer.HEAD + "kept A 10.0.0.2\nkept2 A 10.0.0.3\n");
+    DnsTestClient.writeZone(
+        folder, DnsTestClient.ZONE_HEADER + "kept A 10.0.0.2\nkept2 A 10.0.0.3\n");
     open(new FaultyDisk(1), folder, 1 << 20);
     Files.writeString(
-        folder.resolve("example.zone"), DnsPeer.HEAD + "kept A 10.0.0.2\n"); // as of this moment
+        folder.resolve("example.zone"),
+        DnsTestClient.ZONE_HEADER + "kept A 10.0.0.2\n"); // as of this moment
     keeper.reload();
     step(reader);
     step(owner);
     assertEquals(5, keeper.zone().records());
     assertFalse(lines.stream().anyMatch(one -> one.startsWith("zone-reload")), lines::toString);
-    DnsPeer.zone(folder, DnsPeer.HEAD + "kept A 10.0.0.2\nkept2 A 10.0.0.3\nlast A 10.0.0.4\n");
+    DnsTestClient.writeZone(
+        folder, DnsTestClient.ZONE_HEADER + "kept A 10.0.0.2\nkept2 A 10.0.0.3\nlast A 10.0.0.4\n");
     runAll();
     assertEquals(6, keeper.zone().records());
   }
 
   @Test
   void aSerialWrapsInUpdatesAndReloads(@TempDir Path folder) throws IOException {
-    DnsPeer.zone(folder, DnsPeer.HEAD.replace("host 10", "host 4294967295"));
+    DnsTestClient.writeZone(
+        folder, DnsTestClient.ZONE_HEADER.replace("host 10", "host 4294967295"));
     open(new FaultyDisk(1), folder, 1 << 20);
     assertEquals(Rcode.NOERROR, told(update("a", 1, true), 1));
     assertEquals(1, keeper.zone().serial());
-    DnsPeer.zone(folder, DnsPeer.HEAD.replace("host 10", "host 4294967295") + "b A 10.0.0.1\n");
+    DnsTestClient.writeZone(
+        folder, DnsTestClient.ZONE_HEADER.replace("host 10", "host 4294967295") + "b A 10.0.0.1\n");
     keeper.reload();
     runAll();
     assertEquals(2, keeper.zone().serial());
@@ -338,7 +346,7 @@
   @Test
   void aDamagedJournalIsServedReadOnly(@TempDir Path folder) throws IOException {
     FaultyDisk disk = new FaultyDisk(1);
-    DnsPeer.zone(folder, DnsPeer.HEAD);
+    DnsTestClient.writeZone(folder, DnsTestClient.ZONE_HEADER);
     open(disk, folder, 1 << 20);
     for (int i = 1; i < 5; i++) {
       assertEquals(Rcode.NOERROR, told(update("u" + i, i, true), i));
@@ -353,7 +361,7 @@
 
   @Test
   void repeatsAreBoundedAndForgottenWithTheirTime(@TempDir Path folder) throws IOException {
-    DnsPeer.zone(folder, DnsPeer.HEAD);
+    DnsTestClient.writeZone(folder, DnsTestClient.ZONE_HEADER);
     open(new FaultyDisk(1), folder, 1 << 20);
     for (int i = 1; i <= 4096; i++) {
       assertEquals(Rcode.NOERROR, told(update("u" + i % 9, i, true), i));
--- a/src/test/java/mothwing/testing/DnsPeer.java
+++ b/src/test/java/mothwing/testing/DnsTestClient.java
@@ -28,9 +28,9 @@
  * A stand-in for what talks to a DNS server: resolvers and updaters; and the folder of a site for
  * it to serve.
  */
-public final class DnsPeer {
+public final class DnsTestClient {
   /** The start of every zone file: its SOA (serial 10), its NS and that server's address. */
-  public static final String HEAD =
+  public static final String ZONE_HEADER =
       "$TTL 300\n@ SOA ns host 10 3600 600 86400 60\n@ NS ns\nns A 10.0.0.1\n";
 
   /** The zone's name. */
@@ -38,7 +38,7 @@
 
   private static final int PATIENCE_MS = 10_000;
 
-  private DnsPeer() {}
+  private DnsTestClient() {}
 
   /** A name, completed by the zone where it has no last dot. */
   public static Name name(String text) {
@@ -62,7 +62,7 @@
    * Writes a site's folder: settings with some keys, each with the right to A and TXT below the
    * zone, and a zone.
    */
-  public static Path site(Path folder, String limits, String zone, String... keys)
+  public static Path writeSite(Path folder, String limits, String zone, String... keys)
       throws IOException {
     StringBuilder script =
         new StringBuilder("dns(listen = '127.0.0.1:0', state = 'state'" + limits + ")\n");
@@ -85,12 +85,12 @@
         .append("zone(name = 'example.org', file = 'example.zone', updates = [")
         .append(rights)
         .append("])\n");
-    zone(folder, zone);
+    writeZone(folder, zone);
     return Files.writeString(folder.resolve("site.star"), script.toString());
   }
 
   /** Writes the zone file as an editor does that wrote it a while ago. */
-  public static void zone(Path folder, String zone) throws IOException {
+  public static void writeZone(Path folder, String zone) throws IOException {
     Path aside = Files.writeString(folder.resolve("example.zone.new"), zone);
     Files.setLastModifiedTime(
         aside, java.nio.file.attribute.FileTime.fromMillis(System.currentTimeMillis() - 5000));
@@ -130,7 +130,7 @@
   }
 
   /** Sends over UDP and waits for the answer's bytes; null where none comes in time. */
-  public static byte[] udp(InetSocketAddress server, byte[] message, int waitMs)
+  public static byte[] sendUdp(InetSocketAddress server, byte[] message, int waitMs)
       throws IOException {
     try (DatagramSocket socket = new DatagramSocket()) {
       socket.setSoTimeout(waitMs);
@@ -144,8 +144,8 @@
   }
 
   /** Asks over UDP. */
-  public static Message udp(InetSocketAddress server, Message message) throws IOException {
-    byte[] answer = udp(server, message.toWire(Message.MAXLENGTH), PATIENCE_MS);
+  public static Message sendUdp(InetSocketAddress server, Message message) throws IOException {
+    byte[] answer = sendUdp(server, message.toWire(Message.MAXLENGTH), PATIENCE_MS);
     if (answer == null) {
       throw new IOException("no answer");
     }
@@ -153,10 +153,10 @@
   }
 
   /** Sends bytes over a connection of its own and reads the answer. */
-  public static Message tcp(InetSocketAddress server, byte[] message) throws IOException {
+  public static Message sendTcp(InetSocketAddress server, byte[] message) throws IOException {
     try (Socket socket = connect(server)) {
       socket.getOutputStream().write(framed(message));
-      return read(socket);
+      return readMessage(socket);
     }
   }
 
@@ -177,7 +177,7 @@
   }
 
   /** Reads one message. */
-  public static Message read(Socket socket) throws IOException {
+  public static Message readMessage(Socket socket) throws IOException {
     DataInputStream in = new DataInputStream(socket.getInputStream());
     byte[] answer = new byte[in.readUnsignedShort()];
     in.readFully(answer);
--- a/src/test/java/mothwing/witness/DnsAnswerTest.java
+++ b/src/test/java/mothwing/witness/DnsAnswerTest.java
@@ -20,7 +20,7 @@
 import mothwing.server.DnsService;
 import mothwing.store.Disk;
 import mothwing.store.Journal;
-import mothwing.testing.DnsPeer;
+import mothwing.testing.DnsTestClient;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -48,7 +48,7 @@
 
   private void start(String zone, String limits) throws IOException {
     String text = new String(DnsStoredZoneTest.zoneFile(zone), StandardCharsets.US_ASCII);
-    service = new DnsService(DnsPeer.site(folder, limits, text, "till-key"), lines::add);
+    service = new DnsService(DnsTestClient.writeSite(folder, limits, text, "till-key"), lines::add);
     service.start();
     server = service.address();
   }
@@ -84,7 +84,7 @@
   }
 
   private byte[] ask(String name, int type, String additional) throws IOException {
-    return DnsPeer.udp(server, question(name, type, 1, additional), PATIENCE_MS);
+    return DnsTestClient.sendUdp(server, question(name, type, 1, additional), PATIENCE_MS);
   }
 
   /** Asks twice: the second answer may come from a cache. */
@@ -96,8 +96,8 @@
   }
 
   private byte[] tcp(byte[] message) throws IOException {
-    try (Socket socket = DnsPeer.connect(server)) {
-      socket.getOutputStream().write(DnsPeer.framed(message));
+    try (Socket socket = DnsTestClient.connect(server)) {
+      socket.getOutputStream().write(DnsTestClient.framed(message));
       DataInputStream in = new DataInputStream(socket.getInputStream());
       byte[] answer = new byte[in.readUnsignedShort()];
       in.readFully(answer);
@@ -186,13 +186,16 @@
     assertAnswer("refused-transfer", "example.org", Type.AXFR, EDNS_1232);
     assertAnswer("bad-version", "example.org", Type.SOA, "000029 04d0 00010000 0000");
     byte[] chaos = question("example.org", Type.TXT, 3, EDNS_1232);
-    HexFile.assertRecorded("dns/answer/refused-class", DnsPeer.udp(server, chaos, PATIENCE_MS));
+    HexFile.assertRecorded(
+        "dns/answer/refused-class", DnsTestClient.sendUdp(server, chaos, PATIENCE_MS));
     byte[] notify = question("example.org", Type.SOA, 1, "");
     notify[2] = 0x20;
-    HexFile.assertRecorded("dns/answer/not-implemented", DnsPeer.udp(server, notify, PATIENCE_MS));
+    HexFile.assertRecorded(
+        "dns/answer/not-implemented", DnsTestClient.sendUdp(server, notify, PATIENCE_MS));
     byte[] two = question("example.org", Type.SOA, 1, "");
     two[5] = 2;
-    HexFile.assertRecorded("dns/answer/format-error", DnsPeer.udp(server, two, PATIENCE_MS));
+    HexFile.assertRecorded(
+        "dns/answer/format-error", DnsTestClient.sendUdp(server, two, PATIENCE_MS));
   }
 
   /** Takes out what a signature changes with the time: when it was made, and its MAC. */
@@ -207,26 +210,26 @@
   private void assertUpdate(String recorded, Update update, String key, int mac)
       throws IOException {
     update.getHeader().setID(ID);
-    byte[] answer = tcp(DnsPeer.signed(update, DnsPeer.key(key)));
+    byte[] answer = tcp(DnsTestClient.signed(update, DnsTestClient.key(key)));
     HexFile.assertRecorded("dns/answer/" + recorded, withoutSignature(answer, mac));
   }
 
   @Test
   void updatesAndKeepsTheRecordedRecords() throws Exception {
     start("first.zone", ", unproven_bytes = 1232");
-    assertUpdate("update", DnsPeer.update("new", "10.9.0.1", true), "till-key", MAC);
+    assertUpdate("update", DnsTestClient.update("new", "10.9.0.1", true), "till-key", MAC);
     assertAnswer("updated", "new.example.org", Type.A, "");
     assertAnswer("updated-soa", "example.org", Type.SOA, "");
-    assertUpdate("update", DnsPeer.update("till", "10.1.0.2", false), "till-key", MAC);
-    Update wrongType = new Update(DnsPeer.ZONE);
-    wrongType.add(DnsPeer.name("a"), Type.MX, 60, "10 till");
+    assertUpdate("update", DnsTestClient.update("till", "10.1.0.2", false), "till-key", MAC);
+    Update wrongType = new Update(DnsTestClient.ZONE);
+    wrongType.add(DnsTestClient.name("a"), Type.MX, 60, "10 till");
     assertUpdate("update-refused", wrongType, "till-key", MAC);
-    assertUpdate("update-bad-key", DnsPeer.update("a", "10.9.0.1", true), "other-key", 0);
-    Update unsigned = DnsPeer.update("a", "10.9.0.1", true);
+    assertUpdate("update-bad-key", DnsTestClient.update("a", "10.9.0.1", true), "other-key", 0);
+    Update unsigned = DnsTestClient.update("a", "10.9.0.1", true);
     unsigned.getHeader().setID(ID);
     HexFile.assertRecorded(
         "dns/answer/update-unsigned",
-        DnsPeer.udp(server, unsigned.toWire(Message.MAXLENGTH), PATIENCE_MS));
+        DnsTestClient.sendUdp(server, unsigned.toWire(Message.MAXLENGTH), PATIENCE_MS));
     stop();
     List<byte[]> records = journalRecords();
     assertEquals(2, records.size());
