--- a/src/test/java/mothwing/server/ServerRaceTest.java
+++ b/src/test/java/mothwing/server/ServerRaceTest.java
@@ -78,9 +78,9 @@
 
   /** Runs an action and holds the event loop when it then writes a log line with a prefix. */
   private void holdAt(String prefix, Runnable action) throws InterruptedException {
-    log.hold(prefix);
+    log.blockAt(prefix);
     action.run();
-    log.awaitHeld();
+    log.awaitBlocked();
   }
 
   /** Holds the event loop at an arbitrary point. */
--- a/src/test/java/mothwing/testing/BlockingLog.java
+++ b/src/test/java/mothwing/testing/BlockingLog.java
@@ -16,14 +16,14 @@
   private CountDownLatch goes;
 
   /** Holds the writer of the next line that starts so, once. */
-  public synchronized void hold(String lineStart) {
+  public synchronized void blockAt(String lineStart) {
     start = lineStart;
     held = new CountDownLatch(1);
     goes = new CountDownLatch(1);
   }
 
   /** Waits until a writer is held. */
-  public void awaitHeld() throws InterruptedException {
+  public void awaitBlocked() throws InterruptedException {
     held.await();
   }
 
