--- a/src/test/java/mothwing/witness/AdapterRecorder.java
+++ b/src/test/java/mothwing/witness/AdapterRecorder.java
@@ -21,60 +21,66 @@
 import mothwing.adapter.Adapter;
 
 /**
- * Records the files of {@link AdapterWitnessTest}, and the messages of {@link SettingsWitnessTest}:
- * it plays two instances against the adapter, with a seeded random load that follows the actions,
- * and writes down both directions.
+ * Records the files of {@link AdapterWitnessTest} and the messages of {@link SettingsWitnessTest}.
+ * It simulates two instances that use the adapter, with a seeded random load that responds to the
+ * actions, and records both directions.
  *
- * <p>Run it only where a change of the decisions is meant: {@code AdapterRecorder FOLDER}, with the
- * test classes on the class path, twice: the list of kinds is of the recordings on the class path.
+ * <p>Run it only after an intended change of the decisions: {@code AdapterRecorder FOLDER}, with
+ * the test classes on the class path. Run it twice, since the list of kinds is made from the
+ * recordings on the class path.
  */
 final class AdapterRecorder {
   private static final long SECOND = 1_000_000;
-  private static final long ROUND = 20_000;
-  private static final long SLOWDOWN = 35 * SECOND;
-  private static final long NOTICE = 62 * SECOND;
-  private static final long REPLACEMENT = 66 * SECOND;
-  private static final long END = 75 * SECOND;
+  private static final long BATCH_MICROS = 20_000;
+  private static final long SLOWDOWN_AT = 35 * SECOND;
+  private static final long SHUTDOWN_NOTICE_AT = 62 * SECOND;
+  private static final long REPLACEMENT_AT = 66 * SECOND;
+  private static final long END_AT = 75 * SECOND;
   private static final int CORES = 2;
-  private static final String[] BAD_ENDS = {"BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP"};
+  private static final String[] FAILURE_VERDICTS = {
+    "BAD", "FULL", "LATE", "NOCONN", "RST", "CXL", "NOP"
+  };
 
-  private record Due(long at, long order, JsonObject event) {}
+  private record ScheduledEvent(long at, long order, JsonObject event) {}
 
-  /** One request as the load knows it; the order of its last event, so that a stop cancels it. */
+  /** The state of a request as the load generator sees it. */
   private static final class Job {
-    private boolean runs;
-    private boolean calledAlready;
-    private boolean waitsAtCall;
+    private boolean running;
+    private boolean hasCalled;
+    private boolean awaitsCall;
     private boolean paused;
-    private boolean over;
-    private long callUntil;
-    private long pending;
-    private long left;
+    private boolean ended;
+    private long callEndsAt;
+
+    /** The order of its last scheduled event; earlier events of the request are dropped. */
+    private long lastEventOrder;
+
+    private long remainingMicros;
   }
 
-  private final PriorityQueue<Due> queue =
+  private final PriorityQueue<ScheduledEvent> queue =
       new PriorityQueue<>(
-          (one, other) ->
-              one.at() != other.at()
-                  ? Long.compare(one.at(), other.at())
-                  : Long.compare(one.order(), other.order()));
+          (first, second) ->
+              first.at() != second.at()
+                  ? Long.compare(first.at(), second.at())
+                  : Long.compare(first.order(), second.order()));
   private final Map<String, Job> jobs = new HashMap<>();
-  private final List<String> keyed = new ArrayList<>();
+  private final List<String> originalIds = new ArrayList<>();
   private final JsonObject options;
   private final Random random;
-  private final boolean suspends;
-  private long orders;
-  private int running;
-  private int submitted;
+  private final boolean suspendsRuns;
+  private long lastOrder;
+  private int runningCount;
+  private int submittedCount;
 
   private AdapterRecorder(JsonObject options, long seed) {
     this.options = options;
     this.random = new Random(seed);
-    this.suspends = options.toString().contains("suspend");
+    this.suspendsRuns = options.toString().contains("suspend");
   }
 
-  public static void main(String[] words) throws Exception {
-    Path folder = Path.of(words[0]);
+  public static void main(String[] arguments) throws Exception {
+    Path folder = Path.of(arguments[0]);
     long seed = 11;
     for (String variant : AdapterWitnessTest.VARIANTS) {
       JsonObject options =
@@ -83,10 +89,10 @@
       new AdapterRecorder(options, seed++).record(folder, variant);
     }
     Files.writeString(folder.resolve("kinds.txt"), AdapterWitnessTest.kinds());
-    Files.writeString(folder.resolve("bad-lines.txt"), AdapterWitnessTest.badLines());
+    Files.writeString(folder.resolve("bad-lines.txt"), AdapterWitnessTest.malformedLines());
     Files.writeString(
         folder.resolveSibling("settings").resolve("bad-values.txt"),
-        SettingsWitnessTest.badValues());
+        SettingsWitnessTest.invalidValues());
   }
 
   private void record(Path folder, String variant) throws Exception {
@@ -100,15 +106,16 @@
       adapter.start();
       BufferedReader replies =
           new BufferedReader(new InputStreamReader(fromAdapter, StandardCharsets.UTF_8));
-      script();
-      while (!queue.isEmpty() && queue.peek().at() < END) {
+      scheduleScenario();
+      while (!queue.isEmpty() && queue.peek().at() < END_AT) {
         String line = nextBatch();
         toAdapter.write((line + "\n").getBytes(StandardCharsets.UTF_8));
         toAdapter.flush();
         String reply = replies.readLine();
         inputs.add(line);
         outputs.add(reply);
-        follow(JsonParser.parseString(line).getAsJsonObject().get("SimTime").getAsLong(), reply);
+        applyActions(
+            JsonParser.parseString(line).getAsJsonObject().get("SimTime").getAsLong(), reply);
       }
     }
     write(folder.resolve(variant + "-input.gz"), inputs);
@@ -129,56 +136,58 @@
     }
   }
 
-  private void script() {
+  private void scheduleScenario() {
     powerOn(0, 1);
     powerOn(0, 2);
-    for (long at = ROUND; at < END; at += gap(at)) {
-      submit(at, at < REPLACEMENT ? 1 + random.nextInt(2) : 1);
+    for (long at = BATCH_MICROS; at < END_AT; at += nextGapMicros(at)) {
+      submit(at, at < REPLACEMENT_AT ? 1 + random.nextInt(2) : 1);
     }
     JsonObject notice = event("Sigterm", 2);
-    notice.addProperty("ValidUntil", NOTICE + 3 * SECOND);
-    schedule(NOTICE, notice);
-    schedule(REPLACEMENT - ROUND, event("Detach", 2));
-    powerOn(REPLACEMENT, 2);
+    notice.addProperty("ValidUntil", SHUTDOWN_NOTICE_AT + 3 * SECOND);
+    schedule(SHUTDOWN_NOTICE_AT, notice);
+    schedule(REPLACEMENT_AT - BATCH_MICROS, event("Detach", 2));
+    powerOn(REPLACEMENT_AT, 2);
   }
 
-  /** Light, then twice what the cores can do, then light again. */
-  private long gap(long at) {
+  /**
+   * Returns a random gap to the next request: a light load, with an overload of twice the cores.
+   */
+  private long nextGapMicros(long at) {
     double perSecond = at > 15 * SECOND && at < 45 * SECOND ? 60 : 14;
     return 1 + (long) (-Math.log(1 - random.nextDouble()) * SECOND / perSecond);
   }
 
-  private void powerOn(long at, int who) {
-    JsonObject start = event("PowerOn", who);
-    start.addProperty("Seed", 5 + who);
+  private void powerOn(long at, int instance) {
+    JsonObject start = event("PowerOn", instance);
+    start.addProperty("Seed", 5 + instance);
     start.add("Options", options);
     schedule(at, start);
   }
 
-  private static JsonObject event(String what, int who) {
+  private static JsonObject event(String kind, int instance) {
     JsonObject event = new JsonObject();
-    event.addProperty("what", what);
-    event.addProperty("Who", who);
+    event.addProperty("what", kind);
+    event.addProperty("Who", instance);
     return event;
   }
 
-  private static JsonObject event(String what, int who, String job) {
-    JsonObject event = event(what, who);
-    event.addProperty("Job", job);
+  private static JsonObject event(String kind, int instance, String id) {
+    JsonObject event = event(kind, instance);
+    event.addProperty("Job", id);
     return event;
   }
 
   private long schedule(long at, JsonObject event) {
-    queue.add(new Due(at, ++orders, event));
-    return orders;
+    queue.add(new ScheduledEvent(at, ++lastOrder, event));
+    return lastOrder;
   }
 
-  private void submit(long at, int who) {
-    String job = String.format("%08x", 0xa000 + submitted++);
-    JsonObject event = event("Submit", who, job);
+  private void submit(long at, int instance) {
+    String id = String.format("%08x", 0xa000 + submittedCount++);
+    JsonObject event = event("Submit", instance, id);
     JsonArray classes = options.getAsJsonArray("Classes");
-    JsonObject kind = classes.get(random.nextInt(classes.size())).getAsJsonObject();
-    event.add("Band", kind.get("Name"));
+    JsonObject requestClass = classes.get(random.nextInt(classes.size())).getAsJsonObject();
+    event.add("Band", requestClass.get("Name"));
     event.addProperty("Kb", 4 + random.nextInt(400) / 10.0);
     event.addProperty("Author", random.nextInt(6));
     if (random.nextInt(4) > 0) {
@@ -195,30 +204,31 @@
     }
     JsonArray tenants = options.getAsJsonArray("Tenants");
     if (tenants != null) {
-      int place = random.nextInt(tenants.size() + 1);
+      int index = random.nextInt(tenants.size() + 1);
       event.addProperty(
           "Team",
-          place < tenants.size()
-              ? tenants.get(place).getAsJsonObject().get("Name").getAsString()
+          index < tenants.size()
+              ? tenants.get(index).getAsJsonObject().get("Name").getAsString()
               : "nobody");
     }
-    repeatOrSubject(event, kind, job);
+    addIdempotency(event, requestClass, id);
     schedule(at, event);
     if (random.nextInt(12) == 0) {
-      schedule(at + random.nextInt(1_500_000), event("Abandoned", who, job));
+      schedule(at + random.nextInt(1_500_000), event("Abandoned", instance, id));
     }
   }
 
-  private void repeatOrSubject(JsonObject event, JsonObject kind, String job) {
-    String idempotency = kind.get("Idempotency").getAsString();
+  private void addIdempotency(JsonObject event, JsonObject requestClass, String id) {
+    String idempotency = requestClass.get("Idempotency").getAsString();
     if (idempotency.equals("guarded")) {
-      boolean repeats = !keyed.isEmpty() && random.nextInt(5) == 0;
+      boolean repeats = !originalIds.isEmpty() && random.nextInt(5) == 0;
       if (repeats) {
-        int recent = Math.min(keyed.size(), 40);
-        event.addProperty("Forerunner", keyed.get(keyed.size() - 1 - random.nextInt(recent)));
+        int recent = Math.min(originalIds.size(), 40);
+        event.addProperty(
+            "Forerunner", originalIds.get(originalIds.size() - 1 - random.nextInt(recent)));
       } else {
         event.addProperty("Forerunner", 0);
-        keyed.add(job);
+        originalIds.add(id);
       }
       event.addProperty("Mutates", true);
     } else if (idempotency.equals("free")) {
@@ -228,30 +238,30 @@
     }
   }
 
-  /** All that is due within one round, under the time of the round's end. */
+  /** Returns the events of the next batch interval, with the time of its end. */
   private String nextBatch() {
-    long now = (queue.peek().at() / ROUND + 1) * ROUND;
+    long now = (queue.peek().at() / BATCH_MICROS + 1) * BATCH_MICROS;
     JsonArray events = new JsonArray();
     while (!queue.isEmpty() && queue.peek().at() < now) {
-      Due due = queue.poll();
-      String job = due.event().has("Job") ? due.event().get("Job").getAsString() : "";
-      String what = due.event().get("what").getAsString();
-      Job known = jobs.get(job);
-      if (known != null
-          && known.pending != due.order()
-          && (what.equals("Finished") || what.equals("StalledOnCall"))) {
+      ScheduledEvent next = queue.poll();
+      String id = next.event().has("Job") ? next.event().get("Job").getAsString() : "";
+      String kind = next.event().get("what").getAsString();
+      Job job = jobs.get(id);
+      if (job != null
+          && job.lastEventOrder != next.order()
+          && (kind.equals("Finished") || kind.equals("StalledOnCall"))) {
         continue;
       }
-      if (known != null && what.equals("Finished") && known.runs) {
-        known.runs = false;
-        running--;
+      if (job != null && kind.equals("Finished") && job.running) {
+        job.running = false;
+        runningCount--;
       }
-      events.add(due.event());
-      if (known != null && what.equals("StalledOnCall")) {
-        known.waitsAtCall = true;
+      events.add(next.event());
+      if (job != null && kind.equals("StalledOnCall")) {
+        job.awaitsCall = true;
       }
-      if (what.equals("Abandoned")) {
-        endRequest(now, due.event().get("Who").getAsInt(), job);
+      if (kind.equals("Abandoned")) {
+        endRequest(now, next.event().get("Who").getAsInt(), id);
       }
     }
     JsonObject batch = new JsonObject();
@@ -260,129 +270,131 @@
     return batch.toString();
   }
 
-  private void follow(long now, String reply) {
+  private void applyActions(long now, String reply) {
     for (var element : JsonParser.parseString(reply).getAsJsonObject().getAsJsonArray("out")) {
       JsonObject action = element.getAsJsonObject();
-      int who = action.get("Who").getAsInt();
+      int instance = action.get("Who").getAsInt();
       String id = action.has("Job") ? action.get("Job").getAsString() : "";
       switch (action.get("what").getAsString()) {
-        case "Start" -> start(now, who, id);
-        case "AskBelow" -> ask(now, who, id);
-        case "Omit" -> finish(now + work(now), who, id);
-        case "Replay" -> finish(now + 1000, who, id);
-        case "Preempt" -> stop(now, who, id);
-        case "EndFailed" -> endRequest(now, who, id);
-        case "Timer" -> timer(Math.max(now, action.get("Time").getAsLong()), who, action);
+        case "Start" -> startRun(now, instance, id);
+        case "AskBelow" -> startCall(now, instance, id);
+        case "Omit" -> scheduleFinish(now + workMicros(now), instance, id);
+        case "Replay" -> scheduleFinish(now + 1000, instance, id);
+        case "Preempt" -> stopRun(now, instance, id);
+        case "EndFailed" -> endRequest(now, instance, id);
+        case "Timer" ->
+            scheduleTimer(Math.max(now, action.get("Time").getAsLong()), instance, action);
         default -> {}
       }
     }
   }
 
-  /** Core time, longer where runs share the cores and in the time of the slowdown. */
-  private long work(long now) {
-    double share = Math.max(1, (double) running / CORES);
-    double slow = now > SLOWDOWN && now < SLOWDOWN + 6 * SECOND ? 4 : 1;
-    return (long) ((15_000 + random.nextInt(130_000)) * share * slow);
+  /** Returns a random duration, longer when runs share the cores and during the slowdown. */
+  private long workMicros(long now) {
+    double runsPerCore = Math.max(1, (double) runningCount / CORES);
+    double slowdownFactor = now > SLOWDOWN_AT && now < SLOWDOWN_AT + 6 * SECOND ? 4 : 1;
+    return (long) ((15_000 + random.nextInt(130_000)) * runsPerCore * slowdownFactor);
   }
 
-  private void start(long now, int who, String id) {
-    Job job = jobs.computeIfAbsent(id, none -> new Job());
+  private void startRun(long now, int instance, String id) {
+    Job job = jobs.computeIfAbsent(id, absent -> new Job());
     job.paused = false;
-    if (!job.runs) {
-      job.runs = true;
-      running++;
+    if (!job.running) {
+      job.running = true;
+      runningCount++;
     }
-    if (job.left > 0) {
-      finish(now + job.left, who, id);
-    } else if (!job.calledAlready
-        && options.toString().contains("CallsOut")
-        && random.nextInt(3) > 0) {
-      job.calledAlready = true;
-      job.pending = schedule(now + work(now) / 2, event("StalledOnCall", who, id));
+    if (job.remainingMicros > 0) {
+      scheduleFinish(now + job.remainingMicros, instance, id);
+    } else if (!job.hasCalled && options.toString().contains("CallsOut") && random.nextInt(3) > 0) {
+      job.hasCalled = true;
+      job.lastEventOrder =
+          schedule(now + workMicros(now) / 2, event("StalledOnCall", instance, id));
     } else {
-      finish(now + work(now), who, id);
+      scheduleFinish(now + workMicros(now), instance, id);
     }
   }
 
-  private void ask(long now, int who, String id) {
-    long took = 10_000L + random.nextInt(random.nextInt(10) == 0 ? 1_500_000 : 120_000);
-    JsonObject result = ended("CallResult", who, id, took);
+  private void startCall(long now, int instance, String id) {
+    long durationMicros = 10_000L + random.nextInt(random.nextInt(10) == 0 ? 1_500_000 : 120_000);
+    JsonObject result = endEvent("CallResult", instance, id, durationMicros);
     Job job = jobs.get(id);
-    job.waitsAtCall = false;
-    job.callUntil = now + took;
-    schedule(job.callUntil, result);
-    job.pending = orders;
-    JsonObject end = ended("Finished", who, id, took);
-    long at = now + took + work(now);
-    queue.add(new Due(at, job.pending, end));
+    job.awaitsCall = false;
+    job.callEndsAt = now + durationMicros;
+    schedule(job.callEndsAt, result);
+    job.lastEventOrder = lastOrder;
+    JsonObject end = endEvent("Finished", instance, id, durationMicros);
+    long at = now + durationMicros + workMicros(now);
+    queue.add(new ScheduledEvent(at, job.lastEventOrder, end));
   }
 
-  /** A run whose request is over ends where it waits: at its call, or paused. */
-  private void endRequest(long now, int who, String id) {
+  /** Ends a request, and its run if that awaits a call or is paused. */
+  private void endRequest(long now, int instance, String id) {
     Job job = jobs.get(id);
     if (job != null) {
-      job.over = true;
-      if (job.waitsAtCall || job.paused) {
-        endStopped(now, who, id);
+      job.ended = true;
+      if (job.awaitsCall || job.paused) {
+        scheduleStoppedEnd(now, instance, id);
       }
     }
   }
 
-  private void endStopped(long now, int who, String id) {
+  private void scheduleStoppedEnd(long now, int instance, String id) {
     Job job = jobs.get(id);
-    job.waitsAtCall = false;
+    job.awaitsCall = false;
     job.paused = false;
-    JsonObject event = event("Finished", who, id);
+    JsonObject event = event("Finished", instance, id);
     event.addProperty("Verdict", "CXL");
-    job.pending = schedule(now + 5000, event);
+    job.lastEventOrder = schedule(now + 5000, event);
   }
 
-  private void finish(long at, int who, String id) {
-    Job job = jobs.computeIfAbsent(id, none -> new Job());
-    job.left = 0;
-    job.waitsAtCall = false;
-    job.pending = schedule(at, ended("Finished", who, id, 20_000 + random.nextInt(200_000)));
+  private void scheduleFinish(long at, int instance, String id) {
+    Job job = jobs.computeIfAbsent(id, absent -> new Job());
+    job.remainingMicros = 0;
+    job.awaitsCall = false;
+    job.lastEventOrder =
+        schedule(at, endEvent("Finished", instance, id, 20_000 + random.nextInt(200_000)));
   }
 
-  private JsonObject ended(String what, int who, String id, long took) {
-    JsonObject event = event(what, who, id);
-    boolean good = random.nextInt(14) > 0;
-    event.addProperty("Verdict", good ? "GOOD" : BAD_ENDS[random.nextInt(BAD_ENDS.length)]);
+  private JsonObject endEvent(String kind, int instance, String id, long durationMicros) {
+    JsonObject event = event(kind, instance, id);
+    boolean succeeded = random.nextInt(14) > 0;
+    event.addProperty(
+        "Verdict", succeeded ? "GOOD" : FAILURE_VERDICTS[random.nextInt(FAILURE_VERDICTS.length)]);
     if (random.nextInt(8) > 0) {
-      event.addProperty("Rtt", took);
+      event.addProperty("Rtt", durationMicros);
     }
     return event;
   }
 
-  private void stop(long now, int who, String id) {
+  private void stopRun(long now, int instance, String id) {
     Job job = jobs.get(id);
-    if (job.runs) {
-      job.runs = false;
-      running--;
+    if (job.running) {
+      job.running = false;
+      runningCount--;
     }
-    if (suspends && !job.over) {
+    if (suspendsRuns && !job.ended) {
       job.paused = true;
-      job.pending = 0;
-      job.left = Math.max(work(now), job.callUntil - now);
+      job.lastEventOrder = 0;
+      job.remainingMicros = Math.max(workMicros(now), job.callEndsAt - now);
     } else {
-      endStopped(now, who, id);
+      scheduleStoppedEnd(now, instance, id);
     }
   }
 
-  private void timer(long at, int who, JsonObject action) {
-    JsonObject fired = event("Fired", who);
+  private void scheduleTimer(long at, int instance, JsonObject action) {
+    JsonObject fired = event("Fired", instance);
     fired.add("Tag", action.get("Tag"));
     JsonArray gauges = new JsonArray();
     JsonObject extra = options.getAsJsonObject("Extra");
     int count = extra.has("Gauges") ? extra.getAsJsonArray("Gauges").size() : 0;
-    boolean blind = at > 48 * SECOND && at < 54 * SECOND;
-    int how = blind ? 0 : random.nextInt(10);
-    for (int place = 0; place < count && how > 1; place++) {
-      double busy = Math.min(1, (double) running / CORES);
-      double crowd = at > SLOWDOWN && at < SLOWDOWN + 6 * SECOND ? 25 : 0;
-      gauges.add(place == 0 ? busy : crowd + random.nextInt(1000) / 100.0);
+    boolean gaugesMissing = at > 48 * SECOND && at < 54 * SECOND;
+    int draw = gaugesMissing ? 0 : random.nextInt(10);
+    for (int index = 0; index < count && draw > 1; index++) {
+      double busyRatio = Math.min(1, (double) runningCount / CORES);
+      double slowdownLoad = at > SLOWDOWN_AT && at < SLOWDOWN_AT + 6 * SECOND ? 25 : 0;
+      gauges.add(index == 0 ? busyRatio : slowdownLoad + random.nextInt(1000) / 100.0);
     }
-    if (how > 0) {
+    if (draw > 0) {
       fired.add("Stats", gauges);
     }
     schedule(at, fired);
--- a/src/test/java/mothwing/witness/AdapterWitnessTest.java
+++ b/src/test/java/mothwing/witness/AdapterWitnessTest.java
@@ -20,31 +20,30 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds the bytes of the simulator's wire: recorded lines of events get the recorded lines of
- * actions, and bad lines the recorded complaints. {@link AdapterRecorder} made the recordings.
+ * Checks the bytes of the simulator's wire format against recordings: recorded lines of events
+ * yield the recorded lines of actions, and malformed lines the recorded errors. {@link
+ * AdapterRecorder} writes the recordings.
  */
 class AdapterWitnessTest {
-  /** The recorded variants of the settings. */
+  /** The variants of the settings that are recorded. */
   static final List<String> VARIANTS = List.of("guarded-calls", "plain");
 
-  private static final int LINES_AN_INPUT = 3;
+  private static final int LINES_PER_INPUT = 3;
   private static final String FOLDER = "/witness/adapter/";
 
-  private record Result(int status, String output, String complaints) {}
+  private record Result(int status, String output, String errors) {}
 
-  private static Result adapter(String input) throws IOException {
+  private static Result runAdapter(String input) throws IOException {
     ByteArrayOutputStream output = new ByteArrayOutputStream();
-    ByteArrayOutputStream complaints = new ByteArrayOutputStream();
+    ByteArrayOutputStream errors = new ByteArrayOutputStream();
     int status =
         new Adapter(
                 new ByteArrayInputStream(input.getBytes(StandardCharsets.UTF_8)),
                 output,
-                new PrintStream(complaints, true, StandardCharsets.UTF_8))
+                new PrintStream(errors, true, StandardCharsets.UTF_8))
             .run();
     return new Result(
-        status,
-        output.toString(StandardCharsets.UTF_8),
-        complaints.toString(StandardCharsets.UTF_8));
+        status, output.toString(StandardCharsets.UTF_8), errors.toString(StandardCharsets.UTF_8));
   }
 
   private static String text(String name) throws IOException {
@@ -55,10 +54,10 @@
   }
 
   @Test
-  void theRecordedEventsGetTheRecordedActions() throws IOException {
+  void recordedEventsYieldRecordedActions() throws IOException {
     for (String variant : VARIANTS) {
-      Result result = adapter(text(variant + "-input.gz"));
-      assertEquals("", result.complaints(), variant);
+      Result result = runAdapter(text(variant + "-input.gz"));
+      assertEquals("", result.errors(), variant);
       assertEquals(0, result.status(), variant);
       List<String> expected = text(variant + "-output.gz").lines().toList();
       List<String> found = result.output().lines().toList();
@@ -69,13 +68,16 @@
     }
   }
 
-  /** A recording that leaves out a kind of event, outcome or action would hold nothing about it. */
+  /**
+   * Guards against a recording without some kind of event, outcome or action, which then no test
+   * checks.
+   */
   @Test
-  void theRecordingsHoldEveryKindOfEventOutcomeAndAction() throws IOException {
+  void recordingsCoverEveryKindOfEventOutcomeAndAction() throws IOException {
     assertEquals(text("kinds.txt"), kinds());
   }
 
-  /** The kinds in the recordings, a line each. */
+  /** Returns the kinds in the recordings, one per line. */
   static String kinds() throws IOException {
     Set<String> kinds = new TreeSet<>();
     for (String variant : VARIANTS) {
@@ -91,54 +93,54 @@
         .forEach(
             line -> {
               JsonObject batch = JsonParser.parseString(line).getAsJsonObject();
-              for (JsonElement one : batch.getAsJsonArray(list)) {
-                collect(one.getAsJsonObject(), list, kinds);
+              for (JsonElement element : batch.getAsJsonArray(list)) {
+                collect(element.getAsJsonObject(), list, kinds);
               }
             });
   }
 
-  /** Each key of each kind, and each value of the keys that have few. */
-  private static void collect(JsonObject one, String list, Set<String> kinds) {
-    String what = list + " " + one.get("what").getAsString();
-    kinds.add(what);
-    for (String key : one.keySet()) {
+  /** Collects each key of each kind, and the values of the keys with few values. */
+  private static void collect(JsonObject message, String list, Set<String> kinds) {
+    String kind = list + " " + message.get("what").getAsString();
+    kinds.add(kind);
+    for (String key : message.keySet()) {
       if (!key.equals("what") && !key.equals("Who")) {
-        kinds.add(what + " " + key);
+        kinds.add(kind + " " + key);
       }
     }
-    if (one.has("Verdict")) {
-      kinds.add(what + " " + one.get("Verdict").getAsString());
+    if (message.has("Verdict")) {
+      kinds.add(kind + " " + message.get("Verdict").getAsString());
     }
-    if (one.has("Stats")) {
-      kinds.add(what + " with " + one.getAsJsonArray("Stats").size() + " gauges");
+    if (message.has("Stats")) {
+      kinds.add(kind + " with " + message.getAsJsonArray("Stats").size() + " gauges");
     }
-    if (one.has("Want")) {
-      kinds.add(what + " " + one.get("Cheap") + " " + one.get("Want"));
+    if (message.has("Want")) {
+      kinds.add(kind + " " + message.get("Cheap") + " " + message.get("Want"));
     }
   }
 
   /**
-   * Each bad line comes after a good one in which instance 1 starts, so that the complaint's number
-   * is held too. The file has three lines an input: the input, the status, the complaint with its
-   * line ends escaped.
+   * Sends each malformed line after a valid one that starts instance 1, so that the line number in
+   * the error is checked too. The file has three lines per input: the input, the exit status, and
+   * the error with its line ends escaped.
    */
   @Test
-  void badLinesGetTheRecordedComplaints() throws IOException {
-    assertEquals(text("bad-lines.txt"), badLines());
+  void malformedLinesYieldRecordedErrors() throws IOException {
+    assertEquals(text("bad-lines.txt"), malformedLines());
   }
 
-  /** The bad lines, each with the status and the complaint of now. */
-  static String badLines() throws IOException {
+  /** Returns the malformed lines, each with its current exit status and error. */
+  static String malformedLines() throws IOException {
     String start = text("bad-lines-first.json").strip() + "\n";
-    String started = adapter(start).output();
+    String started = runAdapter(start).output();
     assertTrue(started.startsWith("{\"out\":[{"), started);
     List<String> recorded = text("bad-lines.txt").lines().toList();
     StringBuilder found = new StringBuilder();
-    for (int place = 0; place < recorded.size(); place += LINES_AN_INPUT) {
-      Result result = adapter(start + recorded.get(place) + "\n");
-      assertEquals(started, result.output(), recorded.get(place));
-      found.append(recorded.get(place)).append('\n').append(result.status()).append('\n');
-      found.append(result.complaints().strip().replace("\n", "\\n")).append('\n');
+    for (int index = 0; index < recorded.size(); index += LINES_PER_INPUT) {
+      Result result = runAdapter(start + recorded.get(index) + "\n");
+      assertEquals(started, result.output(), recorded.get(index));
+      found.append(recorded.get(index)).append('\n').append(result.status()).append('\n');
+      found.append(result.errors().strip().replace("\n", "\\n")).append('\n');
     }
     return found.toString();
   }
--- a/src/test/java/mothwing/witness/AdminWitnessTest.java
+++ b/src/test/java/mothwing/witness/AdminWitnessTest.java
@@ -33,20 +33,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The recorded replies to operators' calls. */
+/** Checks the replies to admin calls against recordings. */
 class AdminWitnessTest {
   private static final String CONNECTION = "operators-connection.txt";
   private static final String SERVER = "operators-server.txt";
-  private static final int SEED = 7; // of the fleet member's start number
+
+  /** Determines the start number of the fleet member. */
+  private static final int SEED = 7;
 
   private GoldenFile golden;
 
-  /** What a server says of itself, set by the steps. */
-  private static final class SetOperations implements AdminOperations {
+  /** Operations whose results are set by the recorded steps. */
+  private static final class FakeOperations implements AdminOperations {
     private boolean serving = true;
     private boolean mayLeave = true;
     private String members;
-    private final List<Boolean> told = new ArrayList<>();
+    private final List<Boolean> rotationCalls = new ArrayList<>();
 
     @Override
     public boolean isServing() {
@@ -64,41 +66,41 @@
     }
 
     @Override
-    public boolean setOutOfRotation(boolean away) {
-      told.add(away);
+    public boolean setOutOfRotation(boolean outOfRotation) {
+      rotationCalls.add(outOfRotation);
       return mayLeave;
     }
   }
 
   @Test
-  void callsAreAnsweredAsRecorded() throws IOException {
+  void connectionRepliesAsRecorded() throws IOException {
     golden = new GoldenFile(CONNECTION);
-    SetOperations operations = new SetOperations();
-    BrokerFixture stand = new BrokerFixture();
+    FakeOperations operations = new FakeOperations();
+    BrokerFixture fixture = new BrokerFixture();
     golden.replay(
-        (word, rest) -> {
-          switch (word) {
-            case "call" -> call(stand, operations, GoldenFile.bytes(rest));
-            case "long-call" -> call(stand, operations, new byte[Integer.parseInt(rest)]);
-            case "serving" -> operations.serving = Boolean.parseBoolean(rest);
-            case "may-leave" -> operations.mayLeave = Boolean.parseBoolean(rest);
-            case "fleet" -> operations.members = members(stand, rest);
-            default -> throw new AssertionError("no step " + word);
+        (command, argument) -> {
+          switch (command) {
+            case "call" -> call(fixture, operations, GoldenFile.bytes(argument));
+            case "long-call" -> call(fixture, operations, new byte[Integer.parseInt(argument)]);
+            case "serving" -> operations.serving = Boolean.parseBoolean(argument);
+            case "may-leave" -> operations.mayLeave = Boolean.parseBoolean(argument);
+            case "fleet" -> operations.members = members(fixture, argument);
+            default -> throw new AssertionError("unknown step " + command);
           }
         });
-    assertEquals(List.of(true, false, true, false, true, false), operations.told);
+    assertEquals(List.of(true, false, true, false, true, false), operations.rotationCalls);
   }
 
-  private void call(BrokerFixture stand, AdminOperations operations, byte[] bytes) {
+  private void call(BrokerFixture fixture, AdminOperations operations, byte[] bytes) {
     EmbeddedChannel channel =
-        stand.open(new AdminConnection(operations, stand.lines::add, stand.counters));
+        fixture.open(new AdminConnection(operations, fixture.lines::add, fixture.counters));
     channel.writeInbound(Unpooled.wrappedBuffer(bytes));
     golden.outputText("", channel);
     golden.output("open=" + channel.isOpen());
     channel.finishAndReleaseAll();
   }
 
-  private static String members(BrokerFixture stand, String name) {
+  private static String members(BrokerFixture fixture, String name) {
     InetSocketAddress address = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7946);
     Site.Fleet fleet = new Site.Fleet(name, address, address, List.of(address), "east");
     PeerTransport peer =
@@ -106,16 +108,16 @@
             fleet,
             "n1",
             new EmbeddedChannel().eventLoop(),
-            stand,
+            fixture,
             new Random(SEED),
-            stand.counters,
-            stand.lines::add);
+            fixture.counters,
+            fixture.lines::add);
     return new Gson().toJson(peer.status());
   }
 
   @Test
   @Timeout(60)
-  void aServerAnswersAsRecorded() throws Exception {
+  void serverRepliesAsRecorded() throws Exception {
     golden = new GoldenFile(SERVER);
     List<String> lines = Collections.synchronizedList(new ArrayList<>());
     try (StandInPool pool = new StandInPool(1)) {
@@ -137,20 +139,20 @@
         while (List.copyOf(lines).stream().noneMatch(line -> line.startsWith("takes-clients "))) {
           Thread.onSpinWait();
         }
-        golden.replay((word, rest) -> serverStep(server, word, rest));
+        golden.replay((command, argument) -> runServerStep(server, command, argument));
       } finally {
         server.close();
       }
     }
   }
 
-  private void serverStep(Server server, String word, String rest) {
+  private void runServerStep(Server server, String command, String argument) {
     try {
-      switch (word) {
-        case "call" -> golden.output(reply(server, GoldenFile.bytes(rest)));
-        case "ask" -> ask(server, rest.split(" "));
-        case "reload-failed" -> server.reloadFailed(rest);
-        default -> throw new AssertionError("no step " + word);
+      switch (command) {
+        case "call" -> golden.output(reply(server, GoldenFile.bytes(argument)));
+        case "ask" -> sendRequest(server, argument.split(" "));
+        case "reload-failed" -> server.reloadFailed(argument);
+        default -> throw new AssertionError("unknown step " + command);
       }
     } catch (IOException broken) {
       throw new AssertionError(broken);
@@ -158,31 +160,31 @@
   }
 
   private static String reply(Server server, byte[] call) throws IOException {
-    InetSocketAddress door = server.adminAddress();
-    try (Socket socket = new Socket(door.getAddress(), door.getPort())) {
+    InetSocketAddress address = server.adminAddress();
+    try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       socket.getOutputStream().write(call);
       byte[] reply = socket.getInputStream().readAllBytes();
       return GoldenFile.escaped(new String(reply, StandardCharsets.ISO_8859_1));
     }
   }
 
-  private void ask(Server server, String[] words) throws IOException {
-    try (GatewayConnection till =
+  private void sendRequest(Server server, String[] arguments) throws IOException {
+    try (GatewayConnection gateway =
         new GatewayConnection(new Gateway.FastCgi(), server.clientAddresses().get(0))) {
-      till.ask(1, words[0], words[1], new byte[] {1});
-      golden.output("status=" + till.answer().status());
+      gateway.ask(1, arguments[0], arguments[1], new byte[] {1});
+      golden.output("status=" + gateway.answer().status());
     }
   }
 
   @Test
-  void recordedRepliesHoldAllKeys() throws IOException {
+  void recordedRepliesContainAllKeys() throws IOException {
     JsonObject members = object(CONNECTION, "{\"fleet\"");
     assertEquals(Set.of("fleet", "self", "state", "version", "members"), members.keySet());
     JsonObject member = members.getAsJsonArray("members").get(0).getAsJsonObject();
     assertEquals(
         Set.of("name", "state", "address", "zone", "start", "incarnation", "by", "flapping"),
         member.keySet());
-    JsonObject figures = object(SERVER, "{\"completed\"");
+    JsonObject statistics = object(SERVER, "{\"completed\"");
     assertEquals(
         Set.of(
             "completed",
@@ -192,20 +194,25 @@
             "pending",
             "config_reloads",
             "config_reload_errors"),
-        figures.keySet());
-    for (String counted : List.of("completed", "rejected", "failed", "upstream_requests")) {
+        statistics.keySet());
+    for (String counter : List.of("completed", "rejected", "failed", "upstream_requests")) {
       assertEquals(
-          Set.of("stock-check", "place-order"), figures.getAsJsonObject(counted).keySet(), counted);
+          Set.of("stock-check", "place-order"),
+          statistics.getAsJsonObject(counter).keySet(),
+          counter);
     }
     assertEquals(
         Map.of("stock-check", 0.0, "place-order", 0.0),
-        new Gson().fromJson(figures.get("rejected"), Map.class));
+        new Gson().fromJson(statistics.get("rejected"), Map.class));
   }
 
-  private static JsonObject object(String name, String start) throws IOException {
+  private static JsonObject object(String name, String prefix) throws IOException {
     String line =
         new GoldenFile(name)
-            .outputs().stream().filter(one -> one.startsWith(start)).findFirst().orElseThrow();
+            .outputs().stream()
+                .filter(output -> output.startsWith(prefix))
+                .findFirst()
+                .orElseThrow();
     return JsonParser.parseString(line.substring(0, line.indexOf("\\n"))).getAsJsonObject();
   }
 }
--- a/src/test/java/mothwing/witness/AjpWitnessTest.java
+++ b/src/test/java/mothwing/witness/AjpWitnessTest.java
@@ -15,12 +15,12 @@
 import mothwing.trial.Gateway;
 import org.junit.jupiter.api.Test;
 
-/** The recorded bytes of the AJP front, and what a gateway reads in them. */
+/** Checks the bytes of the AJP front, and how a gateway reads them, against recordings. */
 class AjpWitnessTest {
   private static final String REQUESTS = "ajp-requests.txt";
 
-  private static Connection connection(BrokerFixture stand) {
-    return new AjpConnection(stand.broker, stand.lines::add, stand.counters);
+  private static Connection connection(BrokerFixture fixture) {
+    return new AjpConnection(fixture.broker, fixture.lines::add, fixture.counters);
   }
 
   @Test
@@ -34,7 +34,7 @@
   }
 
   @Test
-  void recordedAnswersHoldTheValuesThatTheyWereWrittenWith() throws IOException {
+  void gatewayReadsExpectedValuesInRecordedAnswers() throws IOException {
     Gateway.Ajp gateway = new Gateway.Ajp();
     FrontWitness.read(REQUESTS, gateway);
     List<Answer> answers = new ArrayList<>(gateway.answers);
@@ -46,9 +46,9 @@
         "made for 1\r\n", new String(answers.get(0).content(), StandardCharsets.ISO_8859_1));
     assertArrayEquals(GoldenFile.bytes("\\0\\377"), answers.get(1).content());
     answers.forEach(
-        one ->
+        answer ->
             assertEquals(
-                Integer.toString(one.content().length), one.fields().get("Content-Length")));
+                Integer.toString(answer.content().length), answer.fields().get("Content-Length")));
     assertTrue(gateway.refusesReuse);
   }
 }
--- a/src/test/java/mothwing/witness/DependencyWitnessTest.java
+++ b/src/test/java/mothwing/witness/DependencyWitnessTest.java
@@ -24,43 +24,47 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The recorded lines between the dependency's client and the dependency. */
+/** Checks the lines between the dependency client and the dependency against recordings. */
 class DependencyWitnessTest {
   private static final String CALLS = "ledger-calls.txt";
-  private static final long SETTLING = 10_000; // microseconds: events are given in batches
 
-  private final List<EmbeddedChannel> links = new ArrayList<>();
-  private final Map<String, Exchange> asked = new HashMap<>();
+  /** Time after each step, long enough for the events of a batch to be delivered. */
+  private static final long SETTLING_MICROS = 10_000;
+
+  private final List<EmbeddedChannel> connections = new ArrayList<>();
+  private final Map<String, Exchange> exchanges = new HashMap<>();
   private final Map<String, Integer> supplied = new HashMap<>();
-  private boolean refusing;
+  private boolean refusesConnections;
   private GoldenFile golden;
-  private BrokerFixture stand;
+  private BrokerFixture fixture;
 
   @BeforeEach
-  void makeClient() {
-    stand = new BrokerFixture(new NotingController());
-    new DependencyConnectionManager(this::dial, stand, stand.counters, stand.lines::add)
-        .attach(stand.bound().broker);
+  void createClient() {
+    fixture = new BrokerFixture(new RecordingController());
+    new DependencyConnectionManager(this::dial, fixture, fixture.counters, fixture.lines::add)
+        .attach(fixture.bound().broker);
   }
 
   @AfterEach
-  void closeLinks() {
-    links.forEach(EmbeddedChannel::finishAndReleaseAll);
+  void closeConnections() {
+    connections.forEach(EmbeddedChannel::finishAndReleaseAll);
   }
 
-  private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    stand.schedule(stand.now(), refusing ? failed : () -> links.add(stand.open(maker.get())));
+  private void dial(Supplier<? extends Connection> factory, Runnable onFailure) {
+    fixture.schedule(
+        fixture.now(),
+        refusesConnections ? onFailure : () -> connections.add(fixture.open(factory.get())));
   }
 
-  /** Notes how calls end. */
-  private final class NotingController extends NoDecisionController {
+  /** Records how calls end. */
+  private final class RecordingController extends NoDecisionController {
     @Override
-    public void callEnded(long now, String id, RunOutcome outcome, long took) {
-      golden.output("event call ended " + id + " " + word(outcome));
+    public void callEnded(long now, String id, RunOutcome outcome, long durationMicros) {
+      golden.output("event call ended " + id + " " + recordedName(outcome));
     }
   }
 
-  private static String word(RunOutcome outcome) {
+  private static String recordedName(RunOutcome outcome) {
     return switch (outcome) {
       case SUCCEEDED -> "well";
       case REJECTED -> "declined";
@@ -73,67 +77,68 @@
     };
   }
 
-  /** A caller whose answer is of no matter here. */
-  private static final class UnreadCaller implements ResponseSink {
+  /** Discards the response to a request. */
+  private static final class DiscardingSink implements ResponseSink {
     @Override
     public void sendResult(byte[] result) {
-      // not looked at
+      // discarded
     }
 
     @Override
-    public void sendRejection(boolean last, long holdOffMs) {
-      // not looked at
+    public void sendRejection(boolean last, long holdOffMillis) {
+      // discarded
     }
 
     @Override
     public void sendFailure(String code) {
-      // not looked at
+      // discarded
     }
   }
 
-  private void step(String word, String rest) {
-    String[] words = rest.split(" ", 2);
-    switch (word) {
+  private void runStep(String command, String argument) {
+    String[] arguments = argument.split(" ", 2);
+    switch (command) {
       case "begin" -> {
-        asked.put(rest, stand.ask(rest, BrokerFixture.LOOK, new byte[3], new UnreadCaller()));
-        stand.broker.startRun(rest);
+        exchanges.put(
+            argument, fixture.ask(argument, BrokerFixture.LOOK, new byte[3], new DiscardingSink()));
+        fixture.broker.startRun(argument);
       }
-      case "blocked" -> stand.broker.runAwaitsCall(words[0], GoldenFile.bytes(words[1]));
+      case "blocked" -> fixture.broker.runAwaitsCall(arguments[0], GoldenFile.bytes(arguments[1]));
       case "call-for-us" ->
-          stand.broker.startCall(words[0], stand.now() + Long.parseLong(words[1]));
-      case "gone" -> stand.broker.cancelled(asked.get(rest));
+          fixture.broker.startCall(arguments[0], fixture.now() + Long.parseLong(arguments[1]));
+      case "gone" -> fixture.broker.cancelled(exchanges.get(argument));
       case "receive" -> {
-        EmbeddedChannel newest = links.get(links.size() - 1);
-        newest.writeInbound(Unpooled.wrappedBuffer(GoldenFile.bytes(rest)));
+        EmbeddedChannel newest = connections.get(connections.size() - 1);
+        newest.writeInbound(Unpooled.wrappedBuffer(GoldenFile.bytes(argument)));
       }
-      case "close" -> links.get(links.size() - 1).close();
-      case "refusing" -> refusing = Boolean.parseBoolean(rest);
-      default -> throw new AssertionError("no step " + word);
+      case "close" -> connections.get(connections.size() - 1).close();
+      case "refusing" -> refusesConnections = Boolean.parseBoolean(argument);
+      default -> throw new AssertionError("unknown step " + command);
     }
-    stand.pass(SETTLING);
-    for (EmbeddedChannel link : links) {
-      golden.outputText("link " + (links.indexOf(link) + 1) + ": ", link);
+    fixture.pass(SETTLING_MICROS);
+    for (EmbeddedChannel connection : connections) {
+      golden.outputText("link " + (connections.indexOf(connection) + 1) + ": ", connection);
     }
-    stand.supplied.forEach(this::noteSupplied);
-    golden.output("open=" + links.stream().map(EmbeddedChannel::isOpen).toList());
+    fixture.supplied.forEach(this::recordSupplied);
+    golden.output("open=" + connections.stream().map(EmbeddedChannel::isOpen).toList());
   }
 
-  private void noteSupplied(String id, List<byte[]> results) {
-    for (int at = supplied.getOrDefault(id, 0); at < results.size(); at++) {
-      String text = new String(results.get(at), StandardCharsets.ISO_8859_1);
+  private void recordSupplied(String id, List<byte[]> results) {
+    for (int i = supplied.getOrDefault(id, 0); i < results.size(); i++) {
+      String text = new String(results.get(i), StandardCharsets.ISO_8859_1);
       golden.output("run " + id + " goes on with '" + GoldenFile.escaped(text) + "'");
     }
     supplied.put(id, results.size());
   }
 
   @Test
-  void callsAreMadeAndAnswersReadAsRecorded() throws IOException {
+  void writesCallsAndReadsAnswersAsRecorded() throws IOException {
     golden = new GoldenFile(CALLS);
-    golden.replay(this::step);
+    golden.replay(this::runStep);
   }
 
   @Test
-  void recordedCallsHoldTheValuesThatTheyWereWrittenWith() throws IOException {
+  void recordedCallsContainExpectedValues() throws IOException {
     List<String> written =
         new GoldenFile(CALLS)
             .outputs().stream()
@@ -141,11 +146,11 @@
                 .map(line -> line.substring(line.indexOf(": ") + 2).translateEscapes())
                 .toList();
     String post = written.get(0);
-    int end = post.indexOf("\r\n");
+    int lineEnd = post.indexOf("\r\n");
     assertEquals(
         List.of("post", "0000000000000001", "50", "8"),
-        Arrays.asList(post.substring(0, end).split(" ")));
-    assertEquals("question\r\n", post.substring(end + 2));
+        Arrays.asList(post.substring(0, lineEnd).split(" ")));
+    assertEquals("question\r\n", post.substring(lineEnd + 2));
     assertTrue(written.contains("abandon 0000000000000006\r\n"), written::toString);
   }
 }
--- a/src/test/java/mothwing/witness/DnsAnswerTest.java
+++ b/src/test/java/mothwing/witness/DnsAnswerTest.java
@@ -29,17 +29,27 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Update;
 
-/** What the DNS server answers over its sockets, as recorded, to the byte. */
+/** Checks the bytes that the DNS server answers over its sockets against recordings. */
 class DnsAnswerTest {
   private static final int ID = 0x1234;
-  private static final int PATIENCE_MS = 10_000;
+  private static final int RECURSION_DESIRED = 0x0100;
+  private static final int TIMEOUT_MS = 10_000;
   private static final String EDNS_1232 = "000029 04d0 00000000 0000";
   private static final String EDNS_4096 = "000029 1000 00000000 0000";
   private static final String CLIENT_COOKIE = "0102030405060708";
-  private static final int COOKIE_CHANGING = 12; // last bytes of a cookie: its time and hash
-  private static final int MAC = 32;
-  private static final int AFTER_MAC = 6;
-  private static final int BEFORE_MAC = 10; // time signed, fudge, size
+
+  /** The last bytes of a server cookie, its time and hash, which differ from run to run. */
+  private static final int COOKIE_TIME_AND_HASH_BYTES = 12;
+
+  private static final int MAC_BYTES = 32;
+
+  /** The bytes of a TSIG record after the MAC: original id, error and length of other data. */
+  private static final int BYTES_AFTER_MAC = 6;
+
+  /** The bytes of a TSIG record from the time signed to the MAC: time, fudge and MAC size. */
+  private static final int BYTES_BEFORE_MAC = 10;
+
+  private static final int TIME_SIGNED_BYTES = 6;
 
   @TempDir private Path folder;
   private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
@@ -68,7 +78,7 @@
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
     out.writeShort(ID);
-    out.writeShort(0x0100); // recursion desired
+    out.writeShort(RECURSION_DESIRED);
     out.writeShort(1);
     out.writeInt(0);
     out.writeShort(additional.isEmpty() ? 0 : 1);
@@ -84,10 +94,10 @@
   }
 
   private byte[] ask(String name, int type, String additional) throws IOException {
-    return DnsTestClient.sendUdp(server, question(name, type, 1, additional), PATIENCE_MS);
+    return DnsTestClient.sendUdp(server, question(name, type, 1, additional), TIMEOUT_MS);
   }
 
-  /** Asks twice: the second answer may come from a cache. */
+  /** Asks twice, since the second answer may come from the cache. */
   private void assertAnswer(String recorded, String name, int type, String additional)
       throws IOException {
     for (int i = 0; i < 2; i++) {
@@ -125,7 +135,7 @@
   }
 
   @Test
-  void answersThatThereIsNothing() throws IOException {
+  void answersNegatively() throws IOException {
     start("first.zone", ", unproven_bytes = 1232");
     assertAnswer("nxdomain", "none.example.org", Type.A, "");
     assertAnswer("nxdomain-edns", "none.example.org", Type.A, EDNS_1232);
@@ -135,7 +145,7 @@
   }
 
   @Test
-  void truncatesWhatIsTooLong() throws IOException {
+  void truncatesAnswersThatExceedTheLimit() throws IOException {
     start("first.zone", ", unproven_bytes = 1232");
     assertAnswer("truncated", "many.example.org", Type.TXT, "");
     assertAnswer("truncated-edns", "many.example.org", Type.TXT, EDNS_1232);
@@ -144,7 +154,7 @@
   }
 
   @Test
-  void sendsTheUnprovenToTcp() throws IOException {
+  void truncatesAnswersToUnverifiedClients() throws IOException {
     start("first.zone", ", unproven_bytes = 0");
     assertAnswer("unproven", "till.example.org", Type.A, "");
     assertAnswer("unproven-edns", "till.example.org", Type.AAAA, EDNS_4096);
@@ -152,21 +162,25 @@
 
   private static String cookie(byte[] cookie) {
     String length = String.format("%04x", cookie.length);
-    String all = String.format("%04x", cookie.length + 4);
-    return "000029 1000 00000000 " + all + " 000a" + length + HexFormat.of().formatHex(cookie);
+    String optionsLength = String.format("%04x", cookie.length + 4);
+    return "000029 1000 00000000 "
+        + optionsLength
+        + " 000a"
+        + length
+        + HexFormat.of().formatHex(cookie);
   }
 
   @Test
-  void givesAndTakesCookies() throws IOException {
+  void issuesAndVerifiesCookies() throws IOException {
     start("first.zone", ", unproven_bytes = 512, udp_bytes = 4096");
     byte[] client = HexFormat.of().parseHex(CLIENT_COOKIE);
-    byte[] unproven = ask("many.example.org", Type.TXT, cookie(client));
-    byte[] given = Arrays.copyOfRange(unproven, unproven.length - 24, unproven.length);
-    HexFile.assertRecorded("dns/answer/cookie-given", withoutCookie(unproven));
-    byte[] proven = ask("many.example.org", Type.TXT, cookie(given));
-    HexFile.assertRecorded("dns/answer/cookie-proven", withoutCookie(proven));
-    given[23] ^= 1;
-    byte[] forged = ask("many.example.org", Type.TXT, cookie(given));
+    byte[] unverified = ask("many.example.org", Type.TXT, cookie(client));
+    byte[] issued = Arrays.copyOfRange(unverified, unverified.length - 24, unverified.length);
+    HexFile.assertRecorded("dns/answer/cookie-given", withoutCookie(unverified));
+    byte[] verified = ask("many.example.org", Type.TXT, cookie(issued));
+    HexFile.assertRecorded("dns/answer/cookie-proven", withoutCookie(verified));
+    issued[23] ^= 1;
+    byte[] forged = ask("many.example.org", Type.TXT, cookie(issued));
     HexFile.assertRecorded("dns/answer/cookie-given", withoutCookie(forged));
     byte[] malformed = ask("many.example.org", Type.TXT, cookie(new byte[9]));
     HexFile.assertRecorded("dns/answer/cookie-malformed", malformed);
@@ -174,12 +188,12 @@
 
   private static byte[] withoutCookie(byte[] answer) {
     byte[] changed = answer.clone();
-    Arrays.fill(changed, changed.length - COOKIE_CHANGING, changed.length, (byte) 0);
+    Arrays.fill(changed, changed.length - COOKIE_TIME_AND_HASH_BYTES, changed.length, (byte) 0);
     return changed;
   }
 
   @Test
-  void refusesWhatItDoesNotDo() throws IOException {
+  void rejectsUnsupportedQueries() throws IOException {
     start("first.zone", ", unproven_bytes = 1232");
     assertAnswer("refused-zone", "www.example.net", Type.A, "");
     assertAnswer("refused-zone-edns", "www.example.net", Type.A, EDNS_1232);
@@ -187,54 +201,55 @@
     assertAnswer("bad-version", "example.org", Type.SOA, "000029 04d0 00010000 0000");
     byte[] chaos = question("example.org", Type.TXT, 3, EDNS_1232);
     HexFile.assertRecorded(
-        "dns/answer/refused-class", DnsTestClient.sendUdp(server, chaos, PATIENCE_MS));
+        "dns/answer/refused-class", DnsTestClient.sendUdp(server, chaos, TIMEOUT_MS));
     byte[] notify = question("example.org", Type.SOA, 1, "");
     notify[2] = 0x20;
     HexFile.assertRecorded(
-        "dns/answer/not-implemented", DnsTestClient.sendUdp(server, notify, PATIENCE_MS));
-    byte[] two = question("example.org", Type.SOA, 1, "");
-    two[5] = 2;
+        "dns/answer/not-implemented", DnsTestClient.sendUdp(server, notify, TIMEOUT_MS));
+    byte[] twoQuestions = question("example.org", Type.SOA, 1, "");
+    twoQuestions[5] = 2;
     HexFile.assertRecorded(
-        "dns/answer/format-error", DnsTestClient.sendUdp(server, two, PATIENCE_MS));
+        "dns/answer/format-error", DnsTestClient.sendUdp(server, twoQuestions, TIMEOUT_MS));
   }
 
-  /** Takes out what a signature changes with the time: when it was made, and its MAC. */
-  private static byte[] withoutSignature(byte[] answer, int mac) {
+  /** Clears the time and the MAC of the signature, which differ from run to run. */
+  private static byte[] withoutSignature(byte[] answer, int macBytes) {
     byte[] changed = answer.clone();
-    int macAt = changed.length - AFTER_MAC - mac;
-    Arrays.fill(changed, macAt, macAt + mac, (byte) 0);
-    Arrays.fill(changed, macAt - BEFORE_MAC, macAt - BEFORE_MAC + 6, (byte) 0);
+    int macAt = changed.length - BYTES_AFTER_MAC - macBytes;
+    Arrays.fill(changed, macAt, macAt + macBytes, (byte) 0);
+    Arrays.fill(
+        changed, macAt - BYTES_BEFORE_MAC, macAt - BYTES_BEFORE_MAC + TIME_SIGNED_BYTES, (byte) 0);
     return changed;
   }
 
-  private void assertUpdate(String recorded, Update update, String key, int mac)
+  private void assertUpdate(String recorded, Update update, String key, int macBytes)
       throws IOException {
     update.getHeader().setID(ID);
     byte[] answer = tcp(DnsTestClient.signed(update, DnsTestClient.key(key)));
-    HexFile.assertRecorded("dns/answer/" + recorded, withoutSignature(answer, mac));
+    HexFile.assertRecorded("dns/answer/" + recorded, withoutSignature(answer, macBytes));
   }
 
   @Test
-  void updatesAndKeepsTheRecordedRecords() throws Exception {
+  void appliesUpdatesAndStoresRecordedRecords() throws Exception {
     start("first.zone", ", unproven_bytes = 1232");
-    assertUpdate("update", DnsTestClient.update("new", "10.9.0.1", true), "till-key", MAC);
+    assertUpdate("update", DnsTestClient.update("new", "10.9.0.1", true), "till-key", MAC_BYTES);
     assertAnswer("updated", "new.example.org", Type.A, "");
     assertAnswer("updated-soa", "example.org", Type.SOA, "");
-    assertUpdate("update", DnsTestClient.update("till", "10.1.0.2", false), "till-key", MAC);
+    assertUpdate("update", DnsTestClient.update("till", "10.1.0.2", false), "till-key", MAC_BYTES);
     Update wrongType = new Update(DnsTestClient.ZONE);
     wrongType.add(DnsTestClient.name("a"), Type.MX, 60, "10 till");
-    assertUpdate("update-refused", wrongType, "till-key", MAC);
+    assertUpdate("update-refused", wrongType, "till-key", MAC_BYTES);
     assertUpdate("update-bad-key", DnsTestClient.update("a", "10.9.0.1", true), "other-key", 0);
     Update unsigned = DnsTestClient.update("a", "10.9.0.1", true);
     unsigned.getHeader().setID(ID);
     HexFile.assertRecorded(
         "dns/answer/update-unsigned",
-        DnsTestClient.sendUdp(server, unsigned.toWire(Message.MAXLENGTH), PATIENCE_MS));
+        DnsTestClient.sendUdp(server, unsigned.toWire(Message.MAXLENGTH), TIMEOUT_MS));
     stop();
     List<byte[]> records = journalRecords();
     assertEquals(2, records.size());
-    HexFile.assertRecorded("dns/record/update-adds", withoutRepeat(records.get(0)));
-    HexFile.assertRecorded("dns/record/update-deletes", withoutRepeat(records.get(1)));
+    HexFile.assertRecorded("dns/record/update-adds", withoutUpdateId(records.get(0)));
+    HexFile.assertRecorded("dns/record/update-deletes", withoutUpdateId(records.get(1)));
     HexFile.assertRecorded(
         "dns/zone/" + DnsStoredZoneTest.FIRST_SNAPSHOT,
         Files.readAllBytes(state().resolve(DnsStoredZoneTest.FIRST_SNAPSHOT)));
@@ -249,8 +264,8 @@
     Journal.Replay replay =
         new Journal.Replay() {
           @Override
-          public void snapshot(byte[] piece) {
-            assertTrue(piece.length > 0);
+          public void snapshot(byte[] part) {
+            assertTrue(part.length > 0);
           }
 
           @Override
@@ -262,17 +277,17 @@
     return records;
   }
 
-  /** Takes out the MAC and the time by which a record tells repeats. */
-  private static byte[] withoutRepeat(byte[] record) {
+  /** Clears the MAC and the time that identify a repeated update, which differ from run to run. */
+  private static byte[] withoutUpdateId(byte[] record) {
     byte[] changed = record.clone();
-    int mac = 2 + changed[1] + 4;
-    Arrays.fill(changed, mac, mac + MAC + Long.BYTES, (byte) 0);
+    int macAt = 2 + changed[1] + 4;
+    Arrays.fill(changed, macAt, macAt + MAC_BYTES + Long.BYTES, (byte) 0);
     return changed;
   }
 
-  /** A server that is started on the recorded state answers by it. */
+  /** Guards against a server that cannot read the state of an earlier version. */
   @Test
-  void servesTheRecordedState() throws IOException {
+  void servesRecordedState() throws IOException {
     Files.createDirectories(state());
     for (String file : List.of(DnsStoredZoneTest.FIRST_LOG, DnsStoredZoneTest.FIRST_SNAPSHOT)) {
       Files.write(state().resolve(file), HexFile.read("dns/zone/" + file));
--- a/src/test/java/mothwing/witness/DnsStoredZoneTest.java
+++ b/src/test/java/mothwing/witness/DnsStoredZoneTest.java
@@ -31,16 +31,16 @@
 import org.xbill.DNS.Type;
 
 /**
- * The journal of a zone as recorded, with its snapshots, updates and reload: written again to the
- * byte, and read again.
+ * Checks the stored journal of a zone, with snapshots, updates and a reload, against recordings: it
+ * is written byte for byte as recorded, and the recorded files are read back.
  */
 class DnsStoredZoneTest {
   static final String FIRST_LOG = "log-0000000000000001";
   static final String FIRST_SNAPSHOT = "snapshot-0000000000000000";
   private static final String LATER_LOG = "log-0000000000000004";
   private static final String LATER_SNAPSHOT = "snapshot-0000000000000003";
-  private static final long UNTIL = 1_764_576_300;
-  private static final int MOST_RECORDS = 1000;
+  private static final long REPEAT_EXPIRY_SECONDS = 1_764_576_300;
+  private static final int MAX_RECORDS = 1000;
 
   @TempDir private Path folder;
 
@@ -53,14 +53,14 @@
   private static DomainName name(String text) {
     try {
       return DomainName.parse(text, DomainName.parse("example.org.", DomainName.ROOT));
-    } catch (DomainName.Bad bad) {
-      throw new IllegalArgumentException(bad);
+    } catch (DomainName.Bad malformed) {
+      throw new IllegalArgumentException(malformed);
     }
   }
 
   private static Zone read(String file) throws IOException {
     ZoneFile.Result result =
-        ZoneFile.read(file, DnsStoredZoneTest::zoneFile, name("@"), MOST_RECORDS);
+        ZoneFile.read(file, DnsStoredZoneTest::zoneFile, name("@"), MAX_RECORDS);
     assertEquals(0, result.refused(), () -> result.faults().toString());
     return result.zone();
   }
@@ -87,7 +87,7 @@
             List.of(
                 new Rights.Grant(name("till-key."), name("@"), true, Set.of(Type.A, Type.TXT))));
     Update.Outcome outcome =
-        new Update(List.of(), List.of(lines)).on(zone, name("till-key."), rights, MOST_RECORDS);
+        new Update(List.of(), List.of(lines)).on(zone, name("till-key."), rights, MAX_RECORDS);
     assertEquals(Rcode.NOERROR, outcome.rcode(), outcome.reason());
     return outcome;
   }
@@ -114,8 +114,8 @@
             Disk.of(folder),
             new Journal.Replay() {
               @Override
-              public void snapshot(byte[] piece) throws IOException {
-                history.take(piece);
+              public void snapshot(byte[] part) throws IOException {
+                history.take(part);
               }
 
               @Override
@@ -132,7 +132,7 @@
       throws IOException {
     Journal.Snapshot snapshot = journal.snapshot(History.pieces(base, zone, repeats));
     while (snapshot.step()) {
-      // until it is whole
+      // writes the next frames of the snapshot
     }
   }
 
@@ -145,7 +145,7 @@
   }
 
   @Test
-  void writesTheRecordedJournal() throws IOException {
+  void writesRecordedJournal() throws IOException {
     Zone base = read("first.zone");
     Journal[] opened = new Journal[1];
     open(opened);
@@ -155,29 +155,31 @@
       Update.Outcome second = secondUpdate(first.next());
       journal.append(
           List.of(
-              History.update(signature(1), UNTIL, first.changes()),
-              History.update(signature(0xfedc), UNTIL + 7, second.changes())));
+              History.update(signature(1), REPEAT_EXPIRY_SECONDS, first.changes()),
+              History.update(signature(0xfedc), REPEAT_EXPIRY_SECONDS + 7, second.changes())));
       Merge merge = Merge.of(Merge.Edits.between(base, read("second.zone")), second.next());
       assertEquals(1, merge.conflicts().size());
       journal.append(List.of(History.reload(merge)));
       assertStored(FIRST_LOG);
       assertStored(FIRST_SNAPSHOT);
       Map<History.Signature, Long> repeats = new LinkedHashMap<>();
-      repeats.put(signature(1), UNTIL);
-      repeats.put(signature(0xfedc), UNTIL + 7);
+      repeats.put(signature(1), REPEAT_EXPIRY_SECONDS);
+      repeats.put(signature(0xfedc), REPEAT_EXPIRY_SECONDS + 7);
       snapshot(journal, merge.edits().base(), merge.next(), repeats);
     }
     assertStored(LATER_LOG);
     assertStored(LATER_SNAPSHOT);
   }
 
-  private void assertLast(History history) throws IOException {
+  private void assertFinalState(History history) throws IOException {
     Map<History.Signature, Long> repeats = new LinkedHashMap<>();
-    repeats.put(signature(1), UNTIL);
-    repeats.put(signature(0xfedc), UNTIL + 7);
+    repeats.put(signature(1), REPEAT_EXPIRY_SECONDS);
+    repeats.put(signature(0xfedc), REPEAT_EXPIRY_SECONDS + 7);
     assertEquals(List.copyOf(repeats.entrySet()), List.copyOf(history.repeats().entrySet()));
     assertEquals(
-        List.of(), ChangeSet.between(history.base(), read("second.zone")).changes(), "the file");
+        List.of(),
+        ChangeSet.between(history.base(), read("second.zone")).changes(),
+        "the base differs from the zone file");
     Zone zone = history.current();
     assertEquals(13, zone.serial());
     assertEquals(11, history.base().serial());
@@ -193,30 +195,31 @@
   }
 
   @Test
-  void readsTheRecordedSnapshotAndRecords() throws IOException {
+  void readsRecordedSnapshotAndRecords() throws IOException {
     store(FIRST_LOG);
     store(FIRST_SNAPSHOT);
     Journal[] opened = new Journal[1];
-    assertLast(open(opened));
+    assertFinalState(open(opened));
     assertEquals(3, opened[0].lastSequence());
     opened[0].close();
   }
 
   @Test
-  void readsTheRecordedLaterSnapshot() throws IOException {
+  void readsRecordedLaterSnapshot() throws IOException {
     store(LATER_LOG);
     store(LATER_SNAPSHOT);
     Journal[] opened = new Journal[1];
-    assertLast(open(opened));
+    assertFinalState(open(opened));
     assertEquals(3, opened[0].lastSequence());
     opened[0].close();
   }
 
   @Test
-  void refusesRecordsThatDoNotFollow() throws IOException {
+  void rejectsRecordsThatDoNotFollowTheirPredecessors() throws IOException {
     Zone base = read("first.zone");
     byte[] second =
-        History.update(signature(2), UNTIL, secondUpdate(firstUpdate(base).next()).changes());
+        History.update(
+            signature(2), REPEAT_EXPIRY_SECONDS, secondUpdate(firstUpdate(base).next()).changes());
     History empty = new History(name("@"));
     assertEquals(
         "a record that does not follow from those before it: "
--- a/src/test/java/mothwing/witness/FastCgiWitnessTest.java
+++ b/src/test/java/mothwing/witness/FastCgiWitnessTest.java
@@ -15,13 +15,13 @@
 import mothwing.trial.Gateway;
 import org.junit.jupiter.api.Test;
 
-/** The recorded bytes of the FastCGI front, and what a gateway reads in them. */
+/** Checks the bytes of the FastCGI front, and how a gateway reads them, against recordings. */
 class FastCgiWitnessTest {
   private static final String REQUESTS = "fastcgi-requests.txt";
   private static final String RECORDS = "fastcgi-records.txt";
 
-  private static Connection connection(BrokerFixture stand) {
-    return new FastCgiConnection(stand.broker, stand.lines::add, stand.counters);
+  private static Connection connection(BrokerFixture fixture) {
+    return new FastCgiConnection(fixture.broker, fixture.lines::add, fixture.counters);
   }
 
   @Test
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void recordedAnswersHoldTheValuesThatTheyWereWrittenWith() throws IOException {
+  void gatewayReadsExpectedValuesInRecordedAnswers() throws IOException {
     Gateway gateway = new Gateway.FastCgi();
     FrontWitness.read(REQUESTS, gateway);
     List<Answer> answers = new ArrayList<>(gateway.answers);
@@ -49,13 +49,13 @@
     assertArrayEquals(GoldenFile.bytes("\\0\\377"), answers.get(1).content());
     assertEquals("crashed", text(answers.get(2)));
     answers.forEach(
-        one ->
+        answer ->
             assertEquals(
-                Integer.toString(one.content().length), one.fields().get("Content-Length")));
+                Integer.toString(answer.content().length), answer.fields().get("Content-Length")));
   }
 
   @Test
-  void recordedValuesAreThoseThatWereAskedFor() throws IOException {
+  void recordedValuesAnswerTheQuery() throws IOException {
     String first = new GoldenFile(RECORDS).outputs().get(1);
     String text = new String(GoldenFile.hex(first), StandardCharsets.ISO_8859_1);
     assertTrue(text.endsWith("\15\4FCGI_MAX_REQS4096\16\4FCGI_MAX_CONNS4096\17\1FCGI_MPXS_CONNS1"));
--- a/src/test/java/mothwing/witness/FrontWitness.java
+++ b/src/test/java/mothwing/witness/FrontWitness.java
@@ -11,28 +11,33 @@
 import mothwing.trial.BrokerFixture;
 import mothwing.trial.Gateway;
 
-/** The steps of a recorded conversation between a gateway and a front, with decisions by hand. */
+/** Replays recorded conversations between a gateway and a front; their steps make the decisions. */
 final class FrontWitness {
-  private static final long SETTLING = 10_000; // microseconds: events are given in batches
 
-  private final BrokerFixture stand = new BrokerFixture(new NoDecisionController()).bound();
+  /** Time after each step, long enough for the events of a batch to be delivered. */
+  private static final long SETTLING_MICROS = 10_000;
+
+  private final BrokerFixture fixture = new BrokerFixture(new NoDecisionController()).bound();
   private final GoldenFile golden;
-  private final Function<BrokerFixture, Connection> maker;
+  private final Function<BrokerFixture, Connection> connectionFactory;
   private EmbeddedChannel channel;
 
-  /** Makes the steps of a recorded conversation. */
-  FrontWitness(String name, Function<BrokerFixture, Connection> maker) throws IOException {
+  /** Reads a recorded conversation. */
+  FrontWitness(String name, Function<BrokerFixture, Connection> connectionFactory)
+      throws IOException {
     golden = new GoldenFile(name);
-    this.maker = maker;
+    this.connectionFactory = connectionFactory;
   }
 
-  /** Replays the conversation, and compares what the front wrote with the recorded bytes. */
+  /**
+   * Replays the conversation and compares the bytes that the front writes with the recorded ones.
+   */
   void replay() throws IOException {
-    golden.replay(this::step);
+    golden.replay(this::runStep);
     channel.finishAndReleaseAll();
   }
 
-  /** Gives the recorded bytes of the front to a gateway. */
+  /** Passes the recorded bytes of the front to a gateway. */
   static void read(String name, Gateway gateway) throws IOException {
     new GoldenFile(name)
         .outputs().stream()
@@ -41,26 +46,26 @@
             .forEach(gateway::came);
   }
 
-  private void step(String word, String rest) {
-    String[] words = rest.split(" ", 2);
-    switch (word) {
+  private void runStep(String command, String argument) {
+    String[] arguments = argument.split(" ", 2);
+    switch (command) {
       case "open" -> open();
-      case "send" -> send(rest);
-      case "start" -> stand.broker.startRun(rest);
-      case "done" -> finish(words, RunOutcome.SUCCEEDED);
-      case "crashed" -> finish(words, RunOutcome.FAILED);
-      case "refuse" -> stand.broker.rejectRequest(rest, false, 0);
+      case "send" -> send(argument);
+      case "start" -> fixture.broker.startRun(argument);
+      case "done" -> finish(arguments, RunOutcome.SUCCEEDED);
+      case "crashed" -> finish(arguments, RunOutcome.FAILED);
+      case "refuse" -> fixture.broker.rejectRequest(argument, false, 0);
       case "refuse-for-ms" ->
-          stand.broker.rejectRequest(words[0], false, 1000 * Long.parseLong(words[1]));
-      case "refuse-last" -> stand.broker.rejectRequest(rest, true, 0);
-      case "fail" -> stand.broker.failRequest(rest);
-      case "say" -> stand.broker.publishFreeValue(Double.parseDouble(rest));
-      case "leave" -> stand.broker.setOutOfRotation(true);
-      case "join" -> stand.broker.setOutOfRotation(false);
-      case "drain" -> stand.broker.drain(stand.now(), stand.now() + 3_000_000, false);
-      default -> throw new AssertionError("no step " + word);
+          fixture.broker.rejectRequest(arguments[0], false, 1000 * Long.parseLong(arguments[1]));
+      case "refuse-last" -> fixture.broker.rejectRequest(argument, true, 0);
+      case "fail" -> fixture.broker.failRequest(argument);
+      case "say" -> fixture.broker.publishFreeValue(Double.parseDouble(argument));
+      case "leave" -> fixture.broker.setOutOfRotation(true);
+      case "join" -> fixture.broker.setOutOfRotation(false);
+      case "drain" -> fixture.broker.drain(fixture.now(), fixture.now() + 3_000_000, false);
+      default -> throw new AssertionError("unknown step " + command);
     }
-    stand.pass(SETTLING);
+    fixture.pass(SETTLING_MICROS);
     golden.outputHex(channel);
     golden.output("open=" + channel.isOpen());
   }
@@ -69,16 +74,16 @@
     if (channel != null) {
       channel.finishAndReleaseAll();
     }
-    channel = stand.open(maker.apply(stand));
+    channel = fixture.open(connectionFactory.apply(fixture));
   }
 
   private void send(String digits) {
     channel.writeInbound(Unpooled.wrappedBuffer(GoldenFile.hex(digits)));
   }
 
-  private void finish(String[] words, RunOutcome outcome) {
-    byte[] result = words.length > 1 ? GoldenFile.bytes(words[1]) : new byte[0];
-    stand.running.put(words[0], result);
-    stand.finish(words[0], outcome);
+  private void finish(String[] arguments, RunOutcome outcome) {
+    byte[] result = arguments.length > 1 ? GoldenFile.bytes(arguments[1]) : new byte[0];
+    fixture.running.put(arguments[0], result);
+    fixture.finish(arguments[0], outcome);
   }
 }
--- a/src/test/java/mothwing/witness/GoldenFile.java
+++ b/src/test/java/mothwing/witness/GoldenFile.java
@@ -15,21 +15,25 @@
 import java.util.List;
 
 /**
- * A recorded conversation: a text resource whose lines are steps, each with the output that
- * followed it. Lines that begin with {@code #} are remarks, lines that begin with {@code <} are
- * recorded output, and all others are steps: a word and the rest of the line. A replay takes the
- * steps from the file and compares all output with the recorded one. What came instead is left
- * under {@code target/witness} for whoever looks into a difference.
+ * A recorded conversation: a text resource with steps, each followed by its output. Lines that
+ * begin with {@code #} are comments, lines that begin with {@code <} are recorded output, and all
+ * others are steps: a command and its argument. A replay runs the steps of the file and compares
+ * the output with the recorded one. If they differ, the actual conversation is written to {@code
+ * target/witness}.
  */
 final class GoldenFile {
-  /** Carries out the steps of a conversation. */
+  /** Runs the steps of a conversation. */
   @FunctionalInterface
   interface Steps {
-    /** Carries out one step. */
-    void run(String word, String rest);
+    /**
+     * Runs one step.
+     *
+     * @param argument the rest of the line after the command, or an empty string
+     */
+    void run(String command, String argument);
   }
 
-  private static final String OUTPUT = "< ";
+  private static final String OUTPUT_PREFIX = "< ";
 
   private final String name;
   private final List<String> recorded;
@@ -44,28 +48,28 @@
     }
   }
 
-  /** The recorded lines of output, in their order, without their mark. */
+  /** Returns the recorded lines of output in order, without their prefix. */
   List<String> outputs() {
     return recorded.stream()
-        .filter(line -> line.startsWith(OUTPUT))
-        .map(line -> line.substring(OUTPUT.length()))
+        .filter(line -> line.startsWith(OUTPUT_PREFIX))
+        .map(line -> line.substring(OUTPUT_PREFIX.length()))
         .toList();
   }
 
-  /** Notes a line of output of the step that is carried out. */
+  /** Adds a line of output of the current step. */
   void output(String line) {
-    replayed.add(OUTPUT + line);
+    replayed.add(OUTPUT_PREFIX + line);
   }
 
-  /** Notes all bytes that were written to a channel as text with its line ends escaped. */
-  void outputText(String mark, EmbeddedChannel channel) {
+  /** Adds all bytes written to a channel as text with its line ends escaped. */
+  void outputText(String label, EmbeddedChannel channel) {
     String text = new String(written(channel), StandardCharsets.ISO_8859_1);
     if (!text.isEmpty()) {
-      output(mark + escaped(text));
+      output(label + escaped(text));
     }
   }
 
-  /** Notes all bytes that were written to a channel in hexadecimal digits. */
+  /** Adds all bytes written to a channel as hexadecimal digits. */
   void outputHex(EmbeddedChannel channel) {
     byte[] bytes = written(channel);
     if (bytes.length > 0) {
@@ -73,10 +77,10 @@
     }
   }
 
-  /** Carries out all steps, and compares the output with the recorded one. */
+  /** Runs all steps and compares the output with the recorded one. */
   void replay(Steps steps) throws IOException {
     for (String line : recorded) {
-      if (line.startsWith(OUTPUT)) {
+      if (line.startsWith(OUTPUT_PREFIX)) {
         continue;
       }
       replayed.add(line);
@@ -92,61 +96,65 @@
 
   private void compare() throws IOException {
     if (!recorded.equals(replayed)) {
-      Path came = Path.of("target", "witness", name);
-      Files.createDirectories(came.getParent());
-      Files.write(came, replayed);
+      Path actual = Path.of("target", "witness", name);
+      Files.createDirectories(actual.getParent());
+      Files.write(actual, replayed);
     }
     for (int i = 0; i < Math.min(recorded.size(), replayed.size()); i++) {
       int number = i + 1;
       assertEquals(
           recorded.get(i), replayed.get(i), () -> "first difference in " + name + ":" + number);
     }
-    assertEquals(recorded.size(), replayed.size(), "lines of " + name);
+    assertEquals(recorded.size(), replayed.size(), "number of lines of " + name);
   }
 
-  /** The bytes that a text with escapes stands for. */
+  /** Decodes a text with escapes to bytes. */
   static byte[] bytes(String escaped) {
     return escaped.translateEscapes().getBytes(StandardCharsets.ISO_8859_1);
   }
 
-  /** The bytes of hexadecimal digits, which blanks may divide. */
+  /** Decodes hexadecimal digits, which may be separated by spaces. */
   static byte[] hex(String digits) {
     return HexFormat.of().parseHex(digits.replace(" ", ""));
   }
 
-  /** Text on one line: what is no plain character stands as an escape that Java reads again. */
+  /** Escapes line ends, backslashes and all characters outside printable ASCII, as in Java. */
   static String escaped(String text) {
-    StringBuilder all = new StringBuilder();
+    StringBuilder escaped = new StringBuilder();
     for (int i = 0; i < text.length(); i++) {
-      char one = text.charAt(i);
-      switch (one) {
-        case '\r' -> all.append("\\r");
-        case '\n' -> all.append("\\n");
-        case '\\' -> all.append("\\\\");
-        default -> all.append(one < ' ' || one > '~' ? String.format("\\%03o", (int) one) : one);
+      char character = text.charAt(i);
+      switch (character) {
+        case '\r' -> escaped.append("\\r");
+        case '\n' -> escaped.append("\\n");
+        case '\\' -> escaped.append("\\\\");
+        default ->
+            escaped.append(
+                character < ' ' || character > '~'
+                    ? String.format("\\%03o", (int) character)
+                    : character);
       }
     }
-    return all.toString();
+    return escaped.toString();
   }
 
   private static byte[] written(EmbeddedChannel channel) {
     channel.runPendingTasks();
     List<byte[]> parts = new ArrayList<>();
     int length = 0;
-    ByteBuf out;
-    while ((out = channel.readOutbound()) != null) {
-      byte[] part = new byte[out.readableBytes()];
-      out.readBytes(part);
-      out.release();
+    ByteBuf buffer;
+    while ((buffer = channel.readOutbound()) != null) {
+      byte[] part = new byte[buffer.readableBytes()];
+      buffer.readBytes(part);
+      buffer.release();
       parts.add(part);
       length += part.length;
     }
-    byte[] all = new byte[length];
-    int at = 0;
+    byte[] bytes = new byte[length];
+    int offset = 0;
     for (byte[] part : parts) {
-      System.arraycopy(part, 0, all, at, part.length);
-      at += part.length;
+      System.arraycopy(part, 0, bytes, offset, part.length);
+      offset += part.length;
     }
-    return all;
+    return bytes;
   }
 }
--- a/src/test/java/mothwing/witness/HexFile.java
+++ b/src/test/java/mothwing/witness/HexFile.java
@@ -12,18 +12,18 @@
 import java.util.HexFormat;
 
 /**
- * Recorded bytes as text: 16 bytes a line in hexadecimal, their ASCII behind a number sign, and
- * "zeros N" for longer runs of lines that are all zero. A line that begins with a number sign is a
- * remark.
+ * A hex dump of recorded bytes: 16 bytes per line in hexadecimal, followed by a number sign and
+ * their ASCII, with "zeros N" for N zero bytes that fill two or more lines. A line that begins with
+ * a number sign is a comment.
  */
 final class HexFile {
-  private static final int WIDTH = 16;
+  private static final int LINE_BYTES = 16;
   private static final String ZEROS = "zeros ";
-  private static final Path PRODUCED = Path.of("target", "witness");
+  private static final Path ACTUAL_FOLDER = Path.of("target", "witness");
 
   private HexFile() {}
 
-  /** The bytes of a recorded file, by its name without ending. */
+  /** Returns the bytes of a recorded file, given by its name without extension. */
   static byte[] read(String name) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     for (String line : text(name).split("\n")) {
@@ -38,14 +38,14 @@
   }
 
   /**
-   * Fails unless the bytes are those that are recorded; then what was produced is left in
-   * target/witness, to be compared.
+   * Fails if the bytes differ from the recorded ones; then their dump is written to target/witness
+   * for comparison.
    */
-  static void assertRecorded(String name, byte[] produced) throws IOException {
-    String dump = dump(produced);
-    String recorded = withoutRemarks(text(name));
+  static void assertRecorded(String name, byte[] actual) throws IOException {
+    String dump = dump(actual);
+    String recorded = withoutComments(text(name));
     if (!recorded.equals(dump)) {
-      Path file = PRODUCED.resolve(name + ".hex");
+      Path file = ACTUAL_FOLDER.resolve(name + ".hex");
       Files.createDirectories(file.getParent());
       Files.writeString(file, dump);
     }
@@ -58,7 +58,7 @@
     }
   }
 
-  private static String withoutRemarks(String text) {
+  private static String withoutComments(String text) {
     StringBuilder kept = new StringBuilder();
     text.lines()
         .filter(line -> !line.startsWith("#"))
@@ -66,18 +66,19 @@
     return kept.toString();
   }
 
-  /** The text of some bytes. */
+  /** Formats bytes as a hex dump. */
   static String dump(byte[] bytes) {
     StringBuilder text = new StringBuilder();
-    int at = 0;
-    while (at < bytes.length) {
-      int zeros = zeroLines(bytes, at) * WIDTH;
-      if (zeros > WIDTH) {
+    int offset = 0;
+    while (offset < bytes.length) {
+      int zeros = zeroLines(bytes, offset) * LINE_BYTES;
+      if (zeros > LINE_BYTES) {
         text.append(ZEROS).append(zeros).append('\n');
-        at += zeros;
+        offset += zeros;
       } else {
-        text.append(line(Arrays.copyOfRange(bytes, at, Math.min(bytes.length, at + WIDTH))));
-        at += WIDTH;
+        text.append(
+            line(Arrays.copyOfRange(bytes, offset, Math.min(bytes.length, offset + LINE_BYTES))));
+        offset += LINE_BYTES;
       }
     }
     return text.toString();
@@ -85,21 +86,21 @@
 
   private static int zeroLines(byte[] bytes, int from) {
     int lines = 0;
-    int at = from;
-    while (at + WIDTH <= bytes.length
-        && Arrays.equals(bytes, at, at + WIDTH, new byte[WIDTH], 0, WIDTH)) {
+    int offset = from;
+    while (offset + LINE_BYTES <= bytes.length
+        && Arrays.equals(bytes, offset, offset + LINE_BYTES, new byte[LINE_BYTES], 0, LINE_BYTES)) {
       lines++;
-      at += WIDTH;
+      offset += LINE_BYTES;
     }
     return lines;
   }
 
-  private static String line(byte[] some) {
+  private static String line(byte[] bytes) {
     StringBuilder ascii = new StringBuilder();
-    for (byte one : some) {
-      ascii.append(one >= ' ' && one <= '~' ? (char) one : '.');
+    for (byte value : bytes) {
+      ascii.append(value >= ' ' && value <= '~' ? (char) value : '.');
     }
-    String hex = HexFormat.ofDelimiter(" ").formatHex(some);
+    String hex = HexFormat.ofDelimiter(" ").formatHex(bytes);
     return String.format("%-47s  #%s\n", hex, ascii);
   }
 }
--- a/src/test/java/mothwing/witness/LoadReportWitnessTest.java
+++ b/src/test/java/mothwing/witness/LoadReportWitnessTest.java
@@ -16,55 +16,55 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** The recorded reports to the announce service, and how its answers are read. */
+/** Checks the load reports and the reading of their answers against recordings. */
 class LoadReportWitnessTest {
   private static final String REPORTS = "announce-reports.txt";
 
-  private final List<EmbeddedChannel> links = new ArrayList<>();
-  private final BrokerFixture stand = new BrokerFixture();
-  private final LoadReporter announcer =
+  private final List<EmbeddedChannel> connections = new ArrayList<>();
+  private final BrokerFixture fixture = new BrokerFixture();
+  private final LoadReporter reporter =
       new LoadReporter(
-          this::dial, "n1", () -> this.accepting, stand, stand.counters, stand.lines::add);
+          this::dial, "n1", () -> this.accepting, fixture, fixture.counters, fixture.lines::add);
   private boolean accepting = true;
   private GoldenFile golden;
 
   @AfterEach
-  void closeLinks() {
-    links.forEach(EmbeddedChannel::finishAndReleaseAll);
+  void closeConnections() {
+    connections.forEach(EmbeddedChannel::finishAndReleaseAll);
   }
 
-  private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    links.add(stand.open(maker.get()));
+  private void dial(Supplier<? extends Connection> factory, Runnable onFailure) {
+    connections.add(fixture.open(factory.get()));
   }
 
-  private void step(String word, String rest) {
-    switch (word) {
-      case "start" -> announcer.start();
-      case "accepting" -> accepting = Boolean.parseBoolean(rest);
+  private void runStep(String command, String argument) {
+    switch (command) {
+      case "start" -> reporter.start();
+      case "accepting" -> accepting = Boolean.parseBoolean(argument);
       case "receive" -> {
-        EmbeddedChannel newest = links.get(links.size() - 1);
-        newest.writeInbound(Unpooled.wrappedBuffer(GoldenFile.bytes(rest)));
+        EmbeddedChannel newest = connections.get(connections.size() - 1);
+        newest.writeInbound(Unpooled.wrappedBuffer(GoldenFile.bytes(argument)));
       }
-      case "pass-ms" -> stand.pass(1000 * Long.parseLong(rest));
-      case "close" -> links.get(links.size() - 1).close();
-      case "move" -> announcer.changeAddress(this::dial);
-      case "stop" -> announcer.stop();
-      default -> throw new AssertionError("no step " + word);
+      case "pass-ms" -> fixture.pass(1000 * Long.parseLong(argument));
+      case "close" -> connections.get(connections.size() - 1).close();
+      case "move" -> reporter.changeAddress(this::dial);
+      case "stop" -> reporter.stop();
+      default -> throw new AssertionError("unknown step " + command);
     }
-    for (EmbeddedChannel link : links) {
-      golden.outputText("link " + (links.indexOf(link) + 1) + ": ", link);
+    for (EmbeddedChannel connection : connections) {
+      golden.outputText("link " + (connections.indexOf(connection) + 1) + ": ", connection);
     }
-    golden.output("open=" + links.stream().map(EmbeddedChannel::isOpen).toList());
+    golden.output("open=" + connections.stream().map(EmbeddedChannel::isOpen).toList());
   }
 
   @Test
-  void reportsAreWrittenAndAnswersReadAsRecorded() throws IOException {
+  void writesReportsAndReadsAnswersAsRecorded() throws IOException {
     golden = new GoldenFile(REPORTS);
-    golden.replay(this::step);
+    golden.replay(this::runStep);
   }
 
   @Test
-  void recordedReportsHoldTheValuesThatTheyWereWrittenWith() throws IOException {
+  void recordedReportsContainExpectedValues() throws IOException {
     List<String> reports =
         new GoldenFile(REPORTS)
             .outputs().stream()
@@ -76,9 +76,9 @@
   }
 
   private static void assertReport(String report, String accepting) {
-    int end = report.indexOf("\r\n\r\n");
-    List<String> head = report.substring(0, end).lines().toList();
-    String body = report.substring(end + 4);
+    int headEnd = report.indexOf("\r\n\r\n");
+    List<String> head = report.substring(0, headEnd).lines().toList();
+    String body = report.substring(headEnd + 4);
     assertEquals("PUT /announce/n1 HTTP/1.1", head.get(0));
     assertTrue(head.contains("Content-Length: " + body.length()), report);
     assertEquals(
--- a/src/test/java/mothwing/witness/PeerMessageTest.java
+++ b/src/test/java/mothwing/witness/PeerMessageTest.java
@@ -12,12 +12,15 @@
 import mothwing.peer.MembershipMessageCodecAccess;
 import org.junit.jupiter.api.Test;
 
-/** Each kind of message between servers as recorded: written again to the byte, and read again. */
+/**
+ * Checks each kind of message between fleet members against recordings: it is encoded byte for byte
+ * as recorded, and the recorded bytes are decoded.
+ */
 class PeerMessageTest {
   private static final MemberRecord SELF =
       new MemberRecord(
           "cairo-1", 0x0123456789abcdefL, "10.1.0.7:7946", "west", 0, MemberState.ALIVE, "cairo-1");
-  private static final List<MemberRecord> CLAIMS =
+  private static final List<MemberRecord> RECORDS =
       List.of(
           new MemberRecord("giza-2", 1, "[2001:db8::7]:7946", "", 127, MemberState.ALIVE, "giza-2"),
           new MemberRecord("luxor", 128, "10.1.0.9:1", "west", 128, MemberState.SUSPECT, "cairo-1"),
@@ -39,57 +42,59 @@
   }
 
   private static MembershipMessage message(
-      MembershipMessage.Kind kind, long seq, String about, List<MemberRecord> claims) {
-    return new MembershipMessage("cairo", kind, seq, about, SELF, claims);
+      MembershipMessage.Kind kind, long seq, String target, List<MemberRecord> records) {
+    return new MembershipMessage("cairo", kind, seq, target, SELF, records);
   }
 
   @Test
-  void ping() throws IOException {
+  void encodesAndDecodesPing() throws IOException {
     assertRecorded("ping", message(MembershipMessage.Kind.PING, 0, "", List.of()));
-    assertRecorded("ping-with-claims", message(MembershipMessage.Kind.PING, 300, "", CLAIMS));
+    assertRecorded("ping-with-claims", message(MembershipMessage.Kind.PING, 300, "", RECORDS));
   }
 
   @Test
-  void ack() throws IOException {
-    assertRecorded("ack", message(MembershipMessage.Kind.ACK, 127, "", CLAIMS.subList(0, 1)));
+  void encodesAndDecodesAck() throws IOException {
+    assertRecorded("ack", message(MembershipMessage.Kind.ACK, 127, "", RECORDS.subList(0, 1)));
   }
 
   @Test
-  void ask() throws IOException {
+  void encodesAndDecodesPingRequest() throws IOException {
     assertRecorded(
-        "ask", message(MembershipMessage.Kind.PING_REQUEST, 128, "giza-2", CLAIMS.subList(1, 2)));
+        "ask", message(MembershipMessage.Kind.PING_REQUEST, 128, "giza-2", RECORDS.subList(1, 2)));
   }
 
   @Test
-  void nack() throws IOException {
+  void encodesAndDecodesNack() throws IOException {
     assertRecorded("nack", message(MembershipMessage.Kind.NACK, Long.MAX_VALUE, "", List.of()));
   }
 
   @Test
-  void sync() throws IOException {
-    assertRecorded("sync", message(MembershipMessage.Kind.SYNC_REQUEST, 70_000, "", CLAIMS));
+  void encodesAndDecodesSyncRequest() throws IOException {
+    assertRecorded("sync", message(MembershipMessage.Kind.SYNC_REQUEST, 70_000, "", RECORDS));
   }
 
   @Test
-  void syncedWithMoreClaimsThanAShortArrayHas() throws IOException {
-    List<MemberRecord> sixteen =
+  void encodesAndDecodesSyncResponseWithMoreRecordsThanAShortArrayHolds() throws IOException {
+    List<MemberRecord> sixteenRecords =
         java.util.stream.IntStream.range(0, 16)
             .mapToObj(
                 i -> new MemberRecord("m" + i, i, "h:" + i, "z", i, MemberState.ALIVE, "m" + i))
             .toList();
     assertRecorded(
-        "synced", message(MembershipMessage.Kind.SYNC_RESPONSE, 5_000_000_000L, "", sixteen));
+        "synced",
+        message(MembershipMessage.Kind.SYNC_RESPONSE, 5_000_000_000L, "", sixteenRecords));
   }
 
   @Test
-  void passesOverFieldsOfALaterProgram() throws IOException {
-    MembershipMessage expected = message(MembershipMessage.Kind.ACK, 127, "", CLAIMS.subList(0, 1));
+  void ignoresFieldsOfANewerVersion() throws IOException {
+    MembershipMessage expected =
+        message(MembershipMessage.Kind.ACK, 127, "", RECORDS.subList(0, 1));
     assertEquals(
         expected,
         MembershipMessageCodecAccess.decode(HexFile.read("peer/ack-with-unknown-fields")));
   }
 
-  private static void assertDropped(String code, byte[] bytes) {
+  private static void assertRejected(String code, byte[] bytes) {
     assertEquals(
         code,
         assertThrows(IOException.class, () -> MembershipMessageCodecAccess.decode(bytes))
@@ -97,19 +102,19 @@
   }
 
   @Test
-  void saysWhyDamagedBytesAreNoMessage() throws IOException {
+  void rejectsDamagedBytesWithTheirReason() throws IOException {
     byte[] ack = HexFile.read("peer/ack");
     for (int length = 0; length < ack.length; length++) {
-      assertDropped(length < 7 ? "not-ours" : "checksum", Arrays.copyOf(ack, length));
+      assertRejected(length < 7 ? "not-ours" : "checksum", Arrays.copyOf(ack, length));
     }
-    for (int at = 0; at < ack.length; at++) {
+    for (int offset = 0; offset < ack.length; offset++) {
       byte[] flipped = ack.clone();
-      flipped[at] ^= 1;
-      assertDropped(at < 2 ? "not-ours" : "checksum", flipped);
+      flipped[offset] ^= 1;
+      assertRejected(offset < 2 ? "not-ours" : "checksum", flipped);
     }
-    assertDropped("newer-version", HexFile.read("peer/newer-version"));
-    assertDropped("malformed", HexFile.read("peer/unknown-kind"));
-    assertDropped("malformed", HexFile.read("peer/without-cluster"));
-    assertDropped("malformed", HexFile.read("peer/bytes-behind"));
+    assertRejected("newer-version", HexFile.read("peer/newer-version"));
+    assertRejected("malformed", HexFile.read("peer/unknown-kind"));
+    assertRejected("malformed", HexFile.read("peer/without-cluster"));
+    assertRejected("malformed", HexFile.read("peer/bytes-behind"));
   }
 }
--- a/src/test/java/mothwing/witness/PoolWitnessTest.java
+++ b/src/test/java/mothwing/witness/PoolWitnessTest.java
@@ -31,60 +31,64 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The recorded lines between the pool client and a pool, and what the client makes of them. */
+/** Checks the lines between the pool client and a pool, and their effects, against recordings. */
 class PoolWitnessTest {
-  private static final long SETTLING = 10_000; // microseconds: events are given in batches
 
-  private final List<EmbeddedChannel> links = new ArrayList<>();
-  private final Map<String, Exchange> asked = new HashMap<>();
+  /** Time after each step, long enough for the events of a batch to be delivered. */
+  private static final long SETTLING_MICROS = 10_000;
+
+  private final List<EmbeddedChannel> connections = new ArrayList<>();
+  private final Map<String, Exchange> exchanges = new HashMap<>();
   private GoldenFile golden;
-  private BrokerFixture stand;
+  private BrokerFixture fixture;
   private WorkerPoolClient pool;
 
   @BeforeEach
-  void makePool() {
-    stand =
+  void createPool() {
+    fixture =
         new BrokerFixture(
-            (settings, host) -> controller(settings),
-            of -> {
-              pool = new WorkerPoolClient(this::dial, of, of.counters, of.lines::add);
+            (settings, host) -> createController(settings),
+            scheduler -> {
+              pool =
+                  new WorkerPoolClient(
+                      this::dial, scheduler, scheduler.counters, scheduler.lines::add);
               return pool;
             });
-    stand.broker.setDependencyClient(new AcceptingCalls());
+    fixture.broker.setDependencyClient(new AcceptingDependency());
   }
 
   @AfterEach
-  void closeLinks() {
-    links.forEach(EmbeddedChannel::finishAndReleaseAll);
+  void closeConnections() {
+    connections.forEach(EmbeddedChannel::finishAndReleaseAll);
   }
 
-  private void dial(Supplier<? extends Connection> maker, Runnable failed) {
-    links.add(stand.open(maker.get()));
+  private void dial(Supplier<? extends Connection> factory, Runnable onFailure) {
+    connections.add(fixture.open(factory.get()));
   }
 
-  private Controller controller(Settings settings) {
+  private Controller createController(Settings settings) {
     golden.output("controller made, cold=" + settings.machine().coldStart());
-    return new NotingController();
+    return new RecordingController();
   }
 
-  /** Takes every call, and leaves its end to the steps. */
-  private static final class AcceptingCalls implements DependencyClient {
+  /** Accepts every call; the steps end it. */
+  private static final class AcceptingDependency implements DependencyClient {
     @Override
-    public boolean startCall(String id, long limitMs, byte[] content) {
+    public boolean startCall(String id, long timeoutMillis, byte[] content) {
       return true;
     }
 
     @Override
     public void abandonCall(String id) {
-      // its end is not told
+      // no end is reported for an abandoned call
     }
   }
 
-  /** Notes the events that notices lead to. */
-  private final class NotingController extends NoDecisionController {
+  /** Records the events that notices cause. */
+  private final class RecordingController extends NoDecisionController {
     @Override
     public void serverStarted(long now) {
-      golden.output("event started " + (stand.now() - now) + " us ago");
+      golden.output("event started " + (fixture.now() - now) + " us ago");
     }
 
     @Override
@@ -93,8 +97,9 @@
     }
 
     @Override
-    public void runEnded(long now, String id, RunOutcome outcome, long took) {
-      golden.output("event finished " + id + " " + word(outcome) + " took=" + took);
+    public void runEnded(long now, String id, RunOutcome outcome, long durationMicros) {
+      golden.output(
+          "event finished " + id + " " + recordedName(outcome) + " took=" + durationMicros);
     }
 
     @Override
@@ -107,7 +112,7 @@
     }
   }
 
-  private static String word(RunOutcome outcome) {
+  private static String recordedName(RunOutcome outcome) {
     return switch (outcome) {
       case SUCCEEDED -> "well";
       case FAILED -> "badly";
@@ -117,11 +122,11 @@
     };
   }
 
-  /** Notes how a request is answered. */
-  private final class NotingCaller implements ResponseSink {
+  /** Records how a request is answered. */
+  private final class RecordingSink implements ResponseSink {
     private final String id;
 
-    NotingCaller(String id) {
+    RecordingSink(String id) {
       this.id = id;
     }
 
@@ -132,7 +137,7 @@
     }
 
     @Override
-    public void sendRejection(boolean last, long holdOffMs) {
+    public void sendRejection(boolean last, long holdOffMillis) {
       golden.output("caller " + id + " refused");
     }
 
@@ -142,73 +147,76 @@
     }
   }
 
-  private EmbeddedChannel newest() {
-    return links.get(links.size() - 1);
+  private EmbeddedChannel newestConnection() {
+    return connections.get(connections.size() - 1);
   }
 
-  private void step(String word, String rest) {
-    switch (word) {
-      case "link" -> pool.attach(stand.broker);
-      case "notice" -> newest().writeInbound(buffer(rest + "\\n"));
-      case "bytes" -> newest().writeInbound(buffer(rest));
-      case "close" -> newest().close();
-      case "pass-time" -> stand.pass(Long.parseLong(rest));
-      case "timer" -> stand.broker.scheduleTimer(stand.now(), rest);
-      case "check" -> stand.broker.healthCheck(true, good -> golden.output("check good=" + good));
-      default -> request(word, rest);
+  private void runStep(String command, String argument) {
+    switch (command) {
+      case "link" -> pool.attach(fixture.broker);
+      case "notice" -> newestConnection().writeInbound(buffer(argument + "\\n"));
+      case "bytes" -> newestConnection().writeInbound(buffer(argument));
+      case "close" -> newestConnection().close();
+      case "pass-time" -> fixture.pass(Long.parseLong(argument));
+      case "timer" -> fixture.broker.scheduleTimer(fixture.now(), argument);
+      case "check" ->
+          fixture.broker.healthCheck(true, healthy -> golden.output("check good=" + healthy));
+      default -> runRequestStep(command, argument);
     }
-    stand.pass(SETTLING);
-    for (EmbeddedChannel link : links) {
-      golden.outputText("link " + (links.indexOf(link) + 1) + ": ", link);
+    fixture.pass(SETTLING_MICROS);
+    for (EmbeddedChannel connection : connections) {
+      golden.outputText("link " + (connections.indexOf(connection) + 1) + ": ", connection);
     }
-    golden.output("ready=" + pool.isReady() + " open=" + open());
+    golden.output("ready=" + pool.isReady() + " open=" + openConnections());
   }
 
   private static ByteBuf buffer(String escaped) {
     return Unpooled.wrappedBuffer(GoldenFile.bytes(escaped));
   }
 
-  private long open() {
-    return links.stream().filter(EmbeddedChannel::isOpen).count();
+  private long openConnections() {
+    return connections.stream().filter(EmbeddedChannel::isOpen).count();
   }
 
-  private void request(String word, String rest) {
-    String[] words = rest.split(" ", 3);
-    String id = words[0];
-    switch (word) {
+  private void runRequestStep(String command, String argument) {
+    String[] arguments = argument.split(" ", 3);
+    String id = arguments[0];
+    switch (command) {
       case "ask" ->
-          asked.put(id, stand.ask(id, words[1], GoldenFile.bytes(words[2]), new NotingCaller(id)));
-      case "start" -> stand.broker.startRun(id);
-      case "halt" -> stand.broker.stopRun(id);
-      case "call" -> stand.broker.startCall(id, stand.now() + 1_000_000);
+          exchanges.put(
+              id,
+              fixture.ask(id, arguments[1], GoldenFile.bytes(arguments[2]), new RecordingSink(id)));
+      case "start" -> fixture.broker.startRun(id);
+      case "halt" -> fixture.broker.stopRun(id);
+      case "call" -> fixture.broker.startCall(id, fixture.now() + 1_000_000);
       case "call-over" ->
-          stand.broker.callEnded(id, RunOutcome.SUCCEEDED, GoldenFile.bytes(words[1]));
-      case "skip-call" -> stand.broker.skipCall(id);
-      case "spawn" -> pool.startRun(asked.get(id));
+          fixture.broker.callEnded(id, RunOutcome.SUCCEEDED, GoldenFile.bytes(arguments[1]));
+      case "skip-call" -> fixture.broker.skipCall(id);
+      case "spawn" -> pool.startRun(exchanges.get(id));
       case "suspend" -> pool.stopRun(id);
       case "proceed" -> pool.resumeRun(id);
-      case "supply" -> pool.resumeWithResult(id, GoldenFile.bytes(words[1]));
+      case "supply" -> pool.resumeWithResult(id, GoldenFile.bytes(arguments[1]));
       case "pass" -> pool.resumeWithoutResult(id);
       case "poll" -> pool.requestGauges(id);
       case "verify" -> pool.startHealthCheck(id);
-      default -> throw new AssertionError("no step " + word);
+      default -> throw new AssertionError("unknown step " + command);
     }
   }
 
   @Test
-  void commandsAreWrittenAsRecorded() throws IOException {
+  void writesCommandsAsRecorded() throws IOException {
     golden = new GoldenFile("pool-commands.txt");
-    golden.replay(this::step);
+    golden.replay(this::runStep);
   }
 
   @Test
-  void noticesAreReadAsRecorded() throws IOException {
+  void readsNoticesAsRecorded() throws IOException {
     golden = new GoldenFile("pool-notices.txt");
-    golden.replay(this::step);
+    golden.replay(this::runStep);
   }
 
   @Test
-  void recordedCommandsHoldTheValuesThatTheyWereWrittenWith() throws IOException {
+  void recordedCommandsContainExpectedValues() throws IOException {
     List<JsonObject> commands = commands();
     JsonObject bind = first(commands, "bind");
     assertEquals(0, bind.get("pos").getAsLong());
@@ -224,7 +232,7 @@
     assertArrayEquals(GoldenFile.bytes("result\\377"), content(supply));
     assertEquals("bind", first(commands, "poll").get("echo").getAsString());
     assertEquals("v1", first(commands, "verify").get("echo").getAsString());
-    assertEquals(8, commands.stream().map(one -> one.get("action")).distinct().count());
+    assertEquals(8, commands.stream().map(command -> command.get("action")).distinct().count());
   }
 
   private static byte[] content(JsonObject command) {
@@ -233,7 +241,7 @@
 
   private static JsonObject first(List<JsonObject> commands, String action) {
     return commands.stream()
-        .filter(one -> one.get("action").getAsString().equals(action))
+        .filter(command -> command.get("action").getAsString().equals(action))
         .findFirst()
         .orElseThrow();
   }
--- a/src/test/java/mothwing/witness/ScriptWitnessTest.java
+++ b/src/test/java/mothwing/witness/ScriptWitnessTest.java
@@ -20,16 +20,16 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Holds each argument of each function of the settings script: what it sets, what stands for it
- * where it is absent, and what is said of a bad value.
+ * Checks each argument of each function of the settings script: the field that it sets, the default
+ * if it is absent, and the message for an invalid value.
  */
 class ScriptWitnessTest {
-  private static final int LINES_A_SCRIPT = 2;
+  private static final int LINES_PER_SCRIPT = 2;
 
   @TempDir private Path folder;
 
   @BeforeEach
-  void files() throws IOException {
+  void writeKeyAndZoneFiles() throws IOException {
     Files.writeString(folder.resolve("quay.key"), "MDEyMzQ1Njc4OWFiY2RlZg==\n");
     Files.writeString(folder.resolve("quay.zone"), "");
   }
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void eachArgumentOfAjpAndFleetSetsItsField() throws IOException {
+  void readsEachArgumentOfAjpAndFleet() throws IOException {
     Site site = read(text("full.star"));
     assertEquals(new InetSocketAddress("127.0.0.1", 4201), site.ajp());
     assertEquals("quays", site.fleet().name());
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void eachArgumentOfDnsSetsItsField() throws IOException {
+  void readsEachArgumentOfDns() throws IOException {
     Site.Dns dns = read(text("full.star")).dns();
     assertEquals(new InetSocketAddress("127.0.0.5", 4206), dns.listen());
     assertEquals("kept", dns.state().getFileName().toString());
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void eachArgumentOfKeyZoneAndAllowSetsItsField() throws IOException {
+  void readsEachArgumentOfKeyZoneAndAllow() throws IOException {
     Site.Dns dns = read(text("full.star")).dns();
     assertEquals("quay-key", dns.keys().get(0).name());
     assertEquals("hmac-sha512", dns.keys().get(0).algorithm());
@@ -92,11 +92,11 @@
   }
 
   @Test
-  void whatStandsForAnAbsentFunctionOrArgumentIsHeld() throws IOException {
-    Site none = read("");
-    assertNull(none.ajp());
-    assertNull(none.dns());
-    assertNull(none.fleet());
+  void usesDefaultsForAbsentFunctionsAndArguments() throws IOException {
+    Site emptySite = read("");
+    assertNull(emptySite.ajp());
+    assertNull(emptySite.dns());
+    assertNull(emptySite.fleet());
     Site site = read(text("least.star"));
     assertEquals(site.fleet().listen(), site.fleet().advertise());
     assertEquals(List.of(), site.fleet().seeds());
@@ -107,7 +107,7 @@
   }
 
   @Test
-  void whatStandsForAnAbsentLimitOfDnsIsHeld() throws IOException {
+  void usesDefaultsForAbsentLimitsOfDns() throws IOException {
     Site.DnsLimits limits = read(text("least.star")).dns().limits();
     assertEquals(1232, limits.udpBytes());
     assertEquals(512, limits.unprovenBytes());
@@ -124,15 +124,15 @@
   }
 
   /**
-   * The file has two lines a script: the script, with a semicolon and a blank for each line end,
-   * and the message or that it is taken.
+   * The file has two lines per script: the script, with a semicolon and a space for each line end,
+   * and the error message, or "taken" if the script is accepted.
    */
   @Test
-  void badScriptsGetTheRecordedMessages() throws IOException {
+  void rejectsInvalidScriptsWithRecordedMessages() throws IOException {
     List<String> recorded = text("bad-scripts.txt").lines().toList();
     StringBuilder found = new StringBuilder();
-    for (int place = 0; place < recorded.size(); place += LINES_A_SCRIPT) {
-      String script = recorded.get(place);
+    for (int index = 0; index < recorded.size(); index += LINES_PER_SCRIPT) {
+      String script = recorded.get(index);
       found.append(script).append('\n').append(message(script)).append('\n');
     }
     assertEquals(text("bad-scripts.txt"), found.toString());
@@ -142,8 +142,8 @@
     try {
       read(script.replace("; ", "\n"));
       return "taken";
-    } catch (IOException bad) {
-      return bad.getMessage().replace(folder.toString(), "FOLDER").replace("\n", "\\n");
+    } catch (IOException invalid) {
+      return invalid.getMessage().replace(folder.toString(), "FOLDER").replace("\n", "\\n");
     }
   }
 }
--- a/src/test/java/mothwing/witness/SettingsWitnessTest.java
+++ b/src/test/java/mothwing/witness/SettingsWitnessTest.java
@@ -29,14 +29,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Holds each key of the configuration file and of the settings in it: what it sets, what stands for
- * it where it is absent, and what is said of a bad value.
+ * Checks each key of the configuration file and its settings: the field that it sets, the default
+ * if it is absent, and the message for an invalid value.
  */
 class SettingsWitnessTest {
   private static final String FOLDER = "/witness/settings/";
 
-  /** What a key's value is replaced by in turn. */
-  private static final List<String> BAD_VALUES =
+  /** The values that replace the value of each key in turn. */
+  private static final List<String> INVALID_VALUES =
       List.of("null", "true", "7", "-7", "\"word\"", "\"\"", "[]", "[7]", "{}", "1e999");
 
   private static String text(String name) throws IOException {
@@ -49,24 +49,24 @@
     return Config.read(new StringReader(json));
   }
 
-  private static Settings full() throws IOException {
+  private static Settings fullSettings() throws IOException {
     return read(text("config.json")).settings();
   }
 
-  /** The settings of a configuration in which one text is replaced by another. */
-  private static Settings changed(String from, String to) throws IOException {
+  /** Reads the settings of the full configuration in which one text is replaced by another. */
+  private static Settings settingsWith(String from, String to) throws IOException {
     String json = text("config.json");
     assertTrue(json.contains(from), from);
     return read(json.replace(from, to)).settings();
   }
 
-  /** The settings of a configuration that names no more than it must. */
-  private static Settings least() throws IOException {
+  /** Reads the settings of a configuration with only the required keys. */
+  private static Settings minimalSettings() throws IOException {
     return read(text("least.json")).settings();
   }
 
   @Test
-  void eachKeyOfTheConfigurationSetsItsField() throws IOException {
+  void readsEachKeyOfTheConfiguration() throws IOException {
     Config config = read(text("config.json"));
     assertEquals("quay-3", config.name());
     assertEquals(0xf00000000000000dL, config.settings().seed());
@@ -80,12 +80,12 @@
   }
 
   @Test
-  void eachKeyAtTheTopOfTheSettingsSetsItsField() throws IOException {
-    Settings settings = full();
+  void readsEachTopLevelKeyOfTheSettings() throws IOException {
+    Settings settings = fullSettings();
     assertEquals(11, settings.batchInterval());
     assertEquals(12, settings.replicas());
     assertTrue(settings.weightByWork());
-    assertFalse(changed("\"work\"", "\"request\"").weightByWork());
+    assertFalse(settingsWith("\"work\"", "\"request\"").weightByWork());
     assertEquals(0.13, settings.overQuotaWeightRatio());
     assertEquals(0.14, settings.objectiveWeights().overallWeight());
     assertEquals(0.15, settings.objectiveWeights().worstWindowWeight());
@@ -99,8 +99,8 @@
   }
 
   @Test
-  void eachKeyOfAClassSetsItsField() throws IOException {
-    List<RequestClass> classes = full().classes();
+  void readsEachKeyOfAClass() throws IOException {
+    List<RequestClass> classes = fullSettings().classes();
     assertEquals(3, classes.size());
     RequestClass peek = classes.get(0);
     assertEquals("peek", peek.name());
@@ -135,8 +135,8 @@
   }
 
   @Test
-  void eachKeyOfTheRulesAndTheDependencySetsItsField() throws IOException {
-    Settings settings = full();
+  void readsEachKeyOfTheLimitsAndTheDependency() throws IOException {
+    Settings settings = fullSettings();
     assertEquals(61, settings.limits().answerSlack());
     assertEquals(62, settings.limits().drainGracePeriod());
     assertEquals(0.63, settings.limits().concurrencyPerCore());
@@ -151,8 +151,8 @@
   }
 
   @Test
-  void eachKeyOfTheMachineAndTheSignalsSetsItsField() throws IOException {
-    Settings settings = full();
+  void readsEachKeyOfTheMachineAndTheSignals() throws IOException {
+    Settings settings = fullSettings();
     assertEquals(88, settings.machine().cores());
     assertEquals(0.89, settings.machine().memoryKb());
     assertEquals(0.91, settings.machine().runMemoryFactor());
@@ -167,22 +167,22 @@
   }
 
   @Test
-  void eachWordThatHaltAndSayKnowSetsItsValue() throws IOException {
+  void readsEachValueOfHaltAndSay() throws IOException {
     String halt = "\"suspend\"";
-    assertEquals(StopMode.SUSPEND, full().machine().stopMode());
-    assertEquals(StopMode.ABORT, changed(halt, "\"abort\"").machine().stopMode());
-    assertEquals(StopMode.NONE, changed(halt, "\"silent\"").machine().stopMode());
-    assertEquals(StopMode.NONE, changed(halt, "\"other\"").machine().stopMode());
+    assertEquals(StopMode.SUSPEND, fullSettings().machine().stopMode());
+    assertEquals(StopMode.ABORT, settingsWith(halt, "\"abort\"").machine().stopMode());
+    assertEquals(StopMode.NONE, settingsWith(halt, "\"silent\"").machine().stopMode());
+    assertEquals(StopMode.NONE, settingsWith(halt, "\"other\"").machine().stopMode());
     String say = "\"share_of\"";
-    assertEquals(FreeValue.SHARE, full().signals().freeValue());
-    assertEquals(FreeValue.LEVEL, changed(say, "\"threshold\"").signals().freeValue());
-    assertEquals(FreeValue.WINDOW, changed(say, "\"window\"").signals().freeValue());
-    assertEquals(FreeValue.NONE, changed(say, "\"silent\"").signals().freeValue());
-    assertEquals(FreeValue.NONE, changed(say, "\"other\"").signals().freeValue());
+    assertEquals(FreeValue.SHARE, fullSettings().signals().freeValue());
+    assertEquals(FreeValue.LEVEL, settingsWith(say, "\"threshold\"").signals().freeValue());
+    assertEquals(FreeValue.WINDOW, settingsWith(say, "\"window\"").signals().freeValue());
+    assertEquals(FreeValue.NONE, settingsWith(say, "\"silent\"").signals().freeValue());
+    assertEquals(FreeValue.NONE, settingsWith(say, "\"other\"").signals().freeValue());
   }
 
   @Test
-  void whatStandsForAnAbsentKeyAtTheTopIsHeld() throws IOException {
+  void usesDefaultsForAbsentTopLevelKeys() throws IOException {
     Config config = read(text("least.json"));
     assertNull(config.ledger());
     assertEquals(System.getenv("EDGE_MANAGEMENT") == null, config.management() == null);
@@ -202,8 +202,8 @@
   }
 
   @Test
-  void whatStandsForAnAbsentKeyFurtherDownIsHeld() throws IOException {
-    Settings settings = least();
+  void usesDefaultsForAbsentNestedKeys() throws IOException {
+    Settings settings = minimalSettings();
     assertEquals(0, settings.limits().answerSlack());
     assertEquals(0, settings.limits().drainGracePeriod());
     assertEquals(1, settings.limits().concurrencyPerCore());
@@ -229,35 +229,35 @@
   }
 
   /**
-   * Each value of the full configuration is replaced by each bad value, and the message, or that
-   * there is none, compared with the recorded one.
+   * Replaces each value of the full configuration by each invalid value, and compares the message,
+   * or "taken" if there is none, with the recorded one.
    */
   @Test
-  void eachBadValueOfEachKeyGetsTheRecordedMessage() throws IOException {
-    assertEquals(text("bad-values.txt"), badValues());
+  void rejectsInvalidValuesWithRecordedMessages() throws IOException {
+    assertEquals(text("bad-values.txt"), invalidValues());
   }
 
-  /** The bad values, each with the message of now. */
-  static String badValues() throws IOException {
-    JsonObject whole = JsonParser.parseString(text("config.json")).getAsJsonObject();
+  /** Returns the invalid values of each key, each with its current message. */
+  static String invalidValues() throws IOException {
+    JsonObject root = JsonParser.parseString(text("config.json")).getAsJsonObject();
     List<String> lines = new ArrayList<>();
-    visit(whole, whole, "", lines);
+    visit(root, root, "", lines);
     return String.join("\n", lines) + "\n";
   }
 
-  private static void visit(JsonObject whole, JsonElement here, String path, List<String> lines) {
-    if (here instanceof JsonObject object) {
+  private static void visit(JsonObject root, JsonElement element, String path, List<String> lines) {
+    if (element instanceof JsonObject object) {
       for (String key : List.copyOf(object.keySet())) {
-        JsonElement good = object.get(key);
-        for (String bad : BAD_VALUES) {
-          object.add(key, value(bad));
-          lines.add(path + key + " = " + bad + ": " + message(whole));
+        JsonElement original = object.get(key);
+        for (String invalid : INVALID_VALUES) {
+          object.add(key, value(invalid));
+          lines.add(path + key + " = " + invalid + ": " + message(root));
         }
-        object.add(key, good);
-        visit(whole, good, path + key + ".", lines);
+        object.add(key, original);
+        visit(root, original, path + key + ".", lines);
       }
-    } else if (here instanceof JsonArray array && !array.isEmpty()) {
-      visit(whole, array.get(0), path + "0.", lines);
+    } else if (element instanceof JsonArray array && !array.isEmpty()) {
+      visit(root, array.get(0), path + "0.", lines);
     }
   }
 
@@ -267,26 +267,27 @@
         : JsonParser.parseString(json);
   }
 
-  private static String message(JsonObject whole) {
+  private static String message(JsonObject root) {
     try {
-      read(new GsonBuilder().serializeNulls().create().toJson(whole));
+      read(new GsonBuilder().serializeNulls().create().toJson(root));
       return "taken";
-    } catch (IOException bad) {
-      return bad.getMessage();
+    } catch (IOException invalid) {
+      return invalid.getMessage();
     }
   }
 
   @Test
-  void whatIsNoConfigurationIsTurnedDown() {
-    assertEquals("not a JSON object", refusal("[]"));
-    assertEquals("not a JSON object", refusal("7"));
-    assertTrue(refusal("{} {}").contains("malformed JSON at line 1 column 5 path $"));
-    assertEquals("field seed: required", refusal("{}"));
-    assertEquals("field settings: required", refusal("{\"seed\":\"1\"}"));
-    assertEquals("field settings.Classes: required", refusal("{\"seed\":\"1\",\"settings\":{}}"));
+  void rejectsMalformedConfigurations() {
+    assertEquals("not a JSON object", errorMessage("[]"));
+    assertEquals("not a JSON object", errorMessage("7"));
+    assertTrue(errorMessage("{} {}").contains("malformed JSON at line 1 column 5 path $"));
+    assertEquals("field seed: required", errorMessage("{}"));
+    assertEquals("field settings: required", errorMessage("{\"seed\":\"1\"}"));
+    assertEquals(
+        "field settings.Classes: required", errorMessage("{\"seed\":\"1\",\"settings\":{}}"));
   }
 
-  private static String refusal(String json) {
+  private static String errorMessage(String json) {
     return assertThrows(IOException.class, () -> read(json), json).getMessage();
   }
 }
--- a/src/test/java/mothwing/witness/StoredClaimTableTest.java
+++ b/src/test/java/mothwing/witness/StoredClaimTableTest.java
@@ -11,15 +11,18 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of a table of claims as recorded: written again to the byte, and read again. */
+/**
+ * Checks the file of a claim table against a recording: it is written byte for byte as recorded,
+ * and the recorded file is read back.
+ */
 class StoredClaimTableTest {
   private static final long BOOT = 0x0102030405060708L;
   private static final long OWNER = 0x1112131415161718L;
-  private static final long OTHER = 0x2122232425262728L;
-  private static final long BEGIN = 1_000_000;
+  private static final long OTHER_OWNER = 0x2122232425262728L;
+  private static final long START_MICROS = 1_000_000;
 
   @TempDir private Path folder;
-  private final AtomicLong clock = new AtomicLong(BEGIN);
+  private final AtomicLong clock = new AtomicLong(START_MICROS);
 
   private Path file() {
     return folder.resolve("claims");
@@ -38,49 +41,49 @@
   }
 
   @Test
-  void writesTheRecordedFile() throws IOException {
-    try (ClaimTable one = open(OWNER, BOOT);
-        ClaimTable other = open(OTHER, BOOT)) {
-      assertClaim(Claim.GRANTED, one, "renewed");
-      assertClaim(Claim.GRANTED, one, "taken over");
+  void writesRecordedFile() throws IOException {
+    try (ClaimTable table = open(OWNER, BOOT);
+        ClaimTable otherTable = open(OTHER_OWNER, BOOT)) {
+      assertClaim(Claim.GRANTED, table, "renewed");
+      assertClaim(Claim.GRANTED, table, "taken over");
       clock.addAndGet(600);
-      assertClaim(Claim.GRANTED, one, "renewed");
-      assertClaim(Claim.GRANTED, other, "key of the other");
-      assertClaim(Claim.GRANTED, other, "gr\u00fc\u00dfe \u20ac");
-      assertClaim(Claim.HELD, other, "renewed");
+      assertClaim(Claim.GRANTED, table, "renewed");
+      assertClaim(Claim.GRANTED, otherTable, "key of the other");
+      assertClaim(Claim.GRANTED, otherTable, "gr\u00fc\u00dfe \u20ac");
+      assertClaim(Claim.HELD, otherTable, "renewed");
       clock.addAndGet(400);
-      assertClaim(Claim.GRANTED, other, "taken over");
-      assertClaim(Claim.GRANTED, one, "");
+      assertClaim(Claim.GRANTED, otherTable, "taken over");
+      assertClaim(Claim.GRANTED, table, "");
     }
     HexFile.assertRecorded("claims/table", Files.readAllBytes(file()));
   }
 
   @Test
-  void readsTheRecordedFile() throws IOException {
+  void readsRecordedFile() throws IOException {
     store();
-    clock.set(BEGIN + 1599);
-    try (ClaimTable third = open(3, BOOT)) {
-      assertClaim(Claim.HELD, third, "renewed");
-      assertClaim(Claim.HELD, third, "taken over");
-      assertClaim(Claim.HELD, third, "key of the other");
-      assertClaim(Claim.HELD, third, "gr\u00fc\u00dfe \u20ac");
-      assertClaim(Claim.HELD, third, "");
+    clock.set(START_MICROS + 1599);
+    try (ClaimTable thirdTable = open(3, BOOT)) {
+      assertClaim(Claim.HELD, thirdTable, "renewed");
+      assertClaim(Claim.HELD, thirdTable, "taken over");
+      assertClaim(Claim.HELD, thirdTable, "key of the other");
+      assertClaim(Claim.HELD, thirdTable, "gr\u00fc\u00dfe \u20ac");
+      assertClaim(Claim.HELD, thirdTable, "");
       clock.addAndGet(1);
-      assertClaim(Claim.GRANTED, third, "renewed");
-      assertClaim(Claim.GRANTED, third, "key of the other");
-      assertClaim(Claim.HELD, third, "taken over");
-      assertClaim(Claim.HELD, third, "");
+      assertClaim(Claim.GRANTED, thirdTable, "renewed");
+      assertClaim(Claim.GRANTED, thirdTable, "key of the other");
+      assertClaim(Claim.HELD, thirdTable, "taken over");
+      assertClaim(Claim.HELD, thirdTable, "");
     }
     store();
-    clock.set(BEGIN + 1000);
-    try (ClaimTable again = open(OTHER, BOOT)) {
-      assertClaim(Claim.GRANTED, again, "taken over");
-      assertClaim(Claim.HELD, again, "renewed");
+    clock.set(START_MICROS + 1000);
+    try (ClaimTable reopened = open(OTHER_OWNER, BOOT)) {
+      assertClaim(Claim.GRANTED, reopened, "taken over");
+      assertClaim(Claim.HELD, reopened, "renewed");
     }
   }
 
   @Test
-  void emptiesTheRecordedFileOfAnotherBoot() throws IOException {
+  void clearsRecordedFileOfAnotherBoot() throws IOException {
     store();
     open(OWNER, BOOT + 1).close();
     HexFile.assertRecorded("claims/emptied-table", Files.readAllBytes(file()));
