--- a/src/bench/java/mothwing/bench/DnsBench.java
+++ b/src/bench/java/mothwing/bench/DnsBench.java
@@ -42,42 +42,45 @@
 import org.xbill.DNS.Type;
 
 /**
- * The DNS server on loopback against bare limits in the same run: a UDP echo, the disk's forces, a
- * quiet server.
+ * Compares the DNS server on loopback with reference measurements in the same run: a UDP echo
+ * server, forced disk writes, and a server without a reload.
  */
 public final class DnsBench {
-  private static final int ZONE = 100_000;
+  private static final int ZONE_RECORDS = 100_000;
   private static final int CLIENTS = 3;
-  private static final int WINDOW = 48;
-  private static final long SECOND = 1_000_000_000L;
+
+  /** The queries that a client keeps outstanding. */
+  private static final int OUTSTANDING_QUERIES = 48;
+
+  private static final long SECOND_NANOS = 1_000_000_000L;
   private static final int RUNS = 5;
 
   private DnsBench() {}
 
   public static void main(String[] arguments) throws Exception {
-    String what = arguments.length > 0 ? arguments[0] : "all";
-    if (what.equals("all") || what.equals("queries")) {
+    String benchmark = arguments.length > 0 ? arguments[0] : "all";
+    if (benchmark.equals("all") || benchmark.equals("queries")) {
       queries();
     }
-    if (what.equals("all") || what.equals("updates")) {
+    if (benchmark.equals("all") || benchmark.equals("updates")) {
       updates();
     }
-    if (what.equals("all") || what.equals("recovery")) {
+    if (benchmark.equals("all") || benchmark.equals("recovery")) {
       recovery();
     }
-    if (what.equals("all") || what.equals("reload")) {
+    if (benchmark.equals("all") || benchmark.equals("reload")) {
       reload();
     }
     System.exit(0);
   }
 
-  private static String zone(int changed) {
+  private static String zoneFile(int changedRecords) {
     StringBuilder text = new StringBuilder(DnsTestClient.ZONE_HEADER);
-    for (int i = 0; i < ZONE; i++) {
+    for (int i = 0; i < ZONE_RECORDS; i++) {
       text.append("till")
           .append(i)
           .append(" A 10.")
-          .append(i < changed ? 99 : 1)
+          .append(i < changedRecords ? 99 : 1)
           .append('.')
           .append(i >> 8 & 255)
           .append('.')
@@ -87,34 +90,38 @@
     return text.toString();
   }
 
-  private static DnsService server(Path folder, String limits, String zone) throws IOException {
+  private static DnsService startServer(Path folder, String limits, String zone)
+      throws IOException {
     DnsService service =
         new DnsService(DnsTestClient.writeSite(folder, limits, zone, "till-key"), line -> {});
     service.start();
     return service;
   }
 
-  private static Path folder() throws IOException {
+  private static Path createFolder() throws IOException {
     Files.createDirectories(Path.of("target"));
     return Files.createTempDirectory(Path.of("target"), "bench");
   }
 
   private static void delete(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
-      files.sorted(Comparator.reverseOrder()).forEach(one -> one.toFile().delete());
+      files.sorted(Comparator.reverseOrder()).forEach(file -> file.toFile().delete());
     }
   }
 
-  private static byte[][] questions() {
-    byte[][] all = new byte[1024][];
-    for (int i = 0; i < all.length; i++) {
-      all[i] = DnsTestClient.question("till" + i * 97 % ZONE, Type.A, 512).toWire();
+  private static byte[][] createQuestions() {
+    byte[][] questions = new byte[1024][];
+    for (int i = 0; i < questions.length; i++) {
+      questions[i] = DnsTestClient.question("till" + i * 97 % ZONE_RECORDS, Type.A, 512).toWire();
     }
-    return all;
+    return questions;
   }
 
-  /** Echoes with an answer of a fixed size, on a loop like the server's. */
-  private static Channel echo(NioEventLoopGroup group, int size) throws InterruptedException {
+  /**
+   * Starts a server that replies with a fixed number of bytes, on an event loop like the DNS
+   * server.
+   */
+  private static Channel startEcho(NioEventLoopGroup group, int size) throws InterruptedException {
     byte[] answer = new byte[size];
     return new Bootstrap()
         .group(group)
@@ -142,14 +149,14 @@
         .channel();
   }
 
-  /** Answers a second that clients get who keep windows of questions open. */
-  private static double rate(InetSocketAddress server, byte[][] questions, double seconds)
-      throws Exception {
+  /** Returns the answers per second to clients that keep a fixed number of queries outstanding. */
+  private static double answersPerSecond(
+      InetSocketAddress server, byte[][] questions, double seconds) throws Exception {
     LongAdder answers = new LongAdder();
     List<Thread> threads = new ArrayList<>();
-    long end = System.nanoTime() + (long) (seconds * SECOND);
-    for (int c = 0; c < CLIENTS; c++) {
-      int first = c;
+    long end = System.nanoTime() + (long) (seconds * SECOND_NANOS);
+    for (int i = 0; i < CLIENTS; i++) {
+      int client = i;
       Thread thread =
           new Thread(
               () -> {
@@ -158,68 +165,73 @@
                   channel.setOption(java.net.StandardSocketOptions.SO_RCVBUF, 4 << 20);
                   ByteBuffer in = ByteBuffer.allocateDirect(4096);
                   ByteBuffer out = ByteBuffer.allocateDirect(4096);
-                  int open = 0;
-                  int next = first * 331;
-                  long heard = System.nanoTime();
-                  long got = 0;
+                  int outstanding = 0;
+                  int next = client * 331;
+                  long lastAnswerAt = System.nanoTime();
+                  long received = 0;
                   while (System.nanoTime() < end) {
-                    while (open < WINDOW) {
+                    while (outstanding < OUTSTANDING_QUERIES) {
                       out.clear().put(questions[next++ & 1023]).flip();
                       channel.write(out);
-                      open++;
+                      outstanding++;
                     }
                     in.clear();
                     while (channel.read(in) > 0) {
-                      open--;
-                      got++;
-                      heard = System.nanoTime();
+                      outstanding--;
+                      received++;
+                      lastAnswerAt = System.nanoTime();
                       in.clear();
                     }
-                    if (System.nanoTime() - heard > SECOND / 20) {
-                      open = 0; // what was lost is lost
-                      heard = System.nanoTime();
+                    if (System.nanoTime() - lastAnswerAt > SECOND_NANOS / 20) {
+                      outstanding = 0; // the datagrams were lost
+                      lastAnswerAt = System.nanoTime();
                     }
                   }
-                  answers.add(got);
-                } catch (IOException broken) {
-                  throw new IllegalStateException(broken);
+                  answers.add(received);
+                } catch (IOException failed) {
+                  throw new IllegalStateException(failed);
                 }
               });
       thread.start();
       threads.add(thread);
     }
-    for (Thread one : threads) {
-      one.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     return answers.sum() / seconds;
   }
 
   private static void queries() throws Exception {
-    Path folder = folder();
-    byte[][] questions = questions();
+    Path folder = createFolder();
+    byte[][] questions = createQuestions();
     NioEventLoopGroup group = new NioEventLoopGroup(1);
-    DnsService bare =
-        server(
+    DnsService uncontrolled =
+        startServer(
             folder.resolve(Files.createDirectory(folder.resolve("a")).getFileName()),
             ", control = 'off'",
-            zone(0));
+            zoneFile(0));
     DnsService uncached =
-        server(
+        startServer(
             folder.resolve(Files.createDirectory(folder.resolve("b")).getFileName()),
             ", control = 'off', cached = 0",
-            zone(0));
-    DnsService whole =
-        server(
-            folder.resolve(Files.createDirectory(folder.resolve("c")).getFileName()), "", zone(0));
-    int size = DnsTestClient.sendUdp(bare.address(), questions[0], 2000).length;
-    Channel echo = echo(group, size);
+            zoneFile(0));
+    DnsService controlled =
+        startServer(
+            folder.resolve(Files.createDirectory(folder.resolve("c")).getFileName()),
+            "",
+            zoneFile(0));
+    int size = DnsTestClient.sendUdp(uncontrolled.address(), questions[0], 2000).length;
+    Channel echo = startEcho(group, size);
     InetSocketAddress[] servers = {
-      (InetSocketAddress) echo.localAddress(), bare.address(), uncached.address(), whole.address()
+      (InetSocketAddress) echo.localAddress(),
+      uncontrolled.address(),
+      uncached.address(),
+      controlled.address()
     };
     double[][] rates = new double[servers.length][RUNS];
     for (int run = -1; run < RUNS; run++) {
       for (int i = 0; i < servers.length; i++) {
-        double rate = rate(servers[i], questions, 2);
+        double rate = answersPerSecond(servers[i], questions, 2);
         if (run >= 0) {
           rates[i][run] = rate;
         }
@@ -227,48 +239,50 @@
     }
     String[] names = {"echo", "control off", "control off, no cache", "control on"};
     for (int i = 0; i < servers.length; i++) {
-      double[] shares = new double[RUNS];
+      double[] ratios = new double[RUNS];
       for (int run = 0; run < RUNS; run++) {
-        shares[run] = rates[i][run] / rates[0][run];
+        ratios[run] = rates[i][run] / rates[0][run];
       }
       System.out.println(
           names[i]
               + ": "
               + Spread.of(rates[i].clone())
-              + " answers/s, share of the echo "
-              + Spread.of(shares));
+              + " answers/s, ratio to echo "
+              + Spread.of(ratios));
     }
-    System.out.println(whole.counts());
-    for (DnsService one : new DnsService[] {bare, uncached, whole}) {
-      one.close();
+    System.out.println(controlled.counts());
+    for (DnsService service : new DnsService[] {uncontrolled, uncached, controlled}) {
+      service.close();
     }
     group.shutdownGracefully();
     delete(folder);
   }
 
-  private static double forces(Path folder) throws IOException {
+  /** Returns the forced writes per second of a plain file. */
+  private static double forcedWritesPerSecond(Path folder) throws IOException {
     try (FileChannel file =
         FileChannel.open(
-            folder.resolve("bare"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
+            folder.resolve("forced"), StandardOpenOption.CREATE, StandardOpenOption.WRITE)) {
       byte[] record = new byte[300];
       long start = System.nanoTime();
       int count = 0;
-      while (System.nanoTime() - start < SECOND) {
+      while (System.nanoTime() - start < SECOND_NANOS) {
         file.write(ByteBuffer.wrap(record));
         file.force(true);
         count++;
       }
-      return count * (double) SECOND / (System.nanoTime() - start);
+      return count * (double) SECOND_NANOS / (System.nanoTime() - start);
     }
   }
 
-  private static double updating(InetSocketAddress server, int updaters, double seconds)
+  /** Returns the accepted updates per second of clients with one connection and one update each. */
+  private static double updatesPerSecond(InetSocketAddress server, int updaters, double seconds)
       throws Exception {
     LongAdder accepted = new LongAdder();
-    long end = System.nanoTime() + (long) (seconds * SECOND);
+    long end = System.nanoTime() + (long) (seconds * SECOND_NANOS);
     List<Thread> threads = new ArrayList<>();
-    for (int u = 0; u < updaters; u++) {
-      String name = "bench" + u;
+    for (int updater = 0; updater < updaters; updater++) {
+      String name = "bench" + updater;
       Thread thread =
           new Thread(
               () -> {
@@ -284,52 +298,52 @@
                                     DnsTestClient.key("till-key"))));
                     accepted.add(DnsTestClient.readMessage(socket).getRcode() == 0 ? 1 : 0);
                   }
-                } catch (IOException broken) {
-                  throw new IllegalStateException(broken);
+                } catch (IOException failed) {
+                  throw new IllegalStateException(failed);
                 }
               });
       thread.start();
       threads.add(thread);
     }
-    for (Thread one : threads) {
-      one.join();
+    for (Thread thread : threads) {
+      thread.join();
     }
     return accepted.sum() / seconds;
   }
 
   private static void updates() throws Exception {
-    Path folder = folder();
-    DnsService service = server(folder, ", repeats = 10000000", DnsTestClient.ZONE_HEADER);
-    updating(service.address(), 8, 2);
-    double[] bare = new double[RUNS];
-    double[] alone = new double[RUNS];
-    double[] many = new double[RUNS];
-    double[] aloneShare = new double[RUNS];
-    double[] manyShare = new double[RUNS];
+    Path folder = createFolder();
+    DnsService service = startServer(folder, ", repeats = 10000000", DnsTestClient.ZONE_HEADER);
+    updatesPerSecond(service.address(), 8, 2);
+    double[] forcedWrites = new double[RUNS];
+    double[] singleUpdater = new double[RUNS];
+    double[] manyUpdaters = new double[RUNS];
+    double[] singleRatio = new double[RUNS];
+    double[] manyRatio = new double[RUNS];
     for (int run = 0; run < RUNS; run++) {
-      bare[run] = forces(folder);
-      alone[run] = updating(service.address(), 1, 1.5);
-      many[run] = updating(service.address(), 64, 1.5);
-      aloneShare[run] = alone[run] / bare[run];
-      manyShare[run] = many[run] / bare[run];
+      forcedWrites[run] = forcedWritesPerSecond(folder);
+      singleUpdater[run] = updatesPerSecond(service.address(), 1, 1.5);
+      manyUpdaters[run] = updatesPerSecond(service.address(), 64, 1.5);
+      singleRatio[run] = singleUpdater[run] / forcedWrites[run];
+      manyRatio[run] = manyUpdaters[run] / forcedWrites[run];
     }
     System.out.println(
-        "bare forces "
-            + Spread.of(bare)
+        "forced writes "
+            + Spread.of(forcedWrites)
             + "/s; one updater "
-            + Spread.of(alone)
-            + "/s, "
-            + Spread.of(aloneShare)
-            + " of that; 64 updaters "
-            + Spread.of(many)
-            + "/s, "
-            + Spread.of(manyShare));
+            + Spread.of(singleUpdater)
+            + "/s, ratio "
+            + Spread.of(singleRatio)
+            + "; 64 updaters "
+            + Spread.of(manyUpdaters)
+            + "/s, ratio "
+            + Spread.of(manyRatio));
     service.close();
     delete(folder);
   }
 
   private static void recovery() throws Exception {
-    Path folder = folder();
+    Path folder = createFolder();
     DomainName origin = DomainName.parse("example.org.", DomainName.ROOT);
     byte[] text = DnsTestClient.ZONE_HEADER.getBytes();
     Zone zone = ZoneFile.read("z", name -> text, origin, 1_000_000).zone();
@@ -339,7 +353,7 @@
             Disk.of(state),
             new Journal.Replay() {
               @Override
-              public void snapshot(byte[] piece) {}
+              public void snapshot(byte[] part) {}
 
               @Override
               public void record(byte[] record) {}
@@ -347,7 +361,7 @@
             line -> {});
     Journal.Snapshot snapshot = journal.snapshot(History.pieces(zone, zone, Map.of()));
     while (snapshot.step()) {
-      // until it is whole
+      // writes the next frames of the snapshot
     }
     DomainName key = DomainName.parse("till-key.", DomainName.ROOT);
     Rights rights = new Rights(List.of(new Rights.Grant(key, origin, true, Set.of(Type.A))));
@@ -384,12 +398,12 @@
             () -> {
               try {
                 long start = System.nanoTime();
-                DnsService service = server(folder, "", DnsTestClient.ZONE_HEADER);
-                double took = (System.nanoTime() - start) / (double) SECOND;
+                DnsService service = startServer(folder, "", DnsTestClient.ZONE_HEADER);
+                double elapsed = (System.nanoTime() - start) / (double) SECOND_NANOS;
                 service.close();
-                return took;
-              } catch (IOException bad) {
-                throw new IllegalStateException(bad);
+                return elapsed;
+              } catch (IOException failed) {
+                throw new IllegalStateException(failed);
               }
             });
     System.out.println(
@@ -398,13 +412,14 @@
   }
 
   /**
-   * Latencies of questions sent at a steady rate, microseconds from when each was due to be sent.
+   * Measures the latencies of questions sent at a constant rate, in microseconds from the scheduled
+   * time of each question.
    */
   private static Histogram latencies(
       InetSocketAddress server, byte[][] questions, int perSecond, double seconds)
       throws Exception {
     Histogram histogram = new Histogram(10_000_000, 3);
-    long[] due = new long[65_536];
+    long[] scheduledAt = new long[65_536];
     try (DatagramChannel channel = DatagramChannel.open().connect(server)) {
       channel.configureBlocking(false);
       ByteBuffer in = ByteBuffer.allocateDirect(4096);
@@ -412,70 +427,72 @@
       long start = System.nanoTime();
       int total = (int) (perSecond * seconds);
       int sent = 0;
-      int got = 0;
-      while (got < total && System.nanoTime() < start + (long) ((seconds + 2) * SECOND)) {
-        long at = start + sent * (SECOND / perSecond);
+      int received = 0;
+      while (received < total
+          && System.nanoTime() < start + (long) ((seconds + 2) * SECOND_NANOS)) {
+        long at = start + sent * (SECOND_NANOS / perSecond);
         if (sent < total && System.nanoTime() >= at) {
           out.clear().put(questions[sent & 1023]).putShort(0, (short) sent).flip();
-          due[sent & 0xffff] = at;
+          scheduledAt[sent & 0xffff] = at;
           channel.write(out);
           sent++;
         }
         in.clear();
         if (channel.read(in) > 0) {
           histogram.recordValue(
-              Math.min(9_999_999, (System.nanoTime() - due[in.getShort(0) & 0xffff]) / 1000));
-          got++;
+              Math.min(
+                  9_999_999, (System.nanoTime() - scheduledAt[in.getShort(0) & 0xffff]) / 1000));
+          received++;
         }
       }
-      if (got < total) {
-        System.out.println("lost " + (total - got) + " of " + total);
+      if (received < total) {
+        System.out.println("lost " + (total - received) + " of " + total);
       }
     }
     return histogram;
   }
 
   private static void reload() throws Exception {
-    Path folder = folder();
-    DnsService service = server(folder, "", zone(0));
-    byte[][] questions = questions();
+    Path folder = createFolder();
+    DnsService service = startServer(folder, "", zoneFile(0));
+    byte[][] questions = createQuestions();
     latencies(service.address(), questions, 10_000, 3);
-    double[] quiet = new double[RUNS];
-    double[] busy = new double[RUNS];
+    double[] idleP99 = new double[RUNS];
+    double[] reloadP99 = new double[RUNS];
     double[] ratio = new double[RUNS];
-    double[] quietTail = new double[RUNS];
-    double[] busyTail = new double[RUNS];
-    double[] quietMid = new double[RUNS];
-    double[] busyMid = new double[RUNS];
+    double[] idleP999 = new double[RUNS];
+    double[] reloadP999 = new double[RUNS];
+    double[] idleMedian = new double[RUNS];
+    double[] reloadMedian = new double[RUNS];
     for (int run = 0; run < RUNS; run++) {
-      Histogram none = latencies(service.address(), questions, 10_000, 4);
-      DnsTestClient.writeZone(folder, zone(1000 * (run + 1)));
+      Histogram idle = latencies(service.address(), questions, 10_000, 4);
+      DnsTestClient.writeZone(folder, zoneFile(1000 * (run + 1)));
       service.reload();
       Histogram reloading = latencies(service.address(), questions, 10_000, 4);
-      quietMid[run] = none.getValueAtPercentile(50);
-      busyMid[run] = reloading.getValueAtPercentile(50);
-      quiet[run] = none.getValueAtPercentile(99);
-      busy[run] = reloading.getValueAtPercentile(99);
-      quietTail[run] = none.getValueAtPercentile(99.9);
-      busyTail[run] = reloading.getValueAtPercentile(99.9);
-      ratio[run] = busy[run] / quiet[run];
+      idleMedian[run] = idle.getValueAtPercentile(50);
+      reloadMedian[run] = reloading.getValueAtPercentile(50);
+      idleP99[run] = idle.getValueAtPercentile(99);
+      reloadP99[run] = reloading.getValueAtPercentile(99);
+      idleP999[run] = idle.getValueAtPercentile(99.9);
+      reloadP999[run] = reloading.getValueAtPercentile(99.9);
+      ratio[run] = reloadP99[run] / idleP99[run];
     }
     System.out.println(
-        "us with no reload: p50 "
-            + Spread.of(quietMid)
+        "us without reload: p50 "
+            + Spread.of(idleMedian)
             + ", p99 "
-            + Spread.of(quiet)
+            + Spread.of(idleP99)
             + ", p99.9 "
-            + Spread.of(quietTail));
+            + Spread.of(idleP999));
     System.out.println(
-        "us while "
-            + ZONE
-            + " records reload: p50 "
-            + Spread.of(busyMid)
+        "us during reload of "
+            + ZONE_RECORDS
+            + " records: p50 "
+            + Spread.of(reloadMedian)
             + ", p99 "
-            + Spread.of(busy)
+            + Spread.of(reloadP99)
             + ", p99.9 "
-            + Spread.of(busyTail)
+            + Spread.of(reloadP999)
             + "; p99 ratio "
             + Spread.of(ratio));
     System.out.println(String.format(Locale.ROOT, "%s", service.counts()));
--- a/src/bench/java/mothwing/bench/OverrideBench.java
+++ b/src/bench/java/mothwing/bench/OverrideBench.java
@@ -7,26 +7,27 @@
 import mothwing.override.Version;
 
 /**
- * What a decision by overrides costs a request: the table, against going through all that act, in
- * one run.
+ * Measures the cost of the override decision per request: the lookup table compared with a scan of
+ * all overrides in effect, in one run.
  */
 public final class OverrideBench {
-  private static final int ROUNDS = 2_000_000;
+  private static final int DECISIONS = 2_000_000;
   private static final int CLASSES = 12;
+  private static final int TENANTS = 50;
 
   private OverrideBench() {}
 
-  private static OverrideTable book(int many) {
-    OverrideTable book = new OverrideTable(OverrideLimits.DEFAULTS);
-    for (int i = 0; i < many; i++) {
-      book.create(
+  private static OverrideTable createOverrides(int count) {
+    OverrideTable overrides = new OverrideTable(OverrideLimits.DEFAULTS);
+    for (int i = 0; i < count; i++) {
+      overrides.create(
           1,
           new TrafficOverride(
               "o" + i,
               new Version(1, "n1", i),
               TrafficOverride.Action.REFUSE,
               "class-" + i % CLASSES,
-              i % 3 == 0 ? "" : "tenant-" + i % 50,
+              i % 3 == 0 ? "" : "tenant-" + i % TENANTS,
               0.5,
               "",
               TrafficOverride.Selector.ALL,
@@ -36,53 +37,62 @@
               "",
               ""));
     }
-    return book;
+    return overrides;
   }
 
   public static void main(String[] arguments) {
-    String[] kinds = new String[CLASSES];
+    String[] classes = new String[CLASSES];
     for (int i = 0; i < CLASSES; i++) {
-      kinds[i] = "class-" + i;
+      classes[i] = "class-" + i;
     }
-    String[] tenants = new String[50];
+    String[] tenants = new String[TENANTS];
     for (int i = 0; i < tenants.length; i++) {
       tenants[i] = "tenant-" + i;
     }
     System.out.println(
-        "overrides | ns a decision: table | all of them / table, each with least and most of five runs");
-    for (int many : new int[] {10, 0, 10, 1000}) { // the first line warms up; not to be read
-      OverrideTable book = book(many);
-      var acting = book.inEffect(2);
-      EffectiveOverrides effect =
-          new EffectiveOverrides(acting, "n1", "one", "rack", Long.MAX_VALUE);
-      double[] table = new double[5];
+        "overrides | ns per decision: table | scan / table, each as median (minimum to maximum) of five runs");
+    // The first line is the warm-up.
+    for (int count : new int[] {10, 0, 10, 1000}) {
+      OverrideTable overrides = createOverrides(count);
+      var inEffect = overrides.inEffect(2);
+      EffectiveOverrides effective =
+          new EffectiveOverrides(inEffect, "n1", "one", "rack", Long.MAX_VALUE);
+      double[] tableNanos = new double[5];
       double[] ratio = new double[5];
-      long found = 0;
-      for (int run = 0; run < table.length; run++) {
+      long matches = 0;
+      for (int run = 0; run < tableNanos.length; run++) {
         long start = System.nanoTime();
-        for (int i = 0; i < ROUNDS; i++) {
-          found +=
-              effect.isValid(i)
-                      && effect.refusalFor(kinds[i % CLASSES], tenants[i % 50], 0.25) != null
+        for (int i = 0; i < DECISIONS; i++) {
+          matches +=
+              effective.isValid(i)
+                      && effective.refusalFor(classes[i % CLASSES], tenants[i % TENANTS], 0.25)
+                          != null
                   ? 1
                   : 0;
         }
-        table[run] = (System.nanoTime() - start) / (double) ROUNDS;
-        int fewer = ROUNDS / Math.max(1, many);
+        tableNanos[run] = (System.nanoTime() - start) / (double) DECISIONS;
+        int scans = DECISIONS / Math.max(1, count);
         start = System.nanoTime();
-        for (int i = 0; i < fewer; i++) {
-          for (TrafficOverride one : acting) {
-            if ((one.requestClass().isEmpty() || one.requestClass().equals(kinds[i % CLASSES]))
-                && (one.tenant().isEmpty() || one.tenant().equals(tenants[i % 50]))) {
-              found++;
+        for (int i = 0; i < scans; i++) {
+          for (TrafficOverride override : inEffect) {
+            if ((override.requestClass().isEmpty()
+                    || override.requestClass().equals(classes[i % CLASSES]))
+                && (override.tenant().isEmpty()
+                    || override.tenant().equals(tenants[i % TENANTS]))) {
+              matches++;
               break;
             }
           }
         }
-        ratio[run] = (System.nanoTime() - start) / (double) fewer / table[run];
+        ratio[run] = (System.nanoTime() - start) / (double) scans / tableNanos[run];
       }
       System.out.println(
-          many + " | " + Spread.of(table) + " | " + Spread.of(ratio) + (found < 0 ? "!" : ""));
+          count
+              + " | "
+              + Spread.of(tableNanos)
+              + " | "
+              + Spread.of(ratio)
+              + (matches < 0 ? "!" : ""));
     }
   }
 }
--- a/src/bench/java/mothwing/bench/RelayBench.java
+++ b/src/bench/java/mothwing/bench/RelayBench.java
@@ -1,13 +1,12 @@
 package mothwing.bench;
 
-import mothwing.trial.RelayTrips;
+import mothwing.trial.RelayRoundTrips;
 
-/** What the relay of trials adds to a round trip (docs/trials.md). */
+/** Measures the latency that the relay of the trials adds to a round trip (docs/trials.md). */
 public final class RelayBench {
   private RelayBench() {}
 
-  /** Prints it. */
   public static void main(String[] arguments) throws Exception {
-    RelayTrips.print();
+    RelayRoundTrips.print();
   }
 }
--- a/src/bench/java/mothwing/bench/Spread.java
+++ b/src/bench/java/mothwing/bench/Spread.java
@@ -4,25 +4,27 @@
 import java.util.Locale;
 import java.util.function.DoubleSupplier;
 
-/** The median of five runs, with the least and the most. */
-record Spread(double median, double least, double most) {
+/** The median, minimum and maximum of several runs. */
+record Spread(double median, double minimum, double maximum) {
   private static final int RUNS = 5;
 
-  static Spread of(DoubleSupplier run) {
-    double[] all = new double[RUNS];
+  /** Runs a measurement five times. */
+  static Spread of(DoubleSupplier measurement) {
+    double[] results = new double[RUNS];
     for (int i = 0; i < RUNS; i++) {
-      all[i] = run.getAsDouble();
+      results[i] = measurement.getAsDouble();
     }
-    return of(all);
+    return of(results);
   }
 
-  static Spread of(double... all) {
-    Arrays.sort(all);
-    return new Spread(all[all.length / 2], all[0], all[all.length - 1]);
+  /** Summarizes the results of runs, and sorts them in place. */
+  static Spread of(double... results) {
+    Arrays.sort(results);
+    return new Spread(results[results.length / 2], results[0], results[results.length - 1]);
   }
 
   @Override
   public String toString() {
-    return String.format(Locale.ROOT, "%.3g (%.3g to %.3g)", median, least, most);
+    return String.format(Locale.ROOT, "%.3g (%.3g to %.3g)", median, minimum, maximum);
   }
 }
--- a/src/bench/java/mothwing/bench/StartBench.java
+++ b/src/bench/java/mothwing/bench/StartBench.java
@@ -15,81 +15,82 @@
 import mothwing.trial.StandInPool;
 
 /**
- * From the start of a process to the first good word of its door's health check, which it gives
- * once the pool is linked and clients are taken: one alone, then so many at once on the cores at
- * hand, each in front of a pool of its own.
+ * Measures the time from the start of a server process to the first positive admin health check,
+ * which succeeds once the pool is connected and clients are accepted. Starts single processes
+ * first, then many at once on the available cores, each with a pool of its own.
  */
 public final class StartBench {
   private StartBench() {}
 
-  private static double start(Path folder, int number) throws IOException, InterruptedException {
+  private static double startSeconds(Path folder, int number)
+      throws IOException, InterruptedException {
     try (StandInPool pool = new StandInPool(1);
         SocketChannel port = ServerProcess.port();
-        SocketChannel door = ServerProcess.port()) {
-      long begun = System.nanoTime();
-      try (ServerProcess one =
+        SocketChannel adminPort = ServerProcess.port()) {
+      long start = System.nanoTime();
+      try (ServerProcess process =
           new ServerProcess(
               Files.createDirectories(folder.resolve("s" + number)),
               ServerProcess.number(port),
-              ServerProcess.number(door),
+              ServerProcess.number(adminPort),
               pool)) {
-        while (!one.call("HEALTH").startsWith("YES")) {
+        while (!process.call("HEALTH").startsWith("YES")) {
           Thread.sleep(5);
         }
-        double took = (System.nanoTime() - begun) / 1e9;
-        one.leave();
-        one.await();
-        return took;
+        double seconds = (System.nanoTime() - start) / 1e9;
+        process.leave();
+        process.await();
+        return seconds;
       }
     }
   }
 
-  private static String row(int many, double[] all) {
-    Arrays.sort(all);
+  private static String formatRow(int processes, double[] seconds) {
+    Arrays.sort(seconds);
     return String.format(
         Locale.ROOT,
-        "%d at once on %d cores: median %.2f s, nine in ten %.2f s, longest %.2f s",
-        many,
+        "%d at once on %d cores: median %.2f s, 90th percentile %.2f s, maximum %.2f s",
+        processes,
         Runtime.getRuntime().availableProcessors(),
-        all[all.length / 2],
-        all[(int) Math.ceil(0.9 * all.length) - 1],
-        all[all.length - 1]);
+        seconds[seconds.length / 2],
+        seconds[(int) Math.ceil(0.9 * seconds.length) - 1],
+        seconds[seconds.length - 1]);
   }
 
-  /** Plays it; the argument says how many at once. */
+  /** Runs the benchmark; the argument is the number of processes started at once, 24 if absent. */
   public static void main(String[] arguments) throws Exception {
-    int many =
+    int processes =
         arguments.length > 0 && arguments[0].matches("[0-9]+")
             ? Integer.parseInt(arguments[0])
             : 24;
     Path folder = Files.createTempDirectory("mothwing-start");
-    double[] alone = new double[5];
-    for (int i = 0; i < alone.length; i++) {
-      alone[i] = start(folder, i);
+    double[] single = new double[5];
+    for (int i = 0; i < single.length; i++) {
+      single[i] = startSeconds(folder, i);
     }
-    System.out.println(row(1, alone));
-    ExecutorService hands = Executors.newFixedThreadPool(many);
-    List<CompletableFuture<Double>> all = new ArrayList<>();
-    for (int i = 0; i < many; i++) {
+    System.out.println(formatRow(1, single));
+    ExecutorService executor = Executors.newFixedThreadPool(processes);
+    List<CompletableFuture<Double>> starts = new ArrayList<>();
+    for (int i = 0; i < processes; i++) {
       int number = 100 + i;
-      all.add(
+      starts.add(
           CompletableFuture.supplyAsync(
               () -> {
                 try {
-                  return start(folder, number);
+                  return startSeconds(folder, number);
                 } catch (IOException | InterruptedException failed) {
                   throw new IllegalStateException(failed);
                 }
               },
-              hands));
+              executor));
     }
-    double[] together = all.stream().mapToDouble(CompletableFuture::join).toArray();
-    System.out.println(row(many, together));
+    double[] concurrent = starts.stream().mapToDouble(CompletableFuture::join).toArray();
+    System.out.println(formatRow(processes, concurrent));
     System.out.printf(
         Locale.ROOT,
-        "nine in ten together to one alone: %.1f times%n",
-        together[(int) Math.ceil(0.9 * many) - 1] / alone[alone.length / 2]);
-    hands.shutdownNow();
+        "90th percentile of concurrent starts / median of single starts: %.1f%n",
+        concurrent[(int) Math.ceil(0.9 * processes) - 1] / single[single.length / 2]);
+    executor.shutdownNow();
     System.exit(0);
   }
 }
--- a/src/bench/java/mothwing/bench/WheelBench.java
+++ b/src/bench/java/mothwing/bench/WheelBench.java
@@ -4,41 +4,43 @@
 import mothwing.net.IdleConnections;
 
 /**
- * Deadlines of idle connections: the timing wheel against a scan of all, by the time of one look,
- * 50 ms apart.
+ * Compares the timing wheel with a scan of all connections in the search for expired idle
+ * connections, by the time of one check. Checks are 50 ms apart.
  */
 public final class WheelBench {
-  private static final int LOOKS = 500; // 25 s: within the idle span, so that all stay open
+  /** 25 s of checks, which is within the idle limit, so that all connections stay open. */
+  private static final int CHECKS = 500;
 
   private WheelBench() {}
 
-  private static double micros(int many, Consumer<IdleConnections> look) {
-    IdleConnections connections = new IdleConnections(many);
+  private static double microsPerCheck(int count, Consumer<IdleConnections> check) {
+    IdleConnections connections = new IdleConnections(count);
     long start = System.nanoTime();
-    for (int i = 0; i < LOOKS; i++) {
-      look.accept(connections);
+    for (int i = 0; i < CHECKS; i++) {
+      check.accept(connections);
     }
-    double micros = (System.nanoTime() - start) / 1e3 / LOOKS;
-    return connections.closed() > many * LOOKS ? Double.NaN : micros;
+    double micros = (System.nanoTime() - start) / 1e3 / CHECKS;
+    return connections.expiredCount() > count * CHECKS ? Double.NaN : micros;
   }
 
   public static void main(String[] arguments) {
     System.out.println(
-        "connections | us a look: scan, wheel | scan / wheel, each with least and most of its runs");
-    for (int many : new int[] {2_000, 2_000, 10_000}) { // the first line warms up; not to be read
+        "connections | us per check: scan, wheel | scan / wheel, each as median (minimum to maximum)");
+    // The first line is the warm-up.
+    for (int count : new int[] {2_000, 2_000, 10_000}) {
       double[] ratios = new double[5];
-      double[][] looks = new double[2][ratios.length];
+      double[][] micros = new double[2][ratios.length];
       for (int run = 0; run < ratios.length; run++) {
-        looks[0][run] = micros(many, IdleConnections::scan);
-        looks[1][run] = micros(many, IdleConnections::wheel);
-        ratios[run] = looks[0][run] / looks[1][run];
+        micros[0][run] = microsPerCheck(count, IdleConnections::scan);
+        micros[1][run] = microsPerCheck(count, IdleConnections::checkWheel);
+        ratios[run] = micros[0][run] / micros[1][run];
       }
       System.out.println(
-          many
+          count
               + " | "
-              + Spread.of(looks[0])
+              + Spread.of(micros[0])
               + ", "
-              + Spread.of(looks[1])
+              + Spread.of(micros[1])
               + " | "
               + Spread.of(ratios));
     }
--- a/src/bench/java/mothwing/bench/ZoneBench.java
+++ b/src/bench/java/mothwing/bench/ZoneBench.java
@@ -19,9 +19,9 @@
 import org.xbill.DNS.Type;
 
 /**
- * The zone's trie against plain ones, a HashMap and a TreeMap of names to HashMaps of sets: bytes a
- * record, look-ups a second, and the cost of one update that leaves the former version whole. The
- * plain one copies its outer map for that.
+ * Compares the trie of a zone with a HashMap and a TreeMap from names to HashMaps of record sets,
+ * by bytes per record, lookups per second, and the cost of an update that preserves the previous
+ * version. The HashMap copies its outer map for such an update.
  */
 public final class ZoneBench {
   private static final int LOOKUPS = 400_000;
@@ -38,7 +38,7 @@
         Type.A, 300, List.of(new byte[] {10, (byte) (i >> 16), (byte) (i >> 8), (byte) i}));
   }
 
-  private static long used() {
+  private static long usedHeapBytes() {
     sink = null;
     for (int i = 0; i < 3; i++) {
       System.gc();
@@ -54,111 +54,112 @@
 
   public static void main(String[] arguments) throws Exception {
     System.out.println(
-        "records | bytes a record: trie, HashMap, TreeMap of the library's objects | look-ups/s: trie, HashMap, TreeMap"
-            + " | update us: trie, HashMap copied, HashMap in place");
-    measure(1_000); // warms up; not to be read
+        "records | bytes per record: trie, HashMap, TreeMap of dnsjava objects | lookups/s: trie, HashMap, TreeMap"
+            + " | us per update: trie, copied HashMap, HashMap in place");
+    measure(1_000); // the warm-up
     for (int size : new int[] {1_000, 100_000, 1_000_000}) {
       measure(size);
     }
-    load(1_000_000);
+    loadZoneFile(1_000_000);
   }
 
   private static void measure(int size) throws Exception {
     DomainName origin = DomainName.parse("example.org.", DomainName.ROOT);
-    long before = used();
+    long heapBefore = usedHeapBytes();
     Zone zone = Zone.empty(origin);
     for (int i = 0; i < size; i++) {
       zone = zone.with(host(i), address(i));
     }
-    double trieBytes = (used() - before) / (double) size;
-    before = used();
-    Map<DomainName, Map<Integer, RRset>> plain = new HashMap<>();
+    double trieBytes = (usedHeapBytes() - heapBefore) / (double) size;
+    heapBefore = usedHeapBytes();
+    Map<DomainName, Map<Integer, RRset>> hashMap = new HashMap<>();
     for (int i = 0; i < size; i++) {
-      plain.computeIfAbsent(host(i), name -> new HashMap<>()).put(Type.A, address(i));
+      hashMap.computeIfAbsent(host(i), name -> new HashMap<>()).put(Type.A, address(i));
     }
-    double plainBytes = (used() - before) / (double) size;
-    before = used();
-    TreeMap<Name, Map<Integer, Record>> objects = new TreeMap<>();
+    double hashMapBytes = (usedHeapBytes() - heapBefore) / (double) size;
+    heapBefore = usedHeapBytes();
+    TreeMap<Name, Map<Integer, Record>> treeMap = new TreeMap<>();
     for (int i = 0; i < size; i++) {
       Name name = new Name(host(i).wire());
-      objects
-          .computeIfAbsent(name, one -> new HashMap<>())
+      treeMap
+          .computeIfAbsent(name, absent -> new HashMap<>())
           .put(Type.A, new ARecord(name, DClass.IN, 300, address(i).data().get(0)));
     }
-    double objectBytes = (used() - before) / (double) size;
+    double treeMapBytes = (usedHeapBytes() - heapBefore) / (double) size;
 
     Random random = new Random(size);
-    DomainName[] asked = new DomainName[4096];
-    for (int i = 0; i < asked.length; i++) {
-      asked[i] = host(random.nextInt(size));
+    DomainName[] queryNames = new DomainName[4096];
+    for (int i = 0; i < queryNames.length; i++) {
+      queryNames[i] = host(random.nextInt(size));
     }
-    Zone whole = zone;
-    double[] tries = new double[6];
-    double[] plains = new double[6];
-    double[] ordered = new double[6];
-    Name[] names = new Name[asked.length];
-    for (int i = 0; i < asked.length; i++) {
-      names[i] = new Name(asked[i].wire());
+    Zone filledZone = zone;
+    double[] trieRates = new double[6];
+    double[] hashMapRates = new double[6];
+    double[] treeMapRates = new double[6];
+    Name[] libraryNames = new Name[queryNames.length];
+    for (int i = 0; i < queryNames.length; i++) {
+      libraryNames[i] = new Name(queryNames[i].wire());
     }
-    for (int run = 0; run < 6; run++) { // the first warms up
-      tries[run] =
+    for (int run = 0; run < 6; run++) { // run 0 is the warm-up
+      trieRates[run] =
           perSecond(
               LOOKUPS,
               () -> {
                 for (int i = 0; i < LOOKUPS; i++) {
-                  Answer answer = Resolver.ask(whole, asked[i & 4095], Type.A);
+                  Answer answer = Resolver.ask(filledZone, queryNames[i & 4095], Type.A);
                   sink = answer;
                 }
               });
-      plains[run] =
+      hashMapRates[run] =
           perSecond(
               LOOKUPS,
               () -> {
                 for (int i = 0; i < LOOKUPS; i++) {
-                  sink = plain.get(asked[i & 4095]).get(Type.A);
+                  sink = hashMap.get(queryNames[i & 4095]).get(Type.A);
                 }
               });
-      ordered[run] =
+      treeMapRates[run] =
           perSecond(
               LOOKUPS,
               () -> {
                 for (int i = 0; i < LOOKUPS; i++) {
-                  sink = objects.get(names[i & 4095]).get(Type.A);
+                  sink = treeMap.get(libraryNames[i & 4095]).get(Type.A);
                 }
               });
     }
     int updates = 20_000;
-    Spread update =
+    Spread trieUpdates =
         Spread.of(
             () ->
                 1e6
                     / perSecond(
                         updates,
                         () -> {
-                          Zone version = whole;
+                          Zone version = filledZone;
                           for (int i = 0; i < updates; i++) {
-                            version = version.with(asked[i & 4095], address(i));
+                            version = version.with(queryNames[i & 4095], address(i));
                           }
                           sink = version;
                         }));
     int copies = Math.max(3, 2_000_000 / size);
-    Spread copied =
+    Spread copiedUpdates =
         Spread.of(
             () ->
                 1e6
                     / perSecond(
                         copies,
                         () -> {
-                          Map<DomainName, Map<Integer, RRset>> version = plain;
+                          Map<DomainName, Map<Integer, RRset>> version = hashMap;
                           for (int i = 0; i < copies; i++) {
                             version = new HashMap<>(version);
-                            Map<Integer, RRset> sets = new HashMap<>(version.get(asked[i & 4095]));
+                            Map<Integer, RRset> sets =
+                                new HashMap<>(version.get(queryNames[i & 4095]));
                             sets.put(Type.A, address(i));
-                            version.put(asked[i & 4095], sets);
+                            version.put(queryNames[i & 4095], sets);
                           }
                           sink = version;
                         }));
-    Spread inPlace =
+    Spread inPlaceUpdates =
         Spread.of(
             () ->
                 1e6
@@ -166,7 +167,7 @@
                         updates,
                         () -> {
                           for (int i = 0; i < updates; i++) {
-                            plain.get(asked[i & 4095]).put(Type.A, address(i));
+                            hashMap.get(queryNames[i & 4095]).put(Type.A, address(i));
                           }
                         }));
     System.out.printf(
@@ -174,17 +175,17 @@
         "%,d | %.0f, %.0f, %.0f | %s, %s, %s | %s, %s, %s%n",
         size,
         trieBytes,
-        plainBytes,
-        objectBytes,
-        Spread.of(java.util.Arrays.copyOfRange(tries, 1, 6)),
-        Spread.of(java.util.Arrays.copyOfRange(plains, 1, 6)),
-        Spread.of(java.util.Arrays.copyOfRange(ordered, 1, 6)),
-        update,
-        copied,
-        inPlace);
+        hashMapBytes,
+        treeMapBytes,
+        Spread.of(java.util.Arrays.copyOfRange(trieRates, 1, 6)),
+        Spread.of(java.util.Arrays.copyOfRange(hashMapRates, 1, 6)),
+        Spread.of(java.util.Arrays.copyOfRange(treeMapRates, 1, 6)),
+        trieUpdates,
+        copiedUpdates,
+        inPlaceUpdates);
   }
 
-  private static void load(int size) throws Exception {
+  private static void loadZoneFile(int size) throws Exception {
     StringBuilder text =
         new StringBuilder(
             "$TTL 300\n@ SOA ns hostmaster 1 3600 600 86400 60\n@ NS ns\nns A 10.0.0.1\n");
@@ -203,26 +204,26 @@
     }
     byte[] bytes = text.toString().getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
     DomainName origin = DomainName.parse("example.org.", DomainName.ROOT);
-    long before = used();
+    long heapBefore = usedHeapBytes();
     Zone[] loaded = new Zone[1];
-    Spread seconds =
+    Spread loadSeconds =
         Spread.of(
             () -> {
               loaded[0] = null;
               try {
                 long start = System.nanoTime();
-                loaded[0] = ZoneFile.read("big", name -> bytes, origin, size + 10).zone();
+                loaded[0] = ZoneFile.read("large", name -> bytes, origin, size + 10).zone();
                 return (System.nanoTime() - start) / 1e9;
-              } catch (java.io.IOException never) {
-                throw new IllegalStateException(never);
+              } catch (java.io.IOException impossible) {
+                throw new IllegalStateException(impossible);
               }
             });
     System.out.printf(
         Locale.ROOT,
-        "zone file (%d MB): %s s to load, %.0f bytes for each of %,d records%n",
+        "zone file (%d MB): %s s to load, %.0f bytes per record, %,d records%n",
         bytes.length >> 20,
-        seconds,
-        (used() - before) / (double) size,
+        loadSeconds,
+        (usedHeapBytes() - heapBefore) / (double) size,
         loaded[0].records());
   }
 }
--- a/src/bench/java/mothwing/net/IdleConnections.java
+++ b/src/bench/java/mothwing/net/IdleConnections.java
@@ -7,24 +7,25 @@
 import mothwing.broker.Scheduler;
 
 /**
- * Idle connections under a clock by hand: each step lets 50 ms pass and looks for who overstays.
+ * Idle connections with a manual clock. Each check advances the clock by 50 ms and looks for
+ * connections that exceed the idle limit.
  */
 public final class IdleConnections implements Scheduler {
-  private static final long STEP = 50_000;
-  private static final long SPAN = 30_000_000;
-  private static final long PATIENCE = 2_500_000;
+  private static final long CHECK_INTERVAL_MICROS = 50_000;
+  private static final long IDLE_LIMIT_MICROS = 30_000_000;
+  private static final long READ_TIMEOUT_MICROS = 2_500_000;
 
-  private final List<Idle> all = new ArrayList<>();
-  private final ConnectionTable table = new ConnectionTable(PATIENCE, this);
+  private final List<IdleConnection> connections = new ArrayList<>();
+  private final ConnectionTable table = new ConnectionTable(READ_TIMEOUT_MICROS, this);
   private long now;
-  private int closed;
+  private int expiredCount;
 
-  private static final class Idle extends Connection {
-    private final long since;
+  private static final class IdleConnection extends Connection {
+    private final long openedAt;
 
-    Idle(long since) {
+    IdleConnection(long openedAt) {
       super("bench", 1, line -> {}, new Counters());
-      this.since = since;
+      this.openedAt = openedAt;
       markIdentified();
     }
 
@@ -35,42 +36,45 @@
 
     @Override
     protected void onClosed() {
-      // nothing is kept of it
+      // has no state to release
     }
   }
 
-  /** Opens so many, spread over the span after which they would be closed. */
-  public IdleConnections(int many) {
-    for (int i = 0; i < many; i++) {
-      now = SPAN * i / many;
-      Idle one = new Idle(now);
-      table.add(one);
-      all.add(one);
+  /** Opens connections at times spread evenly over the idle limit. */
+  public IdleConnections(int count) {
+    for (int i = 0; i < count; i++) {
+      now = IDLE_LIMIT_MICROS * i / count;
+      IdleConnection connection = new IdleConnection(now);
+      table.add(connection);
+      connections.add(connection);
     }
     now = 0;
   }
 
-  /** A scan of all of them, as it was before the wheel. */
+  /** Scans all connections, the alternative to the timing wheel. */
   public void scan() {
-    now += STEP;
-    for (Idle one : new ArrayList<>(all)) {
-      if (one.timeoutReason(now, PATIENCE) != null
-          || !one.isClosable()
-          || now - one.since >= SPAN) {
-        closed++;
+    now += CHECK_INTERVAL_MICROS;
+    for (IdleConnection connection : new ArrayList<>(connections)) {
+      if (connection.timeoutReason(now, READ_TIMEOUT_MICROS) != null
+          || !connection.isClosable()
+          || now - connection.openedAt >= IDLE_LIMIT_MICROS) {
+        expiredCount++;
       }
     }
   }
 
-  /** A look at the wheel. Nothing is due in the first span, as each is armed for its own end. */
-  public void wheel() {
-    now += STEP;
-    table.closeExpired(SPAN, CloseReason.IDLE);
+  /**
+   * Checks the timing wheel. Nothing is due within the first idle limit, since each connection is
+   * scheduled for its own expiry.
+   */
+  public void checkWheel() {
+    now += CHECK_INTERVAL_MICROS;
+    table.closeExpired(IDLE_LIMIT_MICROS, CloseReason.IDLE);
   }
 
-  /** How many would have been closed, so that the work is not dropped. */
-  public int closed() {
-    return closed;
+  /** Returns the number of expired connections, so that the compiler cannot remove the scan. */
+  public int expiredCount() {
+    return expiredCount;
   }
 
   @Override
