--- a/src/test/java/mothwing/testing/DnsTestClient.java
+++ b/src/test/java/mothwing/testing/DnsTestClient.java
@@ -89,7 +89,7 @@
     return Files.writeString(folder.resolve("site.star"), script.toString());
   }
 
-  /** Replaces the zone file by a rename, with a modification time 5 s in the past. */
+  /** Replaces the zone file by a rename, as an editor does, with a modification time 5 s ago. */
   public static void writeZone(Path folder, String zone) throws IOException {
     Path temporary = Files.writeString(folder.resolve("example.zone.new"), zone);
     Files.setLastModifiedTime(
--- a/src/test/java/mothwing/testing/FrontModel.java
+++ b/src/test/java/mothwing/testing/FrontModel.java
@@ -27,7 +27,7 @@
   private static final List<String> OUTCOMES = List.of("completed", "rejected", "failed");
   private static final int ABANDONED = 3;
 
-  /** The deadline of 4.5 s plus 150 ms for the answer to be read. */
+  /** The deadline of 4.5 s plus a slack of 150 ms. */
   private static final long MAX_ANSWER_MICROS = 4_500_000 + 150_000;
 
   /** A request as its gateway sees it. */
@@ -43,7 +43,7 @@
     }
   }
 
-  /** The broker under test with its stand-in pool. */
+  /** The broker under test, with a manual clock and a manual pool. */
   public final BrokerFixture fixture = new BrokerFixture().bound();
 
   /** The gateway on the connection under test. */
--- a/src/test/java/mothwing/witness/AdapterRecorder.java
+++ b/src/test/java/mothwing/witness/AdapterRecorder.java
@@ -52,7 +52,7 @@
     private boolean ended;
     private long callEndsAt;
 
-    /** The order of its last scheduled event; earlier events of the request are dropped. */
+    /** The order of the last scheduled event, so that a stop cancels an earlier end of the run. */
     private long lastEventOrder;
 
     private long remainingMicros;
@@ -150,7 +150,8 @@
   }
 
   /**
-   * Returns a random gap to the next request: a light load, with an overload of twice the cores.
+   * Returns a random gap to the next request. The load is light, twice the capacity of the cores
+   * from 15 s to 45 s, then light again.
    */
   private long nextGapMicros(long at) {
     double perSecond = at > 15 * SECOND && at < 45 * SECOND ? 60 : 14;
@@ -289,7 +290,9 @@
     }
   }
 
-  /** Returns a random duration, longer when runs share the cores and during the slowdown. */
+  /**
+   * Returns a random duration of a run, longer when runs share the cores and during the slowdown.
+   */
   private long workMicros(long now) {
     double runsPerCore = Math.max(1, (double) runningCount / CORES);
     double slowdownFactor = now > SLOWDOWN_AT && now < SLOWDOWN_AT + 6 * SECOND ? 4 : 1;
