--- a/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
+++ b/src/test/java/mothwing/fastcgi/FastCgiConnectionTest.java
@@ -57,11 +57,11 @@
     for (FreeValue meaning : FreeValue.values()) {
       String unloadedValue =
           meaning == FreeValue.LEVEL ? "0.0" : meaning == FreeValue.SHARE ? "1.0" : null;
-      for (Settings settings : List.of(SettingsVariants.meaning(level, meaning), level)) {
-        model.stand.broker.applySettings(settings);
+      for (Settings settings : List.of(SettingsVariants.withFreeValue(level, meaning), level)) {
+        model.fixture.broker.applySettings(settings);
         // At once, and after the controller has published a value.
         for (long elapsedMicros : new long[] {0, 200_000}) {
-          model.stand.pass(elapsedMicros);
+          model.fixture.pass(elapsedMicros);
           assertEquals(
               settings == level ? "0.0" : unloadedValue, freeValue(), () -> "meaning " + meaning);
         }
@@ -75,24 +75,24 @@
     for (int step : steps) {
       int requestId = 1 + step / 10 % REQUEST_IDS;
       switch (step % 10) {
-        case 0, 1, 2, 3 -> model.ask(requestId, step);
+        case 0, 1, 2, 3 -> model.sendRequest(requestId, step);
         case 4 -> {
-          model.left(requestId);
+          model.abandon(requestId);
           model.send(Gateway.FastCgi.abort(requestId));
           // An aborted request may still get its one response; the model does not expect it.
           model.gateway.answers.removeIf(answer -> answer.id() == requestId);
         }
         case 5, 6, 7 -> model.endRun(step / 10);
-        case 8 -> model.stand.pass(step * 10L);
+        case 8 -> model.fixture.pass(step * 10L);
         default -> {
           if (step % 50 == 9) {
             model.reopen();
           }
         }
       }
-      model.check(step % 7_000);
+      model.advanceAndCheck(step % 7_000);
     }
-    model.checkEnd();
+    model.checkAllAnswered();
   }
 
   @Property(seed = "1764576001")
@@ -135,7 +135,7 @@
         status(
             model.gateway.request(
                 1, "/call/" + BrokerFixture.LOOK, "", unknownTenant, new byte[0])));
-    assertEquals(Map.of(), model.stand.spawns);
+    assertEquals(Map.of(), model.fixture.spawns);
     fields.put("Lookup-Key", "k".repeat(9000));
     assertEquals(
         413,
@@ -159,21 +159,21 @@
                 number,
                 "/call/" + BrokerFixture.LOOK,
                 "",
-                Gateway.fields(id, model.stand.wallClockMillis() + hours * 3_600_000),
+                Gateway.fields(id, model.fixture.wallClockMillis() + hours * 3_600_000),
                 new byte[0]));
-        model.stand.pass(5_000);
-        assertEquals(1, model.stand.spawns.get(id), "the request runs");
+        model.fixture.pass(5_000);
+        assertEquals(1, model.fixture.spawns.get(id), "the request runs");
         if (outcome != null) {
-          model.stand.finish(id, outcome);
+          model.fixture.finish(id, outcome);
         }
         // Without an outcome, wait until the deadline, counted from the time of reading, plus the
         // answer slack.
-        model.stand.pass(outcome == null ? 4_600_000 : 5_000);
-        model.stand.read(model.channel, model.gateway);
+        model.fixture.pass(outcome == null ? 4_600_000 : 5_000);
+        model.fixture.read(model.channel, model.gateway);
         assertEquals(outcome == null ? 500 : 200, model.gateway.answers.remove().status());
       }
     }
-    assertEquals(4, model.stand.counters.get("arrival-times-ignored"));
+    assertEquals(4, model.fixture.counters.get("arrival-times-ignored"));
   }
 
   @Example
@@ -182,7 +182,7 @@
       assertTrue(model.channel.isOpen());
       model.send(Gateway.FastCgi.begin(id));
     }
-    assertTrue(model.endedAs("too-many-open"));
+    assertTrue(model.isClosedWithReason("too-many-open"));
   }
 
   /**
@@ -207,8 +207,8 @@
       assertTrue(model.channel.isOpen());
     }
     model.send(header);
-    assertTrue(model.endedAs("oversized"));
-    assertEquals(Map.of(), model.stand.spawns);
+    assertTrue(model.isClosedWithReason("oversized"));
+    assertEquals(Map.of(), model.fixture.spawns);
   }
 
   @Example
