--- a/src/main/java/mothwing/membership/IsolationDetector.java
+++ b/src/main/java/mothwing/membership/IsolationDetector.java
@@ -3,13 +3,16 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** Finds out whether this process hears too few of the members that should contact it. */
+/**
+ * Detects that this process receives messages from fewer than half of the members with which it
+ * exchanges probes on the ring.
+ */
 final class IsolationDetector {
   private final LocalMember self;
   private final MemberTable members;
   private final boolean hasSeeds;
   private final Map<String, Long> lastHeardMicros = new LinkedHashMap<>();
-  private long connectedAtMicros;
+  private long lastConnectedMicros;
   private boolean isolated;
 
   IsolationDetector(LocalMember self, MemberTable members, boolean hasSeeds) {
@@ -19,33 +22,33 @@
   }
 
   void start(long nowMicros) {
-    connectedAtMicros = nowMicros;
+    lastConnectedMicros = nowMicros;
   }
 
-  void heard(String name) {
+  void recordMessageFrom(String name) {
     lastHeardMicros.put(name, self.now());
   }
 
-  /** Leaves out a time in which this process was stopped. */
-  void postpone(long spanMicros) {
-    connectedAtMicros += spanMicros;
+  /** Excludes a pause of this process from the timeout. */
+  void excludePause(long spanMicros) {
+    lastConnectedMicros += spanMicros;
   }
 
   boolean isIsolated() {
     return isolated;
   }
 
-  /** Looks again; true where the answer has changed. */
+  /** Updates the state; returns true if it has changed. */
   boolean update(long nowMicros) {
     long timeout = self.settings().isolationTimeoutMicros();
     lastHeardMicros.values().removeIf(at -> at < nowMicros - timeout);
     int known = Math.max(members.size(), hasSeeds ? 1 : 0);
     int expected = Math.min(2 * self.settings().ringSuccessors(), known);
     if (2 * lastHeardMicros.size() >= expected) {
-      connectedAtMicros = nowMicros;
+      lastConnectedMicros = nowMicros;
     }
     boolean before = isolated;
-    isolated = nowMicros - connectedAtMicros > timeout;
+    isolated = nowMicros - lastConnectedMicros > timeout;
     return isolated != before;
   }
 }
