--- a/src/main/java/mothwing/broker/AwaitedCall.java
+++ b/src/main/java/mothwing/broker/AwaitedCall.java
@@ -5,8 +5,8 @@
   private byte[] content;
   private byte[] unsentResult;
   private boolean inProgress;
-  private boolean answerSent;
-  private boolean answerUnsent;
+  private boolean resumeSent;
+  private boolean resumeUnsent;
   private long timeoutAt;
 
   /** The content of the call, or null if the run awaits none. */
@@ -19,22 +19,28 @@
     return inProgress;
   }
 
-  /** When the call times out, in microseconds of the monotonic clock. */
+  /**
+   * When the broker ends the call, which is later than the dependency's limit, in microseconds of
+   * the monotonic clock.
+   */
   long timeoutAt() {
     return timeoutAt;
   }
 
-  /** Whether the last command to the pool was the answer to a call. */
-  boolean isAnswerSent() {
-    return answerSent;
+  /** Whether the run was resumed over a connection, and has awaited no call since. */
+  boolean isResumeSent() {
+    return resumeSent;
   }
 
   /** Whether the command to resume the run has not been written to a connection yet. */
-  boolean isAnswerUnsent() {
-    return answerUnsent;
+  boolean isResumeUnsent() {
+    return resumeUnsent;
   }
 
-  /** The result of an answer that is not sent yet; null if the run is resumed without a result. */
+  /**
+   * The result of the unsent answer; null if none is unsent, or the run is resumed without a
+   * result.
+   */
   byte[] unsentResult() {
     return unsentResult;
   }
@@ -56,19 +62,23 @@
     return wasInProgress;
   }
 
-  /** Records that the run is resumed, with a result or null: now or once there is a connection. */
+  /**
+   * Records that the run is resumed, at once if connected, otherwise after the next connection.
+   *
+   * @param result null to resume without one
+   */
   void answer(byte[] result, boolean connected) {
     content = null;
     unsentResult = connected ? null : result;
-    answerUnsent = !connected;
-    answerSent = connected;
+    resumeUnsent = !connected;
+    resumeSent = connected;
   }
 
   void clear() {
     content = null;
     unsentResult = null;
     inProgress = false;
-    answerSent = false;
-    answerUnsent = false;
+    resumeSent = false;
+    resumeUnsent = false;
   }
 }
--- a/src/main/java/mothwing/broker/Broker.java
+++ b/src/main/java/mothwing/broker/Broker.java
@@ -19,7 +19,7 @@
  * broker.
  */
 public final class Broker implements ControllerHost {
-  /** Bounds the open requests; any beyond the bound are rejected without asking the controller. */
+  /** The maximum number of open requests; more are rejected without asking the controller. */
   public static final int MAX_OPEN_REQUESTS = RequestIntake.MAX_OPEN_REQUESTS;
 
   /** Returned by {@link #retryAfterIfOverloaded} for a request that is to be submitted. */
@@ -57,7 +57,7 @@
 
   /**
    * Replaces the settings. Classes and tenants keep their indexes by name, open requests keep the
-   * class and the deadline that they were read under, and statistics are preserved.
+   * class and the deadline that applied when they were read, and statistics are preserved.
    *
    * @param settings the new settings of the server
    */
@@ -68,7 +68,7 @@
     context.settings().classNames().forEach(parts.statistics::register);
     if (controller != null) {
       Settings current = context.settings().settings();
-      context.events().enqueue((to, at) -> to.settingsChanged(at, current));
+      context.events().enqueue((receiver, at) -> receiver.settingsChanged(at, current));
     }
   }
 
@@ -89,7 +89,7 @@
   /**
    * Sets the check for whether this process lags too far behind to decide on a request.
    *
-   * @param isOverloaded called once for each request; true if the request is to be rejected
+   * @param isOverloaded called once for each request; true to reject without asking the controller
    */
   public void setOverloadCheck(BooleanSupplier isOverloaded) {
     parts.intake.setOverloadCheck(isOverloaded);
@@ -103,10 +103,10 @@
   /**
    * Sets the claims that decide which process runs a request with an idempotency key.
    *
-   * @param shared the claims, shared by all processes at this address
+   * @param claims the claims, shared by all processes at this address
    */
-  public void setRunClaims(RunClaims shared) {
-    parts.admission.setClaims(shared);
+  public void setRunClaims(RunClaims claims) {
+    parts.admission.setClaims(claims);
   }
 
   /**
@@ -145,13 +145,13 @@
     String id = exchange.request().id();
     if (context.open().get(id) == exchange) {
       parts.calls.abandon(exchange);
-      context.events().enqueue((to, at) -> reportCancelled(exchange, to, at));
+      context.events().enqueue((receiver, at) -> reportCancelled(exchange, receiver, at));
     }
   }
 
-  private void reportCancelled(Exchange exchange, Controller to, long at) {
+  private void reportCancelled(Exchange exchange, Controller receiver, long at) {
     parts.context.open().removeUnlessInPool(exchange);
-    to.requestCancelled(at, exchange.request().id());
+    receiver.requestCancelled(at, exchange.request().id());
   }
 
   /**
@@ -214,8 +214,8 @@
   }
 
   /**
-   * Requests a graceful shutdown. In a handover another process serves clients at the same address:
-   * no answer or health check keeps gateways away, and new requests are still run for a while.
+   * Requests a graceful shutdown. In a handover, where another process serves clients at the same
+   * address, no answer or health check turns gateways away, and new requests run for a while.
    *
    * @param requestedAt when it was requested, in microseconds of the monotonic clock
    * @param stopAt when the process is stopped, on the same clock
@@ -229,16 +229,16 @@
   public void failPending() {
     for (Exchange exchange : parts.context.open().snapshot()) {
       if (exchange.isPending()) {
-        parts.answers.fail(exchange, FailureReason.LEAVING);
+        parts.answers.fail(exchange, FailureReason.PROCESS_ENDING);
         parts.context.open().removeUnlessInPool(exchange);
       }
     }
   }
 
   /**
-   * Reports that the pool is connected; the notices that were missed follow.
+   * Reports that the pool is connected. Only the first call has an effect.
    *
-   * @param coldStart whether the machine had just started when the pool started
+   * @param coldStart whether the pool reports a fresh start, so that a slow start is needed
    * @param ageMicros microseconds since the start of the pool
    */
   public void poolConnected(boolean coldStart, long ageMicros) {
@@ -278,11 +278,11 @@
    *
    * @param id the request
    * @param outcome how it ended
-   * @param tookMicros its duration in microseconds
+   * @param durationMicros its duration in microseconds
    * @param result the result, or null unless the run succeeded
    */
-  public void runEnded(String id, RunOutcome outcome, long tookMicros, byte[] result) {
-    parts.runs.ended(id, outcome, tookMicros, result);
+  public void runEnded(String id, RunOutcome outcome, long durationMicros, byte[] result) {
+    parts.runs.ended(id, outcome, durationMicros, result);
   }
 
   /**
@@ -337,8 +337,8 @@
   }
 
   @Override
-  public void rejectRequest(String id, boolean dontRetry, long stayAway) {
-    actions.rejectRequest(id, dontRetry, stayAway);
+  public void rejectRequest(String id, boolean dontRetry, long retryAfterMicros) {
+    actions.rejectRequest(id, dontRetry, retryAfterMicros);
   }
 
   @Override
@@ -347,8 +347,8 @@
   }
 
   @Override
-  public void startCall(String id, long until) {
-    actions.startCall(id, until);
+  public void startCall(String id, long timeoutAt) {
+    actions.startCall(id, timeoutAt);
   }
 
   @Override
@@ -357,8 +357,8 @@
   }
 
   @Override
-  public void rememberKey(String id, long span) {
-    actions.rememberKey(id, span);
+  public void rememberKey(String id, long keepMicros) {
+    actions.rememberKey(id, keepMicros);
   }
 
   @Override
@@ -382,13 +382,13 @@
   }
 
   @Override
-  public void setHealth(boolean cheap, boolean good) {
-    actions.setHealth(cheap, good);
+  public void setHealth(boolean shallow, boolean mayPass) {
+    actions.setHealth(shallow, mayPass);
   }
 
   @Override
-  public void closeIdleConnections(long span) {
-    actions.closeIdleConnections(span);
+  public void closeIdleConnections(long idleMicros) {
+    actions.closeIdleConnections(idleMicros);
   }
 
   @Override
--- a/src/main/java/mothwing/broker/EventBatcher.java
+++ b/src/main/java/mothwing/broker/EventBatcher.java
@@ -30,7 +30,10 @@
   private Controller controller;
   private boolean batchScheduled;
 
-  /** Initially half the minimum, so that adding an interval cannot overflow. */
+  /**
+   * When the last batch was delivered. Initially half the minimum value, so that the first batch is
+   * due at once and adding an interval cannot overflow.
+   */
   private long lastBatchAt = Long.MIN_VALUE / 2;
 
   EventBatcher(
@@ -57,7 +60,7 @@
 
   /** Schedules an empty batch, so that the controller can react to the elapsed time alone. */
   void requestBatch() {
-    enqueue((to, at) -> {});
+    enqueue((receiver, at) -> {});
   }
 
   private void deliverBatch() {
--- a/src/main/java/mothwing/broker/RequestIntake.java
+++ b/src/main/java/mothwing/broker/RequestIntake.java
@@ -37,7 +37,9 @@
     this.statistics = statistics;
   }
 
-  /** Starts with the controller; all earlier requests are rejected. */
+  /**
+   * Starts accepting requests; called with the controller. Requests before this call are rejected.
+   */
   void start() {
     ready = true;
   }
@@ -61,7 +63,7 @@
       return Broker.NOT_OVERLOADED;
     }
     context.counters().add(CounterNames.REQUESTS_READ);
-    context.counters().add(CounterNames.REJECTED_PREFIX + RejectionReason.BEHIND.code());
+    context.counters().add(CounterNames.REJECTED_PREFIX + RejectionReason.OVERLOADED.code());
     statistics.recordEnd(className, RequestStatistics.End.REJECTED);
     return retryAfterMillis();
   }
@@ -88,7 +90,7 @@
       reject(exchange, RejectionReason.KEYS_FULL);
     } else {
       context.open().add(exchange);
-      context.events().enqueue((to, at) -> deliver(exchange, to, at));
+      context.events().enqueue((receiver, at) -> deliver(exchange, receiver, at));
     }
     return exchange;
   }
@@ -102,7 +104,7 @@
   private Exchange exchange(
       InboundRequest request, ResponseSink caller, RequestClass requestClass) {
     long now = context.scheduler().now();
-    long arrivedAt = now - unreadMicros(request, requestClass);
+    long arrivedAt = now - microsFromArrivalToReading(request, requestClass);
     long deadline = arrivedAt + waitMicros(request, requestClass);
     boolean idempotent = requestClass.idempotency() == Idempotency.ALWAYS;
     boolean keyed =
@@ -123,9 +125,10 @@
   /**
    * The time from a request's arrival to its reading, in microseconds. Only here is wall-clock time
    * converted to a span of the monotonic clock. Because the wall clock may have been stepped since,
-   * an arrival in the future, or longer ago than the deadline of the class, is ignored.
+   * an arrival further in the future than the permitted lead, or longer ago than the deadline of
+   * the class, is ignored; a smaller lead counts as 0.
    */
-  private long unreadMicros(InboundRequest request, RequestClass requestClass) {
+  private long microsFromArrivalToReading(InboundRequest request, RequestClass requestClass) {
     long millis = context.scheduler().wallClockMillis() - request.acceptedAtMs();
     boolean plausible =
         millis >= -MAX_CLOCK_LEAD_MILLIS && millis <= requestClass.deadline() / MICROS_PER_MILLI;
@@ -156,7 +159,7 @@
    * Reports a request to the controller. The original of a repeat is looked up only here, because
    * requests read earlier in the same batch have been decided by now.
    */
-  private void deliver(Exchange exchange, Controller to, long at) {
+  private void deliver(Exchange exchange, Controller receiver, long at) {
     IdempotencyKeys.Entry original = keys.findOriginal(exchange);
     if (original != null && !original.hasSameBody(exchange)) {
       answers.fail(exchange, FailureReason.KEY_OF_ANOTHER);
@@ -167,7 +170,7 @@
       context.counters().add(CounterNames.REPEATS);
     }
     exchange.reported();
-    to.requestRead(at, report(exchange, original == null ? null : original.originalId(), at));
+    receiver.requestRead(at, report(exchange, original == null ? null : original.originalId(), at));
   }
 
   private static Request report(Exchange exchange, String originalId, long at) {
--- a/src/main/java/mothwing/broker/RunReconciler.java
+++ b/src/main/java/mothwing/broker/RunReconciler.java
@@ -25,7 +25,7 @@
  * and it is resumed; without a report, the start</td><td>its end</td></tr>
  * </table>
  *
- * <p>Used on the event loop's thread only. Holds no request of its own.
+ * <p>Used on the event loop's thread only. Keeps no list of requests.
  */
 final class RunReconciler {
   /** The actions on runs in doubt. */
@@ -43,7 +43,7 @@
     void giveUp(Exchange exchange);
   }
 
-  /** The echo of the poll that follows the queries about runs in doubt. */
+  /** The echo of the poll whose answer resolves the runs in doubt. */
   private static final String DOUBT_POLL_ECHO = "resolve";
 
   /** The echo of a poll for whether any thread of the pool is runnable. */
@@ -54,7 +54,9 @@
 
   private static final long MICROS_PER_MILLI = 1000;
 
-  /** The delay before an unanswered poll is repeated: ten round trips on a busy machine. */
+  /**
+   * The delay before an unanswered poll is repeated, ten times the round trip on a busy machine.
+   */
   private static final long REPEAT_POLL_MICROS = 300 * MICROS_PER_MILLI;
 
   /** The delay before a stop without effect is repeated, as cores that hung may have recovered. */
@@ -66,7 +68,10 @@
   /** The interval of polls for whether any thread is runnable, while the end of a run is lost. */
   private static final long IDLE_POLL_INTERVAL_MICROS = 100 * MICROS_PER_MILLI;
 
-  /** Consecutive idle answers that prove that nothing runs; at one, a run may wait for a disk. */
+  /**
+   * The number of consecutive idle answers after which nothing runs. A single one is no proof, as a
+   * run may be waiting for the disk.
+   */
   private static final int REQUIRED_IDLE_ANSWERS = 3;
 
   /** The interval of probes for a run whose end is lost. */
@@ -81,8 +86,8 @@
   private long sentPolls;
   private long lastAnsweredPoll;
   private boolean awaitingDoubtAnswer;
-  private long queriesSentAt;
-  private long pollsBeforeQueries;
+  private long doubtPollSentAt;
+  private long pollsBeforeDoubtPoll;
   private long idlePolledAt;
   private int idleAnswers;
   private int runsWithLostEnd;
@@ -150,12 +155,12 @@
     boolean mayBeLost = exchange.run().pollsBeforeCommand() >= lastAnsweredPoll;
     if (exchange.isInPool() && exchange.run().isStopping()) {
       return markInDoubt(exchange);
-    } else if (exchange.call().isAnswerUnsent()) {
+    } else if (exchange.call().isResumeUnsent()) {
       actions.deliverCallResult(exchange);
     } else if (exchange.call().content() != null) {
       // the run reported the call after its last command, so no command is lost
       counters.add(CounterNames.CALLS_AWAITED_AT_RECONNECT);
-    } else if (exchange.call().isAnswerSent() && mayBeLost) {
+    } else if (exchange.call().isResumeSent() && mayBeLost) {
       if (exchange.isIdempotent() && stopMode.get() == StopMode.ABORT) {
         // the result is not sent again, because the run may already await its next call
         actions.abort(exchange);
@@ -163,7 +168,7 @@
     } else if (exchange.isInPool() && exchange.state() == Exchange.State.RUNNING && mayBeLost) {
       return reconcileRunning(exchange);
     } else if (exchange.isInPool() && !exchange.isPending() && mayBeLost) {
-      // it was not stopped, as the pool cannot stop runs; its start may be lost
+      // no stop is pending, for example as the pool cannot stop runs; its start may be lost
       return markInDoubt(exchange);
     }
     return false;
@@ -178,7 +183,7 @@
     } else if (stopMode.get() == StopMode.SUSPEND) {
       return markInDoubt(exchange);
     }
-    // a stop would abort it, so it is left until its end or its deadline
+    // if no branch applies, neither a start nor a stop is safe: left until its end or its deadline
     return false;
   }
 
@@ -192,8 +197,8 @@
 
   private void sendDoubtPoll(long now) {
     awaitingDoubtAnswer = true;
-    queriesSentAt = now;
-    pollsBeforeQueries = sentPolls;
+    doubtPollSentAt = now;
+    pollsBeforeDoubtPoll = sentPolls;
     pool.requestGauges(DOUBT_POLL_ECHO);
   }
 
@@ -210,7 +215,7 @@
     }
     long number = pollNumber(echo);
     lastAnsweredPoll = Math.max(lastAnsweredPoll, number);
-    if (awaitingDoubtAnswer && (echo.equals(DOUBT_POLL_ECHO) || number > pollsBeforeQueries)) {
+    if (awaitingDoubtAnswer && (echo.equals(DOUBT_POLL_ECHO) || number > pollsBeforeDoubtPoll)) {
       awaitingDoubtAnswer = false;
       resolve();
     }
@@ -225,7 +230,7 @@
     return number <= sentPolls ? number : -1;
   }
 
-  /** Resolves the runs still in doubt, as the pool has read all queries without reporting them. */
+  /** Resolves the runs still in doubt, as the pool has read all commands without reporting them. */
   private void resolve() {
     for (Exchange exchange : open.snapshot()) {
       if (!exchange.run().isInDoubt()) {
@@ -241,13 +246,14 @@
   }
 
   /**
-   * Probes for the run of a request that has ended by sending its start: the pool either reports
-   * the request as stale, or has the run and ignores the command.
+   * Probes for the run of a request that has ended by sending its start, if that cannot run it
+   * twice, and a stop, if the pool can stop runs. On a start the pool either reports the request as
+   * stale, or has the run and ignores the command.
    */
   private void probe(Exchange exchange) {
     counters.add(CounterNames.RUNS_PROBED);
     log.write(EventNames.RUN_IN_DOUBT + " id=" + exchange);
-    // an abort in progress may discard the work, after which the start would run it again
+    // after an abort that is in progress, the start would run the request a second time
     boolean isStartSafe = exchange.isIdempotent() || stopMode.get() != StopMode.ABORT;
     if (isStartSafe) {
       pool.startRun(exchange);
@@ -257,7 +263,7 @@
     }
   }
 
-  /** Discards the pending polls; the queries are sent again after the next resynchronization. */
+  /** Discards the pending polls; the next resynchronization determines the runs in doubt again. */
   void poolDisconnected() {
     awaitingDoubtAnswer = false;
     idleAnswers = 0;
@@ -268,8 +274,8 @@
     if (!pool.isReady()) {
       return;
     }
-    if (awaitingDoubtAnswer && now - queriesSentAt >= REPEAT_POLL_MICROS) {
-      queriesSentAt = now;
+    if (awaitingDoubtAnswer && now - doubtPollSentAt >= REPEAT_POLL_MICROS) {
+      doubtPollSentAt = now;
       pool.requestGauges(DOUBT_POLL_ECHO);
     }
     runsWithLostEnd = 0;
